--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -96,9 +96,9 @@
 	leases   *lease.Holder
 	client   *peer.Client
 	nodes    *nodes
-	board    *share.Board
-	suspects *suspect.List
-	verdicts *suspect.Keeper
+	board    *share.Exchange
+	suspects *suspect.Detector
+	verdicts *suspect.Syncer
 
 	relay   *relay.Relay
 	records *decision.Log
@@ -131,13 +131,13 @@
 		peer.WithKnown(func(key string) (mirror.Item, bool) { return g.mirror.Get(key) }))
 	g.registry = registry.New(g.timers)
 	g.runners = platform.NewRunners()
-	g.balancer = route.NewBalancer(s.DataHall, instruments.BreakerOpened, route.WithAnnouncer(func(s share.Send, news float64) { g.board.Tell(s, news) }))
+	g.balancer = route.NewBalancer(s.DataHall, instruments.BreakerOpened, route.WithAnnouncer(func(s share.Record, news float64) { g.board.Publish(s, news) }))
 	g.nodes = newNodes(g)
 	g.suspects = suspect.New(g.timers)
-	g.board = share.NewBoard(g.self, g, g.client, g.timers, g.heard)
+	g.board = share.NewExchange(g.self, g, g.client, g.timers, g.heard)
 	g.mirror = mirror.New(g.store, mirrorPeers{g}, g.timers, mirror.WithEvents(instruments.News))
 	g.nodes.told = g.mirror.Told()
-	g.verdicts = suspect.NewKeeper(g.suspects, g.store, g.mirror, g.nodes.countWorking, g.timers)
+	g.verdicts = suspect.NewSyncer(g.suspects, g.store, g.mirror, g.nodes.countWorking, g.timers)
 	g.makeRollouts()
 	g.subscribe()
 	g.makeRelay()
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -16,7 +16,7 @@
 func (g *Gateway) Others() []view.Member { return g.nodes.others() }
 
 // Exchange answers a peer that tells what it has sent to servers.
-func (g *Gateway) Exchange(m share.Message) share.Reply { return g.board.Answer(m) }
+func (g *Gateway) Exchange(m share.Message) share.Reply { return g.board.Handle(m) }
 
 // mirrorPeers lets the mirror follow other gateways.
 type mirrorPeers struct{ g *Gateway }
--- a/gateway/subscribe.go
+++ b/gateway/subscribe.go
@@ -20,7 +20,7 @@
 	g.mirror.Subscribe(platform.OrderPrefix, g.takeOrder)
 	g.mirror.Subscribe(stagesKey, g.takeStages)
 	g.mirror.Subscribe(nodePrefix, g.nodes.take)
-	g.mirror.Subscribe(suspect.Prefix, g.verdicts.Take)
+	g.mirror.Subscribe(suspect.KeyPrefix, g.verdicts.Apply)
 }
 
 // takeCatalog puts a declaration in force. Versions only rise.
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -21,7 +21,7 @@
 
 // Test reports whether a request that is refused is to be tested here and now.
 func (s suspects) Test(ctx context.Context, digest uint64) bool {
-	return s.g.verdicts.Test(ctx, digest)
+	return s.g.verdicts.Probe(ctx, digest)
 }
 
 // Ends returns at how many servers a request was lost.
@@ -33,13 +33,13 @@
 
 // lost notes a request that was lost to this node, that long ago.
 func (g *Gateway) lost(digest, server uint64, ago time.Duration) {
-	finding, withdrawn := g.suspects.Lost(digest, server, ago)
+	finding, withdrawn := g.suspects.RecordLoss(digest, server, ago)
 	if finding == suspect.FindingKnown {
 		return
 	}
 	g.metrics.Suspects(suspect.EventLost)
-	if !g.board.TellLost(server, digest, g.suspects.Ends(digest) > 1) {
-		g.metrics.Suspects(suspect.EventUntold)
+	if !g.board.PublishLoss(server, digest, g.suspects.Ends(digest) > 1) {
+		g.metrics.Suspects(suspect.EventNotPublished)
 	}
 	g.found(digest, finding, true)
 	g.withdrawn(withdrawn)
@@ -49,14 +49,14 @@
 // leftBehind notes the requests that this node had given up at a server just before it
 // ended.
 func (g *Gateway) leftBehind(server uint64, ago time.Duration) {
-	for _, digest := range g.suspects.LeftBehind(server, ago) {
+	for _, digest := range g.suspects.TakeAbandoned(server, ago) {
 		g.lost(digest, server, ago)
 	}
 }
 
 // Left notes an attempt that this node has given up.
 func (s suspects) Left(digest, server uint64) {
-	if s.g.suspects.Left(digest, server) {
+	if s.g.suspects.RecordAbandoned(digest, server) {
 		s.g.lost(digest, server, 0)
 	}
 }
@@ -65,11 +65,11 @@
 // it.
 func (s suspects) Answered(digest uint64) {
 	ends := s.g.suspects.Ends(digest)
-	cleared := s.g.suspects.Answered(digest)
+	cleared := s.g.suspects.RecordAnswer(digest)
 	if cleared == suspect.ClearedNothing {
 		return
 	}
-	s.g.board.TellAnswered(digest, ends > 1 || cleared == suspect.ClearedVerdict)
+	s.g.board.PublishAnswer(digest, ends > 1 || cleared == suspect.ClearedVerdict)
 	if cleared == suspect.ClearedVerdict {
 		s.g.withdrawn([]uint64{digest})
 	}
@@ -77,29 +77,29 @@
 
 // Runs takes the word that a server answers.
 func (s suspects) Runs(server uint64, sent, opened time.Time) {
-	s.g.withdrawn(s.g.suspects.Runs(server, time.Since(sent), time.Since(opened)))
+	s.g.withdrawn(s.g.suspects.ServerResponded(server, time.Since(sent), time.Since(opened)))
 }
 
 // heard takes what another node has told on the board.
-func (g *Gateway) heard(s share.Send) {
+func (g *Gateway) heard(s share.Record) {
 	switch {
-	case s.Lost != 0:
+	case s.LostDigest != 0:
 		g.heardLost(s)
-	case s.Answered != 0:
-		g.suspects.Answered(s.Answered)
+	case s.AnsweredDigest != 0:
+		g.suspects.RecordAnswer(s.AnsweredDigest)
 	default:
 		g.balancer.Heard(s)
 	}
 }
 
 // heardLost takes the word of another node that a request was lost.
-func (g *Gateway) heardLost(s share.Send) {
-	finding, withdrawn := g.suspects.Lost(s.Lost, s.Server, s.Age())
+func (g *Gateway) heardLost(s share.Record) {
+	finding, withdrawn := g.suspects.RecordLoss(s.LostDigest, s.Server, s.Age())
 	if finding == suspect.FindingKnown {
 		return
 	}
-	g.metrics.Suspects(suspect.EventHeard)
-	g.found(s.Lost, finding, false)
+	g.metrics.Suspects(suspect.EventReceived)
+	g.found(s.LostDigest, finding, false)
 	g.withdrawn(withdrawn)
 	g.leftBehind(s.Server, s.Age())
 }
@@ -111,17 +111,17 @@
 		return
 	}
 	g.metrics.Suspects(suspect.EventVerdict)
-	slog.Warn("servers end under a request; it is refused", "content", suspect.Name(digest), "servers", g.suspects.Ends(digest), "own", own)
+	slog.Warn("servers end under a request; it is refused", "content", suspect.FormatDigest(digest), "servers", g.suspects.Ends(digest), "own", own)
 	g.relay.TakeBack(digest)
-	g.verdicts.Changed(digest, own)
+	g.verdicts.ScheduleWrite(digest, own)
 }
 
 // withdrawn notes requests that are refused no more.
 func (g *Gateway) withdrawn(digests []uint64) {
 	for _, digest := range digests {
 		g.metrics.Suspects(suspect.EventWithdrawn)
-		slog.Warn("a request is refused no more", "content", suspect.Name(digest))
-		g.verdicts.Changed(digest, true)
+		slog.Warn("a request is refused no more", "content", suspect.FormatDigest(digest))
+		g.verdicts.ScheduleWrite(digest, true)
 	}
 }
 
@@ -138,7 +138,7 @@
 func (g *Gateway) reviewSuspects(ctx context.Context) {
 	g.timers.Every(ctx, reviewInterval, func() {
 		if g.mirror.Age() > reviewAge {
-			g.suspects.Stale()
+			g.suspects.MarkRegistryStale()
 			return
 		}
 		if g.suspects.Empty() {
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -52,8 +52,8 @@
 
 // afterLoss lies between a lost attempt and the next one. Servers that end together show
 // it meanwhile, so that the next attempt goes to none of them; and if one ends under it as
-// well, that is for another cause (suspect.OneMoment).
-const afterLoss = suspect.OneMoment + 10*time.Millisecond
+// well, that is for another cause (suspect.IncidentWindow).
+const afterLoss = suspect.IncidentWindow + 10*time.Millisecond
 
 // pause returns after d, or when the context ends.
 func pause(ctx context.Context, d time.Duration) {
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -65,13 +65,13 @@
 }
 
 // suspects is a list that all nodes have in common.
-type suspects struct{ *suspect.List }
+type suspects struct{ *suspect.Detector }
 
-func (s suspects) Lost(digest, server uint64) { s.List.Lost(digest, server, 0) }
-func (s suspects) Left(digest, server uint64) { s.List.Left(digest, server) }
-func (s suspects) Answered(digest uint64)     { s.List.Answered(digest) }
+func (s suspects) Lost(digest, server uint64) { s.Detector.RecordLoss(digest, server, 0) }
+func (s suspects) Left(digest, server uint64) { s.Detector.RecordAbandoned(digest, server) }
+func (s suspects) Answered(digest uint64)     { s.Detector.RecordAnswer(digest) }
 func (s suspects) Runs(server uint64, sent, opened time.Time) {
-	s.List.Runs(server, time.Since(sent), time.Since(opened))
+	s.Detector.ServerResponded(server, time.Since(sent), time.Since(opened))
 }
 func (s suspects) Test(context.Context, uint64) bool { return false }
 
@@ -148,7 +148,7 @@
 				servers, list := newCrashing(6), &onceMore{suspects: suspects{suspect.New(timers)}, tests: 1}
 				target := catalog.Route{Kind: catalog.KindRepeatable, Timeout: 10 * time.Second, Attempts: 3}
 				node := newRelay(t, target, relay.Parts{Servers: servers, Backends: servers, Suspects: list})
-				list.Stored(suspect.Digest("/", []byte(tt.text), int64(len(tt.text))), 0)
+				list.ApplyStored(suspect.Digest("/", []byte(tt.text), int64(len(tt.text))), 0)
 				body, err := relay.NewBody(strings.NewReader(tt.text), int64(len(tt.text)))
 				must.NoError(t, err)
 				got := &received{}
--- a/route/balancer.go
+++ b/route/balancer.go
@@ -70,7 +70,7 @@
 type Balancer struct {
 	dataHall string
 	opened   func(server string)
-	announce func(s share.Send, news float64)
+	announce func(s share.Record, news float64)
 
 	mu sync.Mutex
 	// servers are by the hash of their incarnation, lines and waits by kind of request.
@@ -85,7 +85,7 @@
 // WithAnnouncer names who is told of each prompt that is sent to a server, so that
 // other nodes hear of it. News is for how long the server reads what it did not
 // have of the shared prompt, in milliseconds.
-func WithAnnouncer(announce func(s share.Send, news float64)) BalancerOption {
+func WithAnnouncer(announce func(s share.Record, news float64)) BalancerOption {
 	return func(b *Balancer) { b.announce = announce }
 }
 
@@ -95,7 +95,7 @@
 	b := &Balancer{
 		dataHall: dataHall,
 		opened:   opened,
-		announce: func(share.Send, float64) {},
+		announce: func(share.Record, float64) {},
 		servers:  make(map[uint64]*known),
 		lines:    make(map[string]*estimate.Line),
 		waits:    make(waits),
@@ -234,7 +234,7 @@
 	if u.serial() {
 		shared := t.Prompt.Shared()
 		news := b.line(t).Rate() * float64(max(0, shared.Tokens()-u.held))
-		b.announce(share.Send{Server: p.server.Incarnation().Hash(), Prompt: shared, Work: float32(u.occupies)}, news)
+		b.announce(share.Record{Server: p.server.Incarnation().Hash(), Prompt: shared, WorkMillis: float32(u.occupies)}, news)
 	}
 	return u
 }
@@ -289,10 +289,10 @@
 }
 
 // Heard takes that another node has sent a prompt to a server.
-func (b *Balancer) Heard(s share.Send) {
+func (b *Balancer) Heard(s share.Record) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.state(s.Server).heard(float64(s.Work), s.Prompt, time.Now().Add(-s.Age()))
+	b.state(s.Server).heard(float64(s.WorkMillis), s.Prompt, time.Now().Add(-s.Age()))
 }
 
 // Keep forgets all servers but those listed and those in use.
--- a/route/balancer_test.go
+++ b/route/balancer_test.go
@@ -134,9 +134,9 @@
 			return route.Task{Servers: halls[:2], Tokens: 6500, Prompt: prefix.NewChain("m", parts), Assumed: route.Assumption{Rate: 0.02}}
 		}
 		for _, far := range []string{"near-1", "near-2"} {
-			b.Heard(share.Send{Server: registry.Incarnation{ID: far}.Hash(), Work: 1000})
+			b.Heard(share.Record{Server: registry.Incarnation{ID: far}.Hash(), WorkMillis: 1000})
 		}
-		b.Heard(share.Send{Server: registry.Incarnation{ID: "near-2"}.Hash(), Work: 1000, Prompt: task("x").Prompt.Shared()})
+		b.Heard(share.Record{Server: registry.Incarnation{ID: "near-2"}.Hash(), WorkMillis: 1000, Prompt: task("x").Prompt.Shared()})
 		first := choose(t, b, task("a"))
 		must.Eq(t, "near-1", first.Server().ID)
 		must.Between(t, time.Second, first.Waits(), 1100*time.Millisecond)
@@ -153,15 +153,15 @@
 // TestBalancerAnnounces: every prompt that is sent is told to the others, and
 // only what they could share of it.
 func TestBalancerAnnounces(t *testing.T) {
-	var told []share.Send
-	b := route.NewBalancer("near", func(string) {}, route.WithAnnouncer(func(s share.Send, _ float64) { told = append(told, s) }))
+	var told []share.Record
+	b := route.NewBalancer("near", func(string) {}, route.WithAnnouncer(func(s share.Record, _ float64) { told = append(told, s) }))
 	prompt := prefix.NewChain("m", []prefix.Part{{ID: "shared", Tokens: 500}, {ID: "own", Tokens: 100}})
 	choose(t, b, route.Task{Servers: halls[:1], Tokens: 600, Prompt: prompt, Assumed: route.Assumption{Rate: 0.1}})
 	choose(t, b, route.Task{Servers: halls[:1]})
 	must.Len(t, 1, told)
 	must.Eq(t, registry.Incarnation{ID: "near-1"}.Hash(), told[0].Server)
 	must.Eq(t, prompt.Shared(), told[0].Prompt)
-	must.Eq(t, 60, told[0].Work)
+	must.Eq(t, 60, told[0].WorkMillis)
 }
 
 // TestBalancerLostAnswer: a request whose answer is lost holds up nobody once the
--- a/route/herd_test.go
+++ b/route/herd_test.go
@@ -97,14 +97,14 @@
 		h.engines[s.ID] = &prompts{}
 	}
 	for i := range herdNodes {
-		tell := func(s share.Send, _ float64) { h.tell(i, s) }
+		tell := func(s share.Record, _ float64) { h.tell(i, s) }
 		h.nodes = append(h.nodes, route.NewBalancer(fmt.Sprint("hall-", i%herdHalls), func(string) {}, route.WithAnnouncer(tell)))
 	}
 	return h
 }
 
 // tell lets the other nodes hear of a send.
-func (h *herd) tell(from int, s share.Send) {
+func (h *herd) tell(from int, s share.Record) {
 	if rand.Float64() > heardShare {
 		return
 	}
--- a/route/restart_test.go
+++ b/route/restart_test.go
@@ -45,7 +45,7 @@
 			use.End(route.OutcomeNeutral)
 		},
 		"what another node has sent": func(_ *testing.T, b *route.Balancer) {
-			b.Heard(share.Send{Server: first.Incarnation().Hash(), Work: 5000, Prompt: task(first).Prompt.Shared()})
+			b.Heard(share.Record{Server: first.Incarnation().Hash(), WorkMillis: 5000, Prompt: task(first).Prompt.Shared()})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/share/run.go
+++ b/share/run.go
@@ -37,7 +37,7 @@
 }
 
 // Run exchanges with other nodes until the context ends.
-func (b *Board) Run(ctx context.Context) {
+func (b *Exchange) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		halls := b.halls()
 		ticks := b.timers.Subscribe(interval)
@@ -54,7 +54,7 @@
 
 // halls returns all nodes that are not passed over, this one included, by data
 // hall and in order.
-func (b *Board) halls() map[string][]view.Member {
+func (b *Exchange) halls() map[string][]view.Member {
 	members := append(b.nodes.Others(), b.self)
 	now := b.timers.Now()
 	halls := make(map[string][]view.Member)
@@ -73,7 +73,7 @@
 
 // targets returns whom this node calls: the one above it in the tree of its data
 // hall, or, if it is the top, that of each data hall which comes after its own.
-func (b *Board) targets(halls map[string][]view.Member) []string {
+func (b *Exchange) targets(halls map[string][]view.Member) []string {
 	own := halls[b.self.DataHall]
 	at := slices.IndexFunc(own, func(m view.Member) bool { return m.VM == b.self.VM })
 	if at > 0 {
@@ -90,7 +90,7 @@
 }
 
 // exchange makes one call.
-func (b *Board) exchange(ctx context.Context, address string) {
+func (b *Exchange) exchange(ctx context.Context, address string) {
 	message, upTo := b.message(address)
 	ctx, cancel := context.WithTimeout(ctx, callTime)
 	defer cancel()
@@ -103,15 +103,15 @@
 		return
 	}
 	from, _ := b.peerAt(address)
-	b.take(reply.News, from)
+	b.take(reply.Batches, from)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.peers[address]
-	p.board, p.after, p.told = reply.Board, reply.UpTo, upTo
+	p.board, p.after, p.told = reply.LogID, reply.UpTo, upTo
 }
 
 // message returns what a peer is to be told, and up to which entry that is all.
-func (b *Board) message(address string) (m Message, upTo uint64) {
+func (b *Exchange) message(address string) (m Message, upTo uint64) {
 	node, hall := b.peerAt(address)
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -126,11 +126,11 @@
 		}
 		return e.hall == b.hall
 	})
-	return Message{Node: b.node, Hall: b.hall, Board: p.board, After: p.after, News: news}, b.count
+	return Message{Node: b.node, Hall: b.hall, LogID: p.board, After: p.after, Batches: news}, b.count
 }
 
 // peerAt returns the hashes of a peer's ID and of its data hall.
-func (b *Board) peerAt(address string) (node, hall uint64) {
+func (b *Exchange) peerAt(address string) (node, hall uint64) {
 	for _, m := range b.nodes.Others() {
 		if m.Peer == address {
 			return rendezvous.Hash(m.ID), rendezvous.Hash(m.DataHall)
--- a/share/share.go
+++ b/share/share.go
@@ -2,7 +2,7 @@
 // the backend servers, so that each knows what all of them have made wait there
 // and what the engines' caches hold.
 //
-// Each node writes down on a [Board] those of its own sends that are worth
+// Each node writes down on a [Exchange] those of its own sends that are worth
 // telling: work that is over before others hear of it is not, and the more
 // there are to tell, the larger a send's work must be. The nodes of a data hall
 // form a tree by their names. At every interval a node calls the one above it,
@@ -17,9 +17,9 @@
 //
 // # Usage
 //
-//	board := share.NewBoard(self, nodes, client, timers, balancer.Heard)
+//	board := share.NewExchange(self, nodes, client, timers, balancer.Heard)
 //	go board.Run(ctx)
-//	board.Tell(share.Send{Server: server.Incarnation().Hash(), Prompt: shared, Work: 130}, 105)
+//	board.Tell(share.Record{Server: server.Incarnation().Hash(), Prompt: shared, Work: 130}, 105)
 //
 //	reply := board.Answer(message) // where a peer calls
 package share
@@ -51,39 +51,39 @@
 	lossesAtOnce = 20
 )
 
-// Send is one request that was sent to a backend server. The fields are
+// Record is one request that was sent to a backend server. The fields are
 // exported for the codecs.
-type Send struct {
+type Record struct {
 	_ struct{} `cbor:",toarray"`
-	// Number counts the sends of one node.
-	Number uint64
+	// Sequence counts the sends of one node.
+	Sequence uint64
 	// Server is the hash of the server's incarnation: what is sent to one says nothing
 	// of the next.
 	Server uint64
 	// Prompt is the part of the prompt that other requests share.
 	Prompt prefix.Chain
-	// Work is for how long it keeps the server busy, in milliseconds.
-	Work float32
+	// WorkMillis is for how long it keeps the server busy, in milliseconds.
+	WorkMillis float32
 	// AgeMillis is how long ago it was sent.
 	AgeMillis uint32
-	// Lost is the digest of a request that the server left without an answer; the
+	// LostDigest is the digest of a request that the server left without an answer; the
 	// entry then tells of that and not of a send. Zero for a send.
-	Lost uint64
-	// Answered is the digest of a request that was answered after it had been lost; the
+	LostDigest uint64
+	// AnsweredDigest is the digest of a request that was answered after it had been lost; the
 	// entry then tells of that alone. Zero for any other.
-	Answered uint64
+	AnsweredDigest uint64
 }
 
 // Age is how long ago it was sent.
-func (s Send) Age() time.Duration { return time.Duration(s.AgeMillis) * time.Millisecond }
+func (s Record) Age() time.Duration { return time.Duration(s.AgeMillis) * time.Millisecond }
 
-// Group is what one node has sent.
-type Group struct {
+// Batch is what one node has sent.
+type Batch struct {
 	_ struct{} `cbor:",toarray"`
 	// Node and Hall are hashes of the node's ID and of its data hall.
-	Node  uint64
-	Hall  uint64
-	Sends []Send
+	Node    uint64
+	Hall    uint64
+	Records []Record
 }
 
 // Message is what a node tells another.
@@ -92,19 +92,19 @@
 	// Node and Hall are hashes of the caller's ID and of its data hall.
 	Node uint64
 	Hall uint64
-	// Board and After say up to which entry of which board of the callee the
+	// LogID and After say up to which entry of which board of the callee the
 	// caller knows everything.
-	Board uint64
-	After uint64
-	News  []Group
+	LogID   uint64
+	After   uint64
+	Batches []Batch
 }
 
 // Reply is what it gets in return.
 type Reply struct {
-	_     struct{} `cbor:",toarray"`
-	Board uint64
-	UpTo  uint64
-	News  []Group
+	_       struct{} `cbor:",toarray"`
+	LogID   uint64
+	UpTo    uint64
+	Batches []Batch
 }
 
 // entry is one send on the board.
@@ -113,17 +113,17 @@
 	// from is the node that told it.
 	from uint64
 	sent time.Time
-	send Send
+	send Record
 }
 
-// Board is one node's part of the exchange. It is safe for concurrent use.
-type Board struct {
+// Exchange is one node's part of the exchange. It is safe for concurrent use.
+type Exchange struct {
 	self       view.Member
 	node, hall uint64
 	nodes      Nodes
 	caller     Caller
 	timers     *timer.Service
-	heard      func(Send)
+	heard      func(Record)
 
 	mu sync.Mutex
 	// id tells this board from those of earlier and later processes.
@@ -150,10 +150,10 @@
 	down time.Time
 }
 
-// NewBoard returns the board of a node. Heard is called for each send of
+// NewExchange returns the board of a node. Heard is called for each send of
 // another node.
-func NewBoard(self view.Member, nodes Nodes, caller Caller, timers *timer.Service, heard func(Send)) *Board {
-	return &Board{
+func NewExchange(self view.Member, nodes Nodes, caller Caller, timers *timer.Service, heard func(Record)) *Exchange {
+	return &Exchange{
 		self:    self,
 		node:    rendezvous.Hash(self.ID),
 		hall:    rendezvous.Hash(self.DataHall),
@@ -171,37 +171,37 @@
 	}
 }
 
-// Tell writes down a send of this node, if it is worth telling. Its number and
+// Publish writes down a send of this node, if it is worth telling. Its number and
 // age are set here. News says for how long the server reads what it did not have
 // of the shared prompt, in milliseconds.
-func (b *Board) Tell(s Send, news float64) {
+func (b *Exchange) Publish(s Record, news float64) {
 	nodes := len(b.nodes.Others()) + 1
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.budget.allows(max(float64(s.Work), newsWeight*news), nodes, b.timers.Now()) {
+	if !b.budget.allows(max(float64(s.WorkMillis), newsWeight*news), nodes, b.timers.Now()) {
 		return
 	}
 	b.latest[b.node]++
-	s.Number = b.latest[b.node]
+	s.Sequence = b.latest[b.node]
 	b.write(entry{node: b.node, hall: b.hall, from: b.node, sent: b.timers.Now(), send: s})
 }
 
-// TellLost writes down that a server left a request without an answer. Losses do
+// PublishLoss writes down that a server left a request without an answer. Losses do
 // not draw on what sends may take, and have a bound of their own: a server that ends
 // leaves many. Those of requests that were lost again have one beside it, since they
 // are what tells. It reports whether the others are told.
-func (b *Board) TellLost(server, digest uint64, again bool) bool {
-	return b.tellOf(Send{Server: server, Lost: digest}, again)
+func (b *Exchange) PublishLoss(server, digest uint64, again bool) bool {
+	return b.tellOf(Record{Server: server, LostDigest: digest}, again)
 }
 
-// TellAnswered writes down that a request was answered after it had been lost, more
+// PublishAnswer writes down that a request was answered after it had been lost, more
 // than once or not. It has the bounds of TellLost.
-func (b *Board) TellAnswered(digest uint64, again bool) bool {
-	return b.tellOf(Send{Answered: digest}, again)
+func (b *Exchange) PublishAnswer(digest uint64, again bool) bool {
+	return b.tellOf(Record{AnsweredDigest: digest}, again)
 }
 
 // tellOf writes down an entry that is no send, within the bound of its kind.
-func (b *Board) tellOf(s Send, again bool) bool {
+func (b *Exchange) tellOf(s Record, again bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	bound := b.losses
@@ -212,18 +212,18 @@
 		return false
 	}
 	b.latest[b.node]++
-	s.Number = b.latest[b.node]
+	s.Sequence = b.latest[b.node]
 	b.write(entry{node: b.node, hall: b.hall, from: b.node, sent: b.timers.Now(), send: s})
 	return true
 }
 
-// Answer takes what a peer tells, and returns what it does not know.
-func (b *Board) Answer(m Message) Reply {
-	b.take(m.News, m.Node)
+// Handle takes what a peer tells, and returns what it does not know.
+func (b *Exchange) Handle(m Message) Reply {
+	b.take(m.Batches, m.Node)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	after := m.After
-	if m.Board != b.id {
+	if m.LogID != b.id {
 		after = 0
 	}
 	news := b.since(after, func(e entry) bool {
@@ -232,14 +232,14 @@
 		}
 		return e.from != m.Node
 	})
-	return Reply{Board: b.id, UpTo: b.count, News: news}
+	return Reply{LogID: b.id, UpTo: b.count, Batches: news}
 }
 
 // take writes down what others have sent, each send once.
-func (b *Board) take(news []Group, from uint64) {
+func (b *Exchange) take(news []Batch, from uint64) {
 	now := b.timers.Now()
 	for _, g := range news {
-		for _, s := range g.Sends {
+		for _, s := range g.Records {
 			if b.takeOne(g, s, from, now) {
 				b.heard(s)
 			}
@@ -247,19 +247,19 @@
 	}
 }
 
-func (b *Board) takeOne(g Group, s Send, from uint64, now time.Time) (isNew bool) {
+func (b *Exchange) takeOne(g Batch, s Record, from uint64, now time.Time) (isNew bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if g.Node == b.node || s.Number <= b.latest[g.Node] {
+	if g.Node == b.node || s.Sequence <= b.latest[g.Node] {
 		return false
 	}
-	b.latest[g.Node] = s.Number
+	b.latest[g.Node] = s.Sequence
 	b.write(entry{node: g.Node, hall: g.Hall, from: from, sent: now.Add(-s.Age()), send: s})
 	return true
 }
 
 // write puts an entry on the board. The caller holds mu.
-func (b *Board) write(e entry) {
+func (b *Exchange) write(e entry) {
 	if len(b.entries) < boardSize {
 		b.entries = append(b.entries, e)
 	} else {
@@ -270,12 +270,12 @@
 
 // since returns the wanted entries after the given one, as far as they are
 // kept, by the node that sent them. The caller holds mu.
-func (b *Board) since(after uint64, wanted func(entry) bool) []Group {
+func (b *Exchange) since(after uint64, wanted func(entry) bool) []Batch {
 	if b.count > boardSize {
 		after = max(after, b.count-boardSize)
 	}
 	now := b.timers.Now()
-	var groups []Group
+	var groups []Batch
 	at := make(map[uint64]int)
 	for i := after; i < b.count; i++ {
 		e := b.entries[i%boardSize]
@@ -286,10 +286,10 @@
 		if !known {
 			index = len(groups)
 			at[e.node] = index
-			groups = append(groups, Group{Node: e.node, Hall: e.hall})
+			groups = append(groups, Batch{Node: e.node, Hall: e.hall})
 		}
 		e.send.AgeMillis = uint32(max(0, now.Sub(e.sent).Milliseconds()))
-		groups[index].Sends = append(groups[index].Sends, e.send)
+		groups[index].Records = append(groups[index].Records, e.send)
 	}
 	return groups
 }
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -22,7 +22,7 @@
 type deployment struct {
 	mu      sync.Mutex
 	members []view.Member
-	boards  map[string]*share.Board
+	boards  map[string]*share.Exchange
 	// cut are addresses that answer nobody.
 	cut map[string]bool
 	// heard are by node the servers' hashes that it heard of, in order.
@@ -54,21 +54,21 @@
 	if cut || board == nil {
 		return share.Reply{}, errors.New("no answer")
 	}
-	reply := board.Answer(m)
+	reply := board.Handle(m)
 	n.d.mu.Lock()
 	defer n.d.mu.Unlock()
-	for _, g := range append(slices.Clone(m.News), reply.News...) {
-		n.d.sent[callee.DataHall != n.self.DataHall] += len(g.Sends)
+	for _, g := range append(slices.Clone(m.Batches), reply.Batches...) {
+		n.d.sent[callee.DataHall != n.self.DataHall] += len(g.Records)
 	}
 	return reply, nil
 }
 
 // start starts a node in a data hall.
-func (d *deployment) start(ctx context.Context, hall string, i int) *share.Board {
+func (d *deployment) start(ctx context.Context, hall string, i int) *share.Exchange {
 	name := fmt.Sprintf("%s-%d", hall, i)
 	self := view.Member{ID: name + "#1", VM: name, DataHall: hall, Peer: name}
 	n := node{d, self}
-	board := share.NewBoard(self, n, n, timer.New(), func(s share.Send) {
+	board := share.NewExchange(self, n, n, timer.New(), func(s share.Record) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		d.heard[name] = append(d.heard[name], s.Server)
@@ -81,7 +81,7 @@
 }
 
 func newDeployment() *deployment {
-	return &deployment{boards: make(map[string]*share.Board), cut: make(map[string]bool), heard: make(map[string][]uint64), sent: make(map[bool]int)}
+	return &deployment{boards: make(map[string]*share.Exchange), cut: make(map[string]bool), heard: make(map[string][]uint64), sent: make(map[bool]int)}
 }
 
 // TestLossesAreTold: a request that a server left without an answer is known at
@@ -98,10 +98,10 @@
 		}
 		time.Sleep(time.Second)
 		for i := range uint64(500) {
-			d.boards["a-7"].Tell(share.Send{Server: 1_000 + i, Work: 500}, 0)
+			d.boards["a-7"].Publish(share.Record{Server: 1_000 + i, WorkMillis: 500}, 0)
 		}
 		for digest := range uint64(1_000) {
-			d.boards["b-19"].TellLost(7, digest+1, false)
+			d.boards["b-19"].PublishLoss(7, digest+1, false)
 		}
 		time.Sleep(300 * time.Millisecond)
 		cancel()
@@ -134,9 +134,9 @@
 		time.Sleep(time.Second)
 		const running = 128
 		for digest := range uint64(running) {
-			d.boards["a-2"].TellLost(7, digest+1, false)
+			d.boards["a-2"].PublishLoss(7, digest+1, false)
 		}
-		must.True(t, d.boards["a-2"].TellLost(8, running+1, true))
+		must.True(t, d.boards["a-2"].PublishLoss(8, running+1, true))
 		time.Sleep(300 * time.Millisecond)
 		cancel()
 		synctest.Wait()
@@ -157,7 +157,7 @@
 		}
 		time.Sleep(time.Second)
 		for i, name := range []string{"a-3", "b-0", "c-1"} {
-			d.boards[name].Tell(share.Send{Server: uint64(i), Work: 500}, 0)
+			d.boards[name].Publish(share.Record{Server: uint64(i), WorkMillis: 500}, 0)
 		}
 		time.Sleep(time.Second)
 		cancel()
@@ -189,7 +189,7 @@
 		d.cut["b-0"] = true
 		d.mu.Unlock()
 		for i := range 30 {
-			d.boards["a-2"].Tell(share.Send{Server: uint64(i), Work: 500}, 0)
+			d.boards["a-2"].Publish(share.Record{Server: uint64(i), WorkMillis: 500}, 0)
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(3 * time.Second)
@@ -209,7 +209,7 @@
 		d := newDeployment()
 		first := d.start(ctx, "a", 0)
 		for i := range 10000 {
-			first.Tell(share.Send{Server: uint64(i), Prompt: prefix.Chain{{Hash: uint64(i), Tokens: 1}}, Work: 1e4}, 0)
+			first.Publish(share.Record{Server: uint64(i), Prompt: prefix.Chain{{Hash: uint64(i), Tokens: 1}}, WorkMillis: 1e4}, 0)
 			time.Sleep(5 * time.Millisecond)
 		}
 		d.start(ctx, "a", 1)
@@ -227,11 +227,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		board := newDeployment().start(ctx, "a", 0)
-		board.Tell(share.Send{Server: 1, Work: 500}, 0)
+		board.Publish(share.Record{Server: 1, WorkMillis: 500}, 0)
 		time.Sleep(150 * time.Millisecond)
-		reply := board.Answer(share.Message{Hall: 1})
-		must.Len(t, 1, reply.News)
-		must.Eq(t, 150, reply.News[0].Sends[0].AgeMillis)
+		reply := board.Handle(share.Message{Hall: 1})
+		must.Len(t, 1, reply.Batches)
+		must.Eq(t, 150, reply.Batches[0].Records[0].AgeMillis)
 		cancel()
 		synctest.Wait()
 	})
@@ -249,14 +249,14 @@
 		}
 		board := d.boards["a-0"]
 		told := func() (n int) {
-			for _, g := range board.Answer(share.Message{Hall: 1}).News {
-				n += len(g.Sends)
+			for _, g := range board.Handle(share.Message{Hall: 1}).Batches {
+				n += len(g.Records)
 			}
 			return n
 		}
-		board.Tell(share.Send{Work: 10}, 0)
+		board.Publish(share.Record{WorkMillis: 10}, 0)
 		must.Eq(t, 0, told())
-		board.Tell(share.Send{Work: 10}, 30)
+		board.Publish(share.Record{WorkMillis: 10}, 30)
 		must.Eq(t, 1, told())
 		large := 0
 		for i := range 3000 {
@@ -264,12 +264,12 @@
 			if i%30 == 0 {
 				work = 2000
 			}
-			board.Tell(share.Send{Work: work}, 0)
+			board.Publish(share.Record{WorkMillis: work}, 0)
 			time.Sleep(10 * time.Millisecond)
 		}
-		for _, g := range board.Answer(share.Message{Hall: 1}).News {
-			for _, s := range g.Sends {
-				if s.Work == 2000 {
+		for _, g := range board.Handle(share.Message{Hall: 1}).Batches {
+			for _, s := range g.Records {
+				if s.WorkMillis == 2000 {
 					large++
 				}
 			}
--- a/suspect/event.go
+++ b/suspect/event.go
@@ -9,11 +9,11 @@
 const (
 	// EventLost is a request that a server left without an answer at this node.
 	EventLost Event = iota
-	// EventUntold is one of these that was not told to other nodes, since there were
+	// EventNotPublished is one of these that was not told to other nodes, since there were
 	// too many of them.
-	EventUntold
-	// EventHeard is a loss that another node has told of.
-	EventHeard
+	EventNotPublished
+	// EventReceived is a loss that another node has told of.
+	EventReceived
 	// EventVerdict is a request that is refused from now on, EventWithdrawn one that is
 	// so no more.
 	EventVerdict
--- a/suspect/keeper.go
+++ b/suspect/keeper.go
@@ -16,9 +16,9 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// Prefix starts the keys of the requests on which the store holds a verdict; the name
+// KeyPrefix starts the keys of the requests on which the store holds a verdict; the name
 // of the request follows.
-const Prefix = "suspects/"
+const KeyPrefix = "suspects/"
 
 const (
 	// entriesMax bounds the entries in the store, whatever clients send: further
@@ -41,8 +41,8 @@
 	testTime = 300 * time.Millisecond
 )
 
-// Name is how log lines, decisions and the store name a request.
-func Name(digest uint64) string { return fmt.Sprintf("%016x", digest) }
+// FormatDigest is how log lines, decisions and the store name a request.
+func FormatDigest(digest uint64) string { return fmt.Sprintf("%016x", digest) }
 
 // entry is what the store holds of a verdict. Its fields are exported for the codec.
 type entry struct {
@@ -62,19 +62,19 @@
 	KeepAlive(ctx context.Context, lease int64) (alive bool, err error)
 }
 
-// Copy is a node's copy of what the store holds.
-type Copy interface {
+// Mirror is a node's copy of what the store holds.
+type Mirror interface {
 	Get(key string) (mirror.Item, bool)
 }
 
-// Keeper keeps in the store which requests are refused, since a verdict has to outlast
+// Syncer keeps in the store which requests are refused, since a verdict has to outlast
 // the processes: otherwise each loss of them all costs three servers more. An entry is
 // written once, by the node that has seen the last of the losses, or by another one if
 // that node doesn't; it goes with a lease. It is safe for concurrent use.
-type Keeper struct {
-	list   *List
+type Syncer struct {
+	list   *Detector
 	store  Store
-	copy   Copy
+	copy   Mirror
 	nodes  func() int
 	timers *timer.Service
 
@@ -85,17 +85,17 @@
 	due map[uint64]time.Time
 }
 
-// NewKeeper returns what keeps a list's verdicts in a store. Nodes tells how many nodes
+// NewSyncer returns what keeps a list's verdicts in a store. Nodes tells how many nodes
 // do so.
-func NewKeeper(list *List, store Store, copy Copy, nodes func() int, timers *timer.Service) *Keeper {
-	return &Keeper{
+func NewSyncer(list *Detector, store Store, copy Mirror, nodes func() int, timers *timer.Service) *Syncer {
+	return &Syncer{
 		list: list, store: store, copy: copy, nodes: nodes, timers: timers,
 		stored: make(map[uint64]bool), due: make(map[uint64]time.Time),
 	}
 }
 
 // Run tells the store of verdicts until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Syncer) Run(ctx context.Context) {
 	k.timers.Every(ctx, writeInterval, func() {
 		for _, digest := range k.takeDue() {
 			err := k.write(ctx, digest)
@@ -103,27 +103,27 @@
 			case errors.Is(err, errOvertaken):
 				k.writeIn(digest, waitOthers)
 			case err != nil:
-				slog.Debug("verdict on a request not stored", "content", Name(digest), "error", err)
-				k.Changed(digest, false)
+				slog.Debug("verdict on a request not stored", "content", FormatDigest(digest), "error", err)
+				k.ScheduleWrite(digest, false)
 			}
 		}
 	})
 }
 
-// Take follows an entry in the store.
-func (k *Keeper) Take(c mirror.Change) {
-	name := strings.TrimPrefix(c.Key, Prefix)
+// Apply follows an entry in the store.
+func (k *Syncer) Apply(c mirror.Change) {
+	name := strings.TrimPrefix(c.Key, KeyPrefix)
 	digest, err := strconv.ParseUint(name, 16, 64)
-	if err != nil || name != Name(digest) {
+	if err != nil || name != FormatDigest(digest) {
 		slog.Error("key names no request", "key", c.Key, "error", err)
 		return
 	}
 	if c.Deleted {
 		k.note(digest, false)
-		if k.list.Expired(digest) {
-			k.Changed(digest, false)
+		if k.list.ApplyExpired(digest) {
+			k.ScheduleWrite(digest, false)
 		}
-		slog.Info("verdict on a request has lapsed", "content", Name(digest), "revision", c.Revision)
+		slog.Info("verdict on a request has lapsed", "content", FormatDigest(digest), "revision", c.Revision)
 		return
 	}
 	k.note(digest, true)
@@ -133,11 +133,11 @@
 		return
 	}
 	if e.Refused {
-		k.list.Stored(digest, e.Tests)
+		k.list.ApplyStored(digest, e.Tests)
 	} else {
-		k.list.Pardoned(digest)
+		k.list.ApplyWithdrawn(digest)
 	}
-	slog.Info("verdict on a request", "content", Name(digest), "refused", e.Refused, "tests", e.Tests, "revision", c.Revision)
+	slog.Info("verdict on a request", "content", FormatDigest(digest), "refused", e.Refused, "tests", e.Tests, "revision", c.Revision)
 }
 
 func decodeEntry(item mirror.Item) (e entry, err error) {
@@ -146,7 +146,7 @@
 }
 
 // note notes whether the store holds an entry.
-func (k *Keeper) note(digest uint64, stored bool) {
+func (k *Syncer) note(digest uint64, stored bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if stored {
@@ -156,9 +156,9 @@
 	}
 }
 
-// Changed takes the news that a verdict was reached or withdrawn here, so that the store
+// ScheduleWrite takes the news that a verdict was reached or withdrawn here, so that the store
 // is to be told. Own says that this node has seen the cause and not only heard of it.
-func (k *Keeper) Changed(digest uint64, own bool) {
+func (k *Syncer) ScheduleWrite(digest uint64, own bool) {
 	if own {
 		k.writeIn(digest, waitOwn)
 		return
@@ -167,14 +167,14 @@
 }
 
 // writeIn lets an entry be written in a while.
-func (k *Keeper) writeIn(digest uint64, wait time.Duration) {
+func (k *Syncer) writeIn(digest uint64, wait time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.due[digest] = k.timers.Steady().Add(wait)
 }
 
 // takeDue returns the requests whose time has come.
-func (k *Keeper) takeDue() []uint64 {
+func (k *Syncer) takeDue() []uint64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var digests []uint64
@@ -188,8 +188,8 @@
 }
 
 // write writes what this node holds of a request, unless the store tells the same.
-func (k *Keeper) write(ctx context.Context, digest uint64) error {
-	item, found := k.copy.Get(Prefix + Name(digest))
+func (k *Syncer) write(ctx context.Context, digest uint64) error {
+	item, found := k.copy.Get(KeyPrefix + FormatDigest(digest))
 	known, _ := decodeEntry(item) // what can't be read is written anew
 	refused := k.list.Refuses(digest)
 	if known.Refused == refused || !found && k.full() {
@@ -198,7 +198,7 @@
 	lease := item.Lease
 	if !found {
 		var err error
-		if lease, err = k.store.Grant(ctx, Memory); err != nil {
+		if lease, err = k.store.Grant(ctx, Retention); err != nil {
 			return err
 		}
 	}
@@ -213,31 +213,31 @@
 var errOvertaken = errors.New("the entry has changed meanwhile")
 
 // full reports whether the store holds as many entries as it may.
-func (k *Keeper) full() bool {
+func (k *Syncer) full() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.stored) >= entriesMax
 }
 
 // swap writes an entry if it still has the expected revision.
-func (k *Keeper) swap(ctx context.Context, digest uint64, e entry, expected, lease int64) (bool, error) {
+func (k *Syncer) swap(ctx context.Context, digest uint64, e entry, expected, lease int64) (bool, error) {
 	value, err := json.Marshal(e)
 	if err != nil {
 		return false, err
 	}
-	_, ok, err := k.store.SwapLeased(ctx, Prefix+Name(digest), value, expected, lease)
+	_, ok, err := k.store.SwapLeased(ctx, KeyPrefix+FormatDigest(digest), value, expected, lease)
 	return ok, err
 }
 
-// Test reports whether this node is to send a refused request once more, now. One node
+// Probe reports whether this node is to send a refused request once more, now. One node
 // of all is, once its time has come: the one whose call to the store tells the others.
 // The entry lives on from then.
-func (k *Keeper) Test(ctx context.Context, digest uint64) bool {
-	item, found := k.copy.Get(Prefix + Name(digest))
+func (k *Syncer) Probe(ctx context.Context, digest uint64) bool {
+	item, found := k.copy.Get(KeyPrefix + FormatDigest(digest))
 	if !found {
 		return false
 	}
-	tests, due := k.list.Due(digest)
+	tests, due := k.list.ProbeDue(digest)
 	known, err := decodeEntry(item)
 	if !due || err != nil || known.Tests != tests-1 {
 		return false
@@ -247,13 +247,13 @@
 	if won, err := k.swap(call, digest, entry{Refused: true, Tests: tests}, item.Revision, item.Lease); err != nil || !won {
 		return false
 	}
-	k.list.Stored(digest, tests)
+	k.list.ApplyStored(digest, tests)
 	go k.renew(context.WithoutCancel(ctx), item.Lease)
 	return true
 }
 
 // renew lets the entries of a lease live on.
-func (k *Keeper) renew(ctx context.Context, lease int64) {
+func (k *Syncer) renew(ctx context.Context, lease int64) {
 	if _, err := k.store.KeepAlive(ctx, lease); err != nil {
 		slog.Debug("verdict on a request not renewed", "error", err)
 	}
--- a/suspect/keeper_test.go
+++ b/suspect/keeper_test.go
@@ -32,8 +32,8 @@
 
 // node is one node.
 type node struct {
-	*suspect.List
-	*suspect.Keeper
+	*suspect.Detector
+	*suspect.Syncer
 	s    *fakeStore
 	stop context.CancelFunc
 
@@ -57,7 +57,7 @@
 		n.known[item.Key] = item
 	}
 	n.mu.Unlock()
-	n.Take(mirror.Change{Item: item})
+	n.Apply(mirror.Change{Item: item})
 }
 
 func newFakeStore() *fakeStore {
@@ -68,8 +68,8 @@
 func (s *fakeStore) start(ctx context.Context) *node {
 	ctx, stop := context.WithCancel(ctx)
 	timers := timer.New()
-	n := &node{List: suspect.New(timers), s: s, stop: stop, known: make(map[string]mirror.Item)}
-	n.Keeper = suspect.NewKeeper(n.List, s, n, s.size, timers)
+	n := &node{Detector: suspect.New(timers), s: s, stop: stop, known: make(map[string]mirror.Item)}
+	n.Syncer = suspect.NewSyncer(n.Detector, s, n, s.size, timers)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nodes = append(s.nodes, n)
@@ -140,8 +140,8 @@
 func (s *fakeStore) KeepAlive(_ context.Context, lease int64) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapses[lease] = time.Now().Add(suspect.Memory)
-	time.AfterFunc(suspect.Memory, func() { s.lapse(lease) })
+	s.lapses[lease] = time.Now().Add(suspect.Retention)
+	time.AfterFunc(suspect.Retention, func() { s.lapse(lease) })
 	return true, nil
 }
 
@@ -174,8 +174,8 @@
 		server, nodes := uint64(s.revision), s.nodes
 		s.mu.Unlock()
 		for _, n := range nodes {
-			if finding, _ := n.Lost(digest, server, 0); finding == suspect.FindingVerdict {
-				n.Changed(digest, n == seen)
+			if finding, _ := n.RecordLoss(digest, server, 0); finding == suspect.FindingVerdict {
+				n.ScheduleWrite(digest, n == seen)
 			}
 		}
 		time.Sleep(time.Second)
@@ -283,9 +283,9 @@
 		next := s.start(ctx)
 		time.Sleep(5 * time.Second)
 		must.True(t, next.Refuses(1))
-		withdrawn := s.nodes[0].Runs(1, 0, time.Hour)
+		withdrawn := s.nodes[0].ServerResponded(1, 0, time.Hour)
 		must.Eq(t, []uint64{1}, withdrawn)
-		s.nodes[0].Changed(1, true)
+		s.nodes[0].ScheduleWrite(1, true)
 		time.Sleep(5 * time.Second)
 		for i, n := range s.nodes {
 			must.False(t, n.Refuses(1), must.Sprint(i))
@@ -298,13 +298,13 @@
 	withNodes(t, 1, func(_ context.Context, s *fakeStore) {
 		n := s.nodes[0]
 		for _, key := range []string{"", "x", "00000000000000001", "-1", "1/2"} {
-			n.take(mirror.Item{Key: suspect.Prefix + key, Value: []byte(`{"refused":true}`)})
+			n.take(mirror.Item{Key: suspect.KeyPrefix + key, Value: []byte(`{"refused":true}`)})
 		}
 		for _, value := range []string{"", "[]", "1", `{"refused":1}`, `{"refused":true,"tests":"x"}`} {
-			n.take(mirror.Item{Key: suspect.Prefix + suspect.Name(1), Value: []byte(value)})
+			n.take(mirror.Item{Key: suspect.KeyPrefix + suspect.FormatDigest(1), Value: []byte(value)})
 		}
 		must.False(t, n.Refuses(1))
-		n.take(mirror.Item{Key: suspect.Prefix + suspect.Name(1), Value: []byte(`{"refused":true,"more":1}`)})
+		n.take(mirror.Item{Key: suspect.KeyPrefix + suspect.FormatDigest(1), Value: []byte(`{"refused":true,"more":1}`)})
 		must.True(t, n.Refuses(1))
 	})
 }
@@ -317,10 +317,10 @@
 		time.Sleep(2 * time.Minute)
 		tests := 0
 		for i, n := range s.nodes {
-			if n.Test(ctx, 1) {
+			if n.Probe(ctx, 1) {
 				tests++
-				must.Eq(t, suspect.ClearedVerdict, n.Answered(1), must.Sprint(i))
-				n.Changed(1, true)
+				must.Eq(t, suspect.ClearedVerdict, n.RecordAnswer(1), must.Sprint(i))
+				n.ScheduleWrite(1, true)
 			}
 		}
 		must.Eq(t, 1, tests)
@@ -341,9 +341,9 @@
 		for second := range 3600 {
 			time.Sleep(time.Second)
 			n := s.nodes[second%len(s.nodes)]
-			if n.Test(ctx, 1) {
+			if n.Probe(ctx, 1) {
 				ends = append(ends, time.Since(begun).Round(time.Minute))
-				n.Lost(1, uint64(1_000_000+second), 0)
+				n.RecordLoss(1, uint64(1_000_000+second), 0)
 			}
 			must.True(t, n.Refuses(1), must.Sprint(second))
 			if second%300 == 0 {
--- a/suspect/left.go
+++ b/suspect/left.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Left notes that this node has given up an attempt with a request at a server, which
+// RecordAbandoned notes that this node has given up an attempt with a request at a server, which
 // may run it on. It reports whether the server is known to have ended just now, so that
 // the request counts as lost there.
-func (l *List) Left(digest, server uint64) bool {
+func (l *Detector) RecordAbandoned(digest, server uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.timers.Steady()
@@ -23,9 +23,9 @@
 	return false
 }
 
-// LeftBehind returns, once, the requests that this node had given up at a server just
+// TakeAbandoned returns, once, the requests that this node had given up at a server just
 // before it ended, that long ago: they count as lost there as well.
-func (l *List) LeftBehind(server uint64, ago time.Duration) []uint64 {
+func (l *Detector) TakeAbandoned(server uint64, ago time.Duration) []uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	end := l.timers.Steady().Add(-ago)
--- a/suspect/suspect.go
+++ b/suspect/suspect.go
@@ -55,9 +55,9 @@
 	endsToRefuse = 3
 	// endsIfAnswered is the same for a request that servers have answered.
 	endsIfAnswered = 4
-	// OneMoment is the time within which servers end together. What one cause ends
+	// IncidentWindow is the time within which servers end together. What one cause ends
 	// is seen within some milliseconds, and told with the error of one network way.
-	OneMoment = 50 * time.Millisecond
+	IncidentWindow = 50 * time.Millisecond
 	// doubtTime is how long a server counts as ended on the word of a lost answer.
 	// The entries of servers that end are gone, or told anew, after 2.5 to 3.5 s;
 	// with 3 s a request that had ended three servers was sent again then.
@@ -73,10 +73,10 @@
 	leftTime = 200 * time.Millisecond
 	// maxLeft bounds the attempts that are remembered for it.
 	maxLeft = 512
-	// Memory is how long a loss is remembered, and a verdict that is not put to the
+	// Retention is how long a loss is remembered, and a verdict that is not put to the
 	// test. Software that is mended reaches the servers by a roll-out, which takes
 	// about as long.
-	Memory = 10 * time.Minute
+	Retention = 10 * time.Minute
 	// maxLosses bounds what is remembered, some 200 kB, whatever clients send.
 	// The oldest loss gives way.
 	maxLosses = 4096
@@ -115,8 +115,8 @@
 	FindingVerdict
 )
 
-// List is what one node knows of such requests. It is safe for concurrent use.
-type List struct {
+// Detector is what one node knows of such requests. It is safe for concurrent use.
+type Detector struct {
 	timers *timer.Service
 
 	mu sync.Mutex
@@ -133,22 +133,22 @@
 }
 
 // New returns an empty list.
-func New(timers *timer.Service) *List {
-	return &List{timers: timers, answered: newAnswers(), verdicts: make(map[uint64]*verdict), pardoned: make(map[uint64]time.Time)}
+func New(timers *timer.Service) *Detector {
+	return &Detector{timers: timers, answered: newAnswers(), verdicts: make(map[uint64]*verdict), pardoned: make(map[uint64]time.Time)}
 }
 
 // Empty reports whether nothing is known against any request, so that digests need not
 // be made.
-func (l *List) Empty() bool {
+func (l *Detector) Empty() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.losses) == 0 && len(l.verdicts) == 0
 }
 
-// Lost notes that a server left a request without an answer, that long ago. It also
+// RecordLoss notes that a server left a request without an answer, that long ago. It also
 // returns the requests that are refused no more, since this one was there each time and
 // at more servers.
-func (l *List) Lost(digest, server uint64, ago time.Duration) (Finding, []uint64) {
+func (l *Detector) RecordLoss(digest, server uint64, ago time.Duration) (Finding, []uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var beside []uint64
@@ -171,7 +171,7 @@
 }
 
 // judge says what a new loss of a request leads to. The caller holds mu.
-func (l *List) judge(digest uint64) Finding {
+func (l *Detector) judge(digest uint64) Finding {
 	if !l.enough(digest) {
 		return FindingNew
 	}
@@ -188,7 +188,7 @@
 }
 
 // Ends returns at how many servers the request was lost that are not known to go on.
-func (l *List) Ends(digest uint64) int {
+func (l *Detector) Ends(digest uint64) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	count := 0
@@ -213,8 +213,8 @@
 	ClearedVerdict
 )
 
-// Answered clears a request: a server has answered it.
-func (l *List) Answered(digest uint64) Clearance {
+// RecordAnswer clears a request: a server has answered it.
+func (l *Detector) RecordAnswer(digest uint64) Clearance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.answered.add(digest, l.timers.Steady())
@@ -222,7 +222,7 @@
 }
 
 // clear forgets what is known against a request. The caller holds mu.
-func (l *List) clear(digest uint64) Clearance {
+func (l *Detector) clear(digest uint64) Clearance {
 	lost := l.forget(func(known loss) bool { return known.digest == digest })
 	switch {
 	case l.verdicts[digest] != nil:
@@ -234,12 +234,12 @@
 	return ClearedNothing
 }
 
-// Runs takes the word that something came from a server just now, of an answer to what
+// ServerResponded takes the word that something came from a server just now, of an answer to what
 // was sent to it that long ago on a connection that was opened that long ago. A loss
 // before that had not ended the server: one that starts in its place, under its address
 // and perhaps its ID, is not back so soon and has other connections. It returns the
 // requests that are refused no more for that.
-func (l *List) Runs(server uint64, sentAgo, openedAgo time.Duration) []uint64 {
+func (l *Detector) ServerResponded(server uint64, sentAgo, openedAgo time.Duration) []uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.timers.Steady()
@@ -254,9 +254,9 @@
 	}))
 }
 
-// Stale tells that the news of the servers' entries is old: those of servers that have
+// MarkRegistryStale tells that the news of the servers' entries is old: those of servers that have
 // ended may stand for a while after it is fresh again.
-func (l *List) Stale() {
+func (l *Detector) MarkRegistryStale() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.stale = l.timers.Steady()
@@ -265,7 +265,7 @@
 // Review forgets what was lost at servers that go on, and what is old. Running
 // are the incarnations that are known to run. It returns the requests that are refused
 // no more since their servers go on.
-func (l *List) Review(running map[uint64]bool) []uint64 {
+func (l *Detector) Review(running map[uint64]bool) []uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.forgetOld()
@@ -281,17 +281,17 @@
 }
 
 // forgetOld forgets losses and pardons that are too old. The caller holds mu.
-func (l *List) forgetOld() {
+func (l *Detector) forgetOld() {
 	now := l.timers.Steady()
 	maps.DeleteFunc(l.pardoned, func(_ uint64, at time.Time) bool { return now.Sub(at) >= pardonTime })
-	for _, digest := range l.forget(func(known loss) bool { return now.Sub(known.at) >= Memory }) {
+	for _, digest := range l.forget(func(known loss) bool { return now.Sub(known.at) >= Retention }) {
 		l.lapse(digest)
 	}
 }
 
 // withdraw ends the verdicts on those of the requests for which this node had evidence
 // and has not enough any more, and returns these. The caller holds mu.
-func (l *List) withdraw(digests []uint64) []uint64 {
+func (l *Detector) withdraw(digests []uint64) []uint64 {
 	var withdrawn []uint64
 	for _, digest := range digests {
 		if v := l.verdicts[digest]; v != nil && !v.proved.IsZero() && !l.enough(digest) {
@@ -304,7 +304,7 @@
 
 // lapse notes that a loss of a request is too old to be remembered: a verdict that is
 // not stored ends with its evidence. The caller holds mu.
-func (l *List) lapse(digest uint64) {
+func (l *Detector) lapse(digest uint64) {
 	v := l.verdicts[digest]
 	if v == nil || v.proved.IsZero() || l.enough(digest) {
 		return
@@ -317,9 +317,9 @@
 
 // enough reports whether the evidence against a request is enough for a verdict. The
 // caller holds mu.
-func (l *List) enough(digest uint64) bool {
+func (l *Detector) enough(digest uint64) bool {
 	needed := endsToRefuse
-	if l.answered.since(digest, l.timers.Steady().Add(-Memory)) {
+	if l.answered.since(digest, l.timers.Steady().Add(-Retention)) {
 		needed = endsIfAnswered
 	}
 	return l.moments(digest) >= needed
@@ -327,7 +327,7 @@
 
 // moments counts those at which servers ended under a request and under none that
 // more of them ended under. The caller holds mu.
-func (l *List) moments(digest uint64) int {
+func (l *Detector) moments(digest uint64) int {
 	lost := make(map[uint64]time.Time)
 	for _, known := range l.losses {
 		if known.digest == digest {
@@ -345,7 +345,7 @@
 	}
 	count, begun := 0, time.Time{}
 	for _, at := range slices.SortedFunc(maps.Values(lost), time.Time.Compare) {
-		if count == 0 || at.Sub(begun) > OneMoment {
+		if count == 0 || at.Sub(begun) > IncidentWindow {
 			count, begun = count+1, at
 		}
 	}
@@ -355,7 +355,7 @@
 // ends counts the servers that ended under a request, and under each that was lost at
 // one of these. What ends under others once the request is refused tells nothing of it,
 // since it could not be there. The caller holds mu.
-func (l *List) ends(digest uint64, servers map[uint64]time.Time) map[uint64]int {
+func (l *Detector) ends(digest uint64, servers map[uint64]time.Time) map[uint64]int {
 	proved := l.timers.Steady()
 	if v := l.verdicts[digest]; v != nil && !v.proved.IsZero() {
 		proved = v.proved
@@ -377,7 +377,7 @@
 // forget forgets the losses that are not wanted any more and returns of which requests
 // they were. A new list is made only if there are some, since it is asked for with each
 // answer. The caller holds mu.
-func (l *List) forget(unwanted func(loss) bool) []uint64 {
+func (l *Detector) forget(unwanted func(loss) bool) []uint64 {
 	if !slices.ContainsFunc(l.losses, unwanted) {
 		return nil
 	}
--- a/suspect/suspect_enumer.go
+++ b/suspect/suspect_enumer.go
@@ -25,26 +25,26 @@
 func _EventNoOp() {
 	var x [1]struct{}
 	_ = x[EventLost-(0)]
-	_ = x[EventUntold-(1)]
-	_ = x[EventHeard-(2)]
+	_ = x[EventNotPublished-(1)]
+	_ = x[EventReceived-(2)]
 	_ = x[EventVerdict-(3)]
 	_ = x[EventWithdrawn-(4)]
 }
 
-var _EventValues = []Event{EventLost, EventUntold, EventHeard, EventVerdict, EventWithdrawn}
+var _EventValues = []Event{EventLost, EventNotPublished, EventReceived, EventVerdict, EventWithdrawn}
 
 var _EventNameToValueMap = map[string]Event{
 	_EventName[0:4]:   EventLost,
-	_EventName[4:10]:  EventUntold,
-	_EventName[10:15]: EventHeard,
+	_EventName[4:10]:  EventNotPublished,
+	_EventName[10:15]: EventReceived,
 	_EventName[15:22]: EventVerdict,
 	_EventName[22:31]: EventWithdrawn,
 }
 
 var _EventLowerNameToValueMap = map[string]Event{
 	_EventLowerName[0:4]:   EventLost,
-	_EventLowerName[4:10]:  EventUntold,
-	_EventLowerName[10:15]: EventHeard,
+	_EventLowerName[4:10]:  EventNotPublished,
+	_EventLowerName[10:15]: EventReceived,
 	_EventLowerName[15:22]: EventVerdict,
 	_EventLowerName[22:31]: EventWithdrawn,
 }
--- a/suspect/suspect_test.go
+++ b/suspect/suspect_test.go
@@ -55,10 +55,10 @@
 				l := suspect.New(timers)
 				for _, e := range tt.events {
 					if e.server == 0 {
-						l.Answered(e.digest)
+						l.RecordAnswer(e.digest)
 					} else {
 						time.Sleep(time.Second)
-						l.Lost(e.digest, e.server, 0)
+						l.RecordLoss(e.digest, e.server, 0)
 					}
 				}
 				running := make(map[uint64]bool)
@@ -85,7 +85,7 @@
 			must.False(t, l.Refuses(1), must.Sprintf("after %d moments", moment))
 			for range 4 {
 				server++
-				l.Lost(1, server, 0)
+				l.RecordLoss(1, server, 0)
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(time.Second)
@@ -101,11 +101,11 @@
 		timers := timer.New()
 		defer timers.Close()
 		l := suspect.New(timers)
-		l.Answered(1)
+		l.RecordAnswer(1)
 		for server := range uint64(4) {
 			must.False(t, l.Refuses(1), must.Sprintf("%d servers ended", server))
 			time.Sleep(time.Second)
-			l.Lost(1, server, 0)
+			l.RecordLoss(1, server, 0)
 		}
 		must.True(t, l.Refuses(1), must.Sprint("servers end under it now"))
 	})
@@ -120,13 +120,13 @@
 		l := suspect.New(timers)
 		const step = 100 * time.Millisecond
 		for server := range uint64(3) {
-			l.Lost(1, server, 0)
+			l.RecordLoss(1, server, 0)
 			time.Sleep(step)
 		}
 		must.True(t, l.Refuses(1))
-		l.Lost(2, 9, 5*step)
+		l.RecordLoss(2, 9, 5*step)
 		for server := range uint64(3) {
-			_, withdrawn := l.Lost(2, server, time.Duration(3-server)*step)
+			_, withdrawn := l.RecordLoss(2, server, time.Duration(3-server)*step)
 			must.Eq(t, server == 2, len(withdrawn) == 1, must.Sprint(server))
 		}
 		must.False(t, l.Refuses(1))
@@ -156,11 +156,11 @@
 				defer timers.Close()
 				l := suspect.New(timers)
 				counts := false
-				leave := func() { counts = l.Left(1, 10) }
+				leave := func() { counts = l.RecordAbandoned(1, 10) }
 				end := func() {
-					l.Lost(2, 10, 0)
-					counts = len(l.LeftBehind(10, 0)) == 1
-					must.SliceEmpty(t, l.LeftBehind(11, 0))
+					l.RecordLoss(2, 10, 0)
+					counts = len(l.TakeAbandoned(10, 0)) == 1
+					must.SliceEmpty(t, l.TakeAbandoned(11, 0))
 				}
 				first, next := leave, end
 				if tt.lost < tt.left {
@@ -171,7 +171,7 @@
 				next()
 				must.Eq(t, tt.want, counts)
 				time.Sleep(10 * time.Second)
-				must.SliceEmpty(t, l.LeftBehind(10, 0))
+				must.SliceEmpty(t, l.TakeAbandoned(10, 0))
 			})
 		})
 	}
@@ -185,7 +185,7 @@
 		defer timers.Close()
 		l := suspect.New(timers)
 		for server := range uint64(3) {
-			l.Lost(1, server, 0)
+			l.RecordLoss(1, server, 0)
 			time.Sleep(time.Second)
 		}
 		l.Review(nil)
@@ -204,12 +204,12 @@
 		l := suspect.New(timers)
 		running := make(map[uint64]bool)
 		for server := range uint64(3) {
-			l.Lost(1, server, 0)
+			l.RecordLoss(1, server, 0)
 			running[server] = true
 			time.Sleep(time.Second)
 		}
 		time.Sleep(time.Minute)
-		l.Stale()
+		l.MarkRegistryStale()
 		time.Sleep(time.Second)
 		must.SliceEmpty(t, l.Review(running))
 		must.True(t, l.Refuses(1))
@@ -241,10 +241,10 @@
 				l := suspect.New(timers)
 				for server := range uint64(3) {
 					time.Sleep(time.Second)
-					l.Lost(1, server, 0)
+					l.RecordLoss(1, server, 0)
 				}
 				time.Sleep(3 * time.Second)
-				must.Eq(t, tt.goesOn, len(l.Runs(2, tt.sent, tt.opened)) == 1)
+				must.Eq(t, tt.goesOn, len(l.ServerResponded(2, tt.sent, tt.opened)) == 1)
 				must.Eq(t, !tt.goesOn, l.Refuses(1))
 			})
 		})
@@ -261,7 +261,7 @@
 		const requests = 6_000 // 18,000 losses
 		for digest := range uint64(requests) {
 			for server := range uint64(3) {
-				l.Lost(digest+1, 3*digest+server, 0)
+				l.RecordLoss(digest+1, 3*digest+server, 0)
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
@@ -301,16 +301,16 @@
 				crashed := server
 				for range running {
 					digest++
-					l.Lost(digest, crashed, 2*again)
+					l.RecordLoss(digest, crashed, 2*again)
 					for try := range 2 {
 						// A server ends within the second of a request with the
 						// chance that it is the next one.
 						if random.IntN(servers*pause) >= rack {
-							l.Answered(digest)
+							l.RecordAnswer(digest)
 							break
 						}
 						server++
-						l.Lost(digest, server, again-time.Duration(try)*again)
+						l.RecordLoss(digest, server, again-time.Duration(try)*again)
 					}
 					if l.Refuses(digest) {
 						refused++
@@ -348,7 +348,7 @@
 		b.Run(map[bool]string{true: "nothing known", false: "ten servers ended"}[losses == 0], func(b *testing.B) {
 			l := suspect.New(timers)
 			for digest := range losses {
-				l.Lost(digest+1, digest/100, 0)
+				l.RecordLoss(digest+1, digest/100, 0)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
--- a/suspect/verdict.go
+++ b/suspect/verdict.go
@@ -35,16 +35,16 @@
 }
 
 // Refuses reports whether a request is to be sent to no server any more.
-func (l *List) Refuses(digest uint64) bool {
+func (l *Detector) Refuses(digest uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.verdicts[digest] != nil
 }
 
-// Due reports whether it is time to put a verdict to the test: to send the request
+// ProbeDue reports whether it is time to put a verdict to the test: to send the request
 // once more. It does so to one caller, and not again before the next pause is over;
 // tests is what to store, before the request is sent, as the number of tests.
-func (l *List) Due(digest uint64) (tests int, due bool) {
+func (l *Detector) ProbeDue(digest uint64) (tests int, due bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	v := l.verdicts[digest]
@@ -56,15 +56,15 @@
 }
 
 // pardon ends a verdict. The caller holds mu.
-func (l *List) pardon(digest uint64) {
+func (l *Detector) pardon(digest uint64) {
 	delete(l.verdicts, digest)
 	l.pardoned[digest] = l.timers.Steady()
 }
 
-// Stored takes the word of the store, or of whoever has just written there, that a
+// ApplyStored takes the word of the store, or of whoever has just written there, that a
 // request is refused and was tested that often since. Just after a pardon here that is
 // old news, or soon will be.
-func (l *List) Stored(digest uint64, tests int) {
+func (l *Detector) ApplyStored(digest uint64, tests int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	v := l.verdicts[digest]
@@ -81,18 +81,18 @@
 	}
 }
 
-// Pardoned takes the word of the store that a request has been answered since, or
+// ApplyWithdrawn takes the word of the store that a request has been answered since, or
 // that its servers go on. It reports whether the request was refused here.
-func (l *List) Pardoned(digest uint64) bool {
+func (l *Detector) ApplyWithdrawn(digest uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.clear(digest) == ClearedVerdict
 }
 
-// Expired takes the news that the store tells no more of a verdict. One that this node
+// ApplyExpired takes the news that the store tells no more of a verdict. One that this node
 // has evidence for stays, as long as that is remembered: verdicts lapse early while the
 // store is away. It reports whether it stays.
-func (l *List) Expired(digest uint64) bool {
+func (l *Detector) ApplyExpired(digest uint64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.forgetOld()
