--- a/suspect/answers.go
+++ b/suspect/answers.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// maxAnswers bounds what is remembered of answered requests, some 200 kB. The oldest
-// gives way.
+// maxAnswers bounds the answered requests that are kept to some 200 kB. The oldest one is
+// dropped first.
 const maxAnswers = 4096
 
-// answers are the requests that were answered last.
-type answers struct {
-	at map[uint64]time.Time
-	// ring holds the digests in the order in which they came; next is where the next
-	// one goes.
-	ring []uint64
-	next int
+// answerLog holds the requests that were answered last.
+type answerLog struct {
+	answeredAt map[uint64]time.Time
+	// ring holds the digests in the order of their first answers; oldest is the index that
+	// is overwritten next.
+	ring   []uint64
+	oldest int
 }
 
-func newAnswers() *answers {
-	return &answers{at: make(map[uint64]time.Time, maxAnswers), ring: make([]uint64, maxAnswers)}
+func newAnswerLog() *answerLog {
+	return &answerLog{answeredAt: make(map[uint64]time.Time, maxAnswers), ring: make([]uint64, maxAnswers)}
 }
 
-// add notes an answer.
-func (a *answers) add(digest uint64, at time.Time) {
-	if _, known := a.at[digest]; !known {
-		delete(a.at, a.ring[a.next])
-		a.ring[a.next] = digest
-		a.next = (a.next + 1) % len(a.ring)
+// add records an answer.
+func (a *answerLog) add(digest uint64, at time.Time) {
+	if _, known := a.answeredAt[digest]; !known {
+		delete(a.answeredAt, a.ring[a.oldest])
+		a.ring[a.oldest] = digest
+		a.oldest = (a.oldest + 1) % len(a.ring)
 	}
-	a.at[digest] = at
+	a.answeredAt[digest] = at
 }
 
-// since reports whether the request was answered after a time.
-func (a *answers) since(digest uint64, earliest time.Time) bool {
-	return a.at[digest].After(earliest)
+// answeredSince reports whether the request was answered after the given time.
+func (a *answerLog) answeredSince(digest uint64, earliest time.Time) bool {
+	return a.answeredAt[digest].After(earliest)
 }
--- a/suspect/event.go
+++ b/suspect/event.go
@@ -1,21 +1,21 @@
 package suspect
 
-//go:generate go tool enumer -type=Event,Finding,Clearance -trimprefix=Event,Finding,Cleared -transform=snake -output=suspect_enumer.go
+//go:generate go tool enumer -type=Event,Finding,Clearance -trimprefix=Event,Finding,Cleared -linecomment -transform=snake -output=suspect_enumer.go
 
-// Event is what happened to the evidence against requests. Each is counted.
+// Event is a change of the evidence against requests or of a verdict. Each is counted in
+// the metrics by its written value.
 type Event int
 
-// The events.
 const (
-	// EventLost is a request that a server left without an answer at this node.
+	// EventLost: a server left a request of this node without a response.
 	EventLost Event = iota
-	// EventNotPublished is one of these that was not told to other nodes, since there were
-	// too many of them.
-	EventNotPublished
-	// EventReceived is a loss that another node has told of.
-	EventReceived
-	// EventVerdict is a request that is refused from now on, EventWithdrawn one that is
-	// so no more.
+	// EventNotPublished: such a loss was not published to other nodes, because of the
+	// rate limit.
+	EventNotPublished // untold
+	// EventReceived: another node published a loss.
+	EventReceived // heard
+	// EventVerdict: a request is refused from now on; EventWithdrawn: a request is no
+	// longer refused.
 	EventVerdict
 	EventWithdrawn
 )
--- a/suspect/main_test.go
+++ b/suspect/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain keeps log lines out of the tests' output.
+// TestMain discards log lines.
 func TestMain(m *testing.M) {
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	os.Exit(m.Run())
--- a/suspect/suspect.go
+++ b/suspect/suspect.go
@@ -1,41 +1,43 @@
-// Package suspect finds the requests under which backend servers end. A server
-// that ends takes all that it runs with it, and whoever lost an answer sends the
-// request again: one request that crashes its server takes down one server after
-// another, each time with the work of others beside it.
+// Package suspect detects requests that crash backend servers, so that they can be
+// refused. A server that crashes drops all requests that it runs, and each client that
+// gets no response retries: one request that crashes its server takes down one server
+// after another, and each time fails the other requests there.
 //
-// The evidence is which requests were lost at which incarnation of a server,
-// gathered from all nodes. Many are lost with each server that ends, and what
-// tells the cause from the rest is that it was there each time: a loss counts
-// against a request only if no other one that was lost at the same server has
-// been lost at more of them. Servers that end at one moment, a rack's or a data
-// hall's, are one piece of evidence, however many of them had the request. A server
-// that goes on has not ended, so what was lost there, to a reset connection, counts
-// for nothing: it shows by answering what is sent to it later, or by its entry. An
-// answer to the request clears, and one that came before makes it need more.
+// The evidence consists of losses: requests that a server left without a response,
+// recorded by request and by incarnation of the server, and collected from all nodes.
+// Each crash loses many requests. The cause is the one that was present at every crash,
+// so a loss counts against a request only if no other request that was lost at the same
+// server was lost at more servers. Servers that crash within [IncidentWindow], such as
+// those of a rack or of a data hall, count as one incident, however many of them ran the
+// request. A server that still runs has not crashed, so losses there, for example by a
+// reset connection, are dropped: it is known to run when it responds to a request that
+// was sent later, or when its entry stays in the store. A response to the request clears
+// it, and a request that got a response before needs more evidence.
 //
-// With enough evidence there is a verdict: the request is refused. A verdict is
-// known to all nodes, outlasts their processes (whoever uses this package stores
-// it), and is put to the test again after a while, since it may be wrong, or the
-// servers' software mended.
+// With enough evidence there is a verdict: the request is refused. All nodes learn of a
+// verdict, and it outlasts their processes, since the caller stores it (see [Syncer]).
+// From time to time a probe sends the request once more, since the verdict may be wrong or
+// the servers' software may have been fixed.
 //
-// A request is known by a digest of what servers are given, since a client that
-// tries again does so under another ID, and two clients may send the same. The
-// digest tells nothing of the text.
+// A request is identified by a digest of what servers receive, since a client retries
+// under a new request ID, and two clients may send the same request. The digest reveals
+// nothing of the text.
 //
 // # Usage
 //
-//	list := suspect.New(timers)
+//	detector := suspect.New(timers)
 //	digest := suspect.Digest(path, body, length)
-//	if list.Refuses(digest) {
-//		return … // it ran, and is not sent again
+//	if detector.Refuses(digest) {
+//		return … // it has run, and is not sent again
 //	}
-//	switch list.Lost(digest, server.Incarnation().Hash(), 0) { // here, or heard of a peer
-//	case suspect.FindingVerdict:
-//		… // tell the store
+//	finding, withdrawn := detector.RecordLoss(digest, server.Incarnation().Hash(), 0) // here, or received from a peer
+//	if finding == suspect.FindingVerdict {
+//		… // write the verdict to the store
 //	}
-//	list.Answered(digest)
-//	list.Runs(server.Incarnation().Hash(), sentAgo, openedAgo) // it answers what was sent then
-//	list.Review(running) // now and then, with the servers that run
+//	… // withdrawn are no longer refused
+//	detector.RecordAnswer(digest)
+//	detector.ServerResponded(server.Incarnation().Hash(), sentAgo, openedAgo)
+//	detector.Review(running) // periodically, with the servers that run
 package suspect
 
 import (
@@ -50,41 +52,43 @@
 )
 
 const (
-	// endsToRefuse is how many moments at which servers end under a request lead to
-	// its verdict. One server ends for any reason; two may end one after the other.
-	endsToRefuse = 3
-	// endsIfAnswered is the same for a request that servers have answered.
-	endsIfAnswered = 4
-	// IncidentWindow is the time within which servers end together. What one cause ends
-	// is seen within some milliseconds, and told with the error of one network way.
+	// incidentsToRefuse is the number of incidents that lead to a verdict. One server
+	// may crash for any reason, and two may do so one after the other.
+	incidentsToRefuse = 3
+	// incidentsIfAnswered is the same for a request that servers have answered.
+	incidentsIfAnswered = 4
+	// IncidentWindow is the time within which crashes count as one incident. Crashes
+	// with a common cause are detected within a few milliseconds, and their reported
+	// times are off by the network delay between two nodes.
 	IncidentWindow = 50 * time.Millisecond
-	// doubtTime is how long a server counts as ended on the word of a lost answer.
-	// The entries of servers that end are gone, or told anew, after 2.5 to 3.5 s;
-	// with 3 s a request that had ended three servers was sent again then.
-	doubtTime = 6 * time.Second
-	// backTime is how soon after its end a server is back at the earliest: it loads its
-	// models first.
-	backTime = 2 * time.Second
-	// wayTime is how long what a server had sent before its end may be on its way.
-	wayTime = 200 * time.Millisecond
-	// leftTime is how long before a server's end an attempt may have been given up there
-	// for its request to count as lost: an engine that ends under a request does so soon
-	// after the answer has begun, which may be what it was given up for.
-	leftTime = 200 * time.Millisecond
-	// maxLeft bounds the attempts that are remembered for it.
-	maxLeft = 512
-	// Retention is how long a loss is remembered, and a verdict that is not put to the
-	// test. Software that is mended reaches the servers by a roll-out, which takes
-	// about as long.
+	// confirmTimeout is how long a server counts as crashed because of a lost response
+	// alone. The entry of a crashed server is removed, or registered anew, after 2.5 to
+	// 3.5 s; with 3 s, a request that had crashed three servers was sent again.
+	confirmTimeout = 6 * time.Second
+	// minRestartTime is the shortest time from a crash until the server is back: it
+	// loads its models first.
+	minRestartTime = 2 * time.Second
+	// maxTransitTime is how long data that a server sent before its crash may be in
+	// transit.
+	maxTransitTime = 200 * time.Millisecond
+	// abandonWindow is how long before a server's crash an attempt may have been
+	// abandoned there and still count as a loss: an engine that crashes under a request
+	// does so soon after its response has begun, and that beginning may be the reason
+	// why the attempt was abandoned.
+	abandonWindow = 200 * time.Millisecond
+	// maxAbandoned bounds the number of abandoned attempts that are kept for this.
+	maxAbandoned = 512
+	// Retention is how long losses, and verdicts that are not probed, are kept. A fix
+	// of the servers' software is deployed by a rollout, which takes about as long.
 	Retention = 10 * time.Minute
-	// maxLosses bounds what is remembered, some 200 kB, whatever clients send.
-	// The oldest loss gives way.
+	// maxLosses bounds the losses that are kept to some 200 kB, whatever clients send.
+	// The oldest one is dropped first.
 	maxLosses = 4096
 )
 
-// Digest names a request by what servers are given of it: its path, and the
-// beginning and the length of its body. Two that are told apart by what follows
-// a long beginning alone count as one.
+// Digest identifies a request by what servers receive of it: its path, and the beginning
+// and the length of its body. Two requests of one length that differ only after a long
+// beginning count as one.
 func Digest(path string, body []byte, length int64) uint64 {
 	hash := sha256.New()
 	hash.Write([]byte(path))
@@ -98,135 +102,135 @@
 type loss struct {
 	digest, server uint64
 	at             time.Time
-	// ended says that the server is known to have ended since.
-	ended bool
+	// crashed is set once the server was seen to be gone after the loss.
+	crashed bool
 }
 
-// Finding is what a loss leads to.
+// Finding is the result of recording a loss.
 type Finding int
 
-// The findings.
 const (
-	// FindingKnown: the loss was known.
+	// FindingKnown: the loss was recorded already.
 	FindingKnown Finding = iota
-	// FindingNew: it was not, and leads to nothing yet.
+	// FindingNew: the loss is new and leads to no new verdict.
 	FindingNew
-	// FindingVerdict: from now on the request is refused.
+	// FindingVerdict: the request is refused from now on.
 	FindingVerdict
 )
 
-// Detector is what one node knows of such requests. It is safe for concurrent use.
+// Detector holds what one node knows of losses and verdicts. It is safe for concurrent
+// use.
 type Detector struct {
 	timers *timer.Service
 
 	mu sync.Mutex
-	// losses are in the order in which they were heard of.
+	// losses are in the order in which they were recorded.
 	losses []loss
-	// left are the latest attempts that were given up, in the order in which they were.
-	left     []loss
-	answered *answers
-	verdicts map[uint64]*verdict
-	// stale is when the news of the servers' entries was last too old to go by.
-	stale time.Time
-	// pardoned holds when verdicts were last withdrawn here.
-	pardoned map[uint64]time.Time
+	// abandoned are the latest abandoned attempts, in order.
+	abandoned []loss
+	answered  *answerLog
+	verdicts  map[uint64]*verdict
+	// staleAt is when the copy of the servers' entries was last too old to rely on.
+	staleAt time.Time
+	// withdrawnAt holds, by digest, when a verdict was last withdrawn here.
+	withdrawnAt map[uint64]time.Time
 }
 
-// New returns an empty list.
+// New returns a detector without evidence.
 func New(timers *timer.Service) *Detector {
-	return &Detector{timers: timers, answered: newAnswers(), verdicts: make(map[uint64]*verdict), pardoned: make(map[uint64]time.Time)}
+	return &Detector{timers: timers, answered: newAnswerLog(), verdicts: make(map[uint64]*verdict), withdrawnAt: make(map[uint64]time.Time)}
 }
 
-// Empty reports whether nothing is known against any request, so that digests need not
-// be made.
-func (l *Detector) Empty() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return len(l.losses) == 0 && len(l.verdicts) == 0
+// Empty reports whether there is no evidence and no verdict against any request, so that
+// the caller can skip computing digests.
+func (d *Detector) Empty() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return len(d.losses) == 0 && len(d.verdicts) == 0
 }
 
-// RecordLoss notes that a server left a request without an answer, that long ago. It also
-// returns the requests that are refused no more, since this one was there each time and
-// at more servers.
-func (l *Detector) RecordLoss(digest, server uint64, ago time.Duration) (Finding, []uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	var beside []uint64
-	for _, known := range l.losses {
+// RecordLoss records that a server left a request without a response, the given time ago.
+// It also returns the requests that are no longer refused because this one was lost at
+// the same servers and at further ones.
+func (d *Detector) RecordLoss(digest, server uint64, ago time.Duration) (Finding, []uint64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	var others []uint64
+	for _, l := range d.losses {
 		switch {
-		case known.server != server:
-		case known.digest == digest:
+		case l.server != server:
+		case l.digest == digest:
 			return FindingKnown, nil
 		default:
-			beside = append(beside, known.digest)
+			others = append(others, l.digest)
 		}
 	}
-	if len(l.losses) >= maxLosses {
-		oldest := l.losses[0].digest
-		l.losses = l.losses[1:]
-		l.lapse(oldest)
+	if len(d.losses) >= maxLosses {
+		oldest := d.losses[0].digest
+		d.losses = d.losses[1:]
+		d.expireLoss(oldest)
 	}
-	l.losses = append(l.losses, loss{digest: digest, server: server, at: l.timers.Steady().Add(-ago)})
-	return l.judge(digest), l.withdraw(beside)
+	d.losses = append(d.losses, loss{digest: digest, server: server, at: d.timers.Steady().Add(-ago)})
+	return d.evaluate(digest), d.withdraw(others)
 }
 
-// judge says what a new loss of a request leads to. The caller holds mu.
-func (l *Detector) judge(digest uint64) Finding {
-	if !l.enough(digest) {
+// evaluate returns what a new loss of a request leads to. The caller holds mu.
+func (d *Detector) evaluate(digest uint64) Finding {
+	if !d.enoughEvidence(digest) {
 		return FindingNew
 	}
-	now := l.timers.Steady()
-	v := l.verdicts[digest]
+	now := d.timers.Steady()
+	v := d.verdicts[digest]
 	if v == nil {
-		l.verdicts[digest] = &verdict{since: now, proved: now}
+		d.verdicts[digest] = &verdict{lastProbe: now, provenAt: now}
 		return FindingVerdict
 	}
-	if v.proved.IsZero() {
-		v.proved = now
+	if v.provenAt.IsZero() {
+		v.provenAt = now
 	}
 	return FindingNew
 }
 
-// Ends returns at how many servers the request was lost that are not known to go on.
-func (l *Detector) Ends(digest uint64) int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// Ends returns the number of servers at which the request was lost and that are not known
+// to have kept running.
+func (d *Detector) Ends(digest uint64) int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	count := 0
-	for _, known := range l.losses {
-		if known.digest == digest {
+	for _, l := range d.losses {
+		if l.digest == digest {
 			count++
 		}
 	}
 	return count
 }
 
-// Clearance is what an answer does away with.
+// Clearance is what a response to a request cleared.
 type Clearance int
 
-// The clearances.
 const (
-	// ClearedNothing: nothing was known against the request.
+	// ClearedNothing: there was no evidence against the request.
 	ClearedNothing Clearance = iota
-	// ClearedLosses: it had been lost.
+	// ClearedLosses: the request had losses but was not refused.
 	ClearedLosses
-	// ClearedVerdict: it was refused.
+	// ClearedVerdict: the request was refused.
 	ClearedVerdict
 )
 
-// RecordAnswer clears a request: a server has answered it.
-func (l *Detector) RecordAnswer(digest uint64) Clearance {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.answered.add(digest, l.timers.Steady())
-	return l.clear(digest)
+// RecordAnswer records that a server has answered a request, which clears it.
+func (d *Detector) RecordAnswer(digest uint64) Clearance {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.answered.add(digest, d.timers.Steady())
+	return d.clearRequest(digest)
 }
 
-// clear forgets what is known against a request. The caller holds mu.
-func (l *Detector) clear(digest uint64) Clearance {
-	lost := l.forget(func(known loss) bool { return known.digest == digest })
+// clearRequest drops the losses of a request and its verdict. The caller holds mu.
+func (d *Detector) clearRequest(digest uint64) Clearance {
+	lost := d.dropLosses(func(l loss) bool { return l.digest == digest })
 	switch {
-	case l.verdicts[digest] != nil:
-		l.pardon(digest)
+	case d.verdicts[digest] != nil:
+		d.endVerdict(digest)
 		return ClearedVerdict
 	case len(lost) > 0:
 		return ClearedLosses
@@ -234,160 +238,160 @@
 	return ClearedNothing
 }
 
-// ServerResponded takes the word that something came from a server just now, of an answer to what
-// was sent to it that long ago on a connection that was opened that long ago. A loss
-// before that had not ended the server: one that starts in its place, under its address
-// and perhaps its ID, is not back so soon and has other connections. It returns the
-// requests that are refused no more for that.
-func (l *Detector) ServerResponded(server uint64, sentAgo, openedAgo time.Duration) []uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.timers.Steady()
-	return l.withdraw(l.forget(func(known loss) bool {
-		if known.server != server || known.ended {
+// ServerResponded records that data has just arrived from a server, in response to a
+// request sent sentAgo ago, on a connection opened openedAgo ago. It drops the earlier
+// losses at this server that were no crash: a server that restarts under the same address,
+// and perhaps the same ID, takes a while to come back and has new connections. It returns
+// the requests that are no longer refused as a result.
+func (d *Detector) ServerResponded(server uint64, sentAgo, openedAgo time.Duration) []uint64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := d.timers.Steady()
+	return d.withdraw(d.dropLosses(func(l loss) bool {
+		if l.server != server || l.crashed {
 			return false
 		}
-		ago := now.Sub(known.at)
+		ago := now.Sub(l.at)
 		sentLater := sentAgo <= ago
-		connected := ago < openedAgo
-		return sentLater && (connected || ago < backTime) || connected && ago > wayTime
+		openedBefore := ago < openedAgo
+		return sentLater && (openedBefore || ago < minRestartTime) || openedBefore && ago > maxTransitTime
 	}))
 }
 
-// MarkRegistryStale tells that the news of the servers' entries is old: those of servers that have
-// ended may stand for a while after it is fresh again.
-func (l *Detector) MarkRegistryStale() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.stale = l.timers.Steady()
+// MarkRegistryStale records that the copy of the servers' entries is out of date: the
+// entries of servers that have crashed may remain for a while after it is current again.
+func (d *Detector) MarkRegistryStale() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.staleAt = d.timers.Steady()
 }
 
-// Review forgets what was lost at servers that go on, and what is old. Running
-// are the incarnations that are known to run. It returns the requests that are refused
-// no more since their servers go on.
-func (l *Detector) Review(running map[uint64]bool) []uint64 {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.forgetOld()
-	now := l.timers.Steady()
-	goOn := l.forget(func(known loss) bool {
-		seen := min(now.Sub(known.at), now.Sub(l.stale))
-		return !known.ended && running[known.server] && seen >= doubtTime
+// Review drops the losses at servers that kept running, and expired losses. Running holds
+// the incarnations that are known to run. It returns the requests that are no longer
+// refused because their servers kept running.
+func (d *Detector) Review(running map[uint64]bool) []uint64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.dropExpired()
+	now := d.timers.Steady()
+	survived := d.dropLosses(func(l loss) bool {
+		observed := min(now.Sub(l.at), now.Sub(d.staleAt))
+		return !l.crashed && running[l.server] && observed >= confirmTimeout
 	})
-	for i, known := range l.losses {
-		l.losses[i].ended = known.ended || !running[known.server]
+	for i, l := range d.losses {
+		d.losses[i].crashed = l.crashed || !running[l.server]
 	}
-	return l.withdraw(goOn)
+	return d.withdraw(survived)
 }
 
-// forgetOld forgets losses and pardons that are too old. The caller holds mu.
-func (l *Detector) forgetOld() {
-	now := l.timers.Steady()
-	maps.DeleteFunc(l.pardoned, func(_ uint64, at time.Time) bool { return now.Sub(at) >= pardonTime })
-	for _, digest := range l.forget(func(known loss) bool { return now.Sub(known.at) >= Retention }) {
-		l.lapse(digest)
+// dropExpired drops expired losses and records of withdrawals. The caller holds mu.
+func (d *Detector) dropExpired() {
+	now := d.timers.Steady()
+	maps.DeleteFunc(d.withdrawnAt, func(_ uint64, at time.Time) bool { return now.Sub(at) >= withdrawalDelay })
+	for _, digest := range d.dropLosses(func(l loss) bool { return now.Sub(l.at) >= Retention }) {
+		d.expireLoss(digest)
 	}
 }
 
-// withdraw ends the verdicts on those of the requests for which this node had evidence
-// and has not enough any more, and returns these. The caller holds mu.
-func (l *Detector) withdraw(digests []uint64) []uint64 {
+// withdraw ends the verdicts on those requests for which this node had enough evidence
+// and no longer has, and returns these requests. The caller holds mu.
+func (d *Detector) withdraw(digests []uint64) []uint64 {
 	var withdrawn []uint64
 	for _, digest := range digests {
-		if v := l.verdicts[digest]; v != nil && !v.proved.IsZero() && !l.enough(digest) {
-			l.pardon(digest)
+		if v := d.verdicts[digest]; v != nil && !v.provenAt.IsZero() && !d.enoughEvidence(digest) {
+			d.endVerdict(digest)
 			withdrawn = append(withdrawn, digest)
 		}
 	}
 	return withdrawn
 }
 
-// lapse notes that a loss of a request is too old to be remembered: a verdict that is
-// not stored ends with its evidence. The caller holds mu.
-func (l *Detector) lapse(digest uint64) {
-	v := l.verdicts[digest]
-	if v == nil || v.proved.IsZero() || l.enough(digest) {
+// expireLoss is called after an old loss of a request was dropped: a verdict that is not
+// in the store ends with its evidence. The caller holds mu.
+func (d *Detector) expireLoss(digest uint64) {
+	v := d.verdicts[digest]
+	if v == nil || v.provenAt.IsZero() || d.enoughEvidence(digest) {
 		return
 	}
-	v.proved = time.Time{}
+	v.provenAt = time.Time{}
 	if !v.stored {
-		delete(l.verdicts, digest)
+		delete(d.verdicts, digest)
 	}
 }
 
-// enough reports whether the evidence against a request is enough for a verdict. The
-// caller holds mu.
-func (l *Detector) enough(digest uint64) bool {
-	needed := endsToRefuse
-	if l.answered.since(digest, l.timers.Steady().Add(-Retention)) {
-		needed = endsIfAnswered
+// enoughEvidence reports whether the evidence against a request suffices for a verdict.
+// The caller holds mu.
+func (d *Detector) enoughEvidence(digest uint64) bool {
+	needed := incidentsToRefuse
+	if d.answered.answeredSince(digest, d.timers.Steady().Add(-Retention)) {
+		needed = incidentsIfAnswered
 	}
-	return l.moments(digest) >= needed
+	return d.incidents(digest) >= needed
 }
 
-// moments counts those at which servers ended under a request and under none that
-// more of them ended under. The caller holds mu.
-func (l *Detector) moments(digest uint64) int {
-	lost := make(map[uint64]time.Time)
-	for _, known := range l.losses {
-		if known.digest == digest {
-			lost[known.server] = known.at
+// incidents counts the incidents of a request: the crashes at which it was lost, but no
+// request that was lost at more servers, with those within IncidentWindow counted as
+// one. The caller holds mu.
+func (d *Detector) incidents(digest uint64) int {
+	crashes := make(map[uint64]time.Time)
+	for _, l := range d.losses {
+		if l.digest == digest {
+			crashes[l.server] = l.at
 		}
 	}
-	if len(lost) < endsToRefuse {
-		return len(lost) // no more moments than that
+	if len(crashes) < incidentsToRefuse {
+		return len(crashes) // no more incidents than crashes
 	}
-	ends := l.ends(digest, lost)
-	for _, known := range l.losses {
-		if ends[known.digest] > ends[digest] {
-			delete(lost, known.server)
+	counts := d.crashCounts(digest, crashes)
+	for _, l := range d.losses {
+		if counts[l.digest] > counts[digest] {
+			delete(crashes, l.server)
 		}
 	}
-	count, begun := 0, time.Time{}
-	for _, at := range slices.SortedFunc(maps.Values(lost), time.Time.Compare) {
-		if count == 0 || at.Sub(begun) > IncidentWindow {
-			count, begun = count+1, at
+	count, start := 0, time.Time{}
+	for _, at := range slices.SortedFunc(maps.Values(crashes), time.Time.Compare) {
+		if count == 0 || at.Sub(start) > IncidentWindow {
+			count, start = count+1, at
 		}
 	}
 	return count
 }
 
-// ends counts the servers that ended under a request, and under each that was lost at
-// one of these. What ends under others once the request is refused tells nothing of it,
-// since it could not be there. The caller holds mu.
-func (l *Detector) ends(digest uint64, servers map[uint64]time.Time) map[uint64]int {
-	proved := l.timers.Steady()
-	if v := l.verdicts[digest]; v != nil && !v.proved.IsZero() {
-		proved = v.proved
+// crashCounts returns at how many servers a request was lost, and the same for each request
+// that was lost at one of the given servers. Losses after the request was refused are left
+// out: it wasn't sent any more, so they say nothing about it. The caller holds mu.
+func (d *Detector) crashCounts(digest uint64, servers map[uint64]time.Time) map[uint64]int {
+	refusedAt := d.timers.Steady()
+	if v := d.verdicts[digest]; v != nil && !v.provenAt.IsZero() {
+		refusedAt = v.provenAt
 	}
-	ends := make(map[uint64]int)
-	for _, known := range l.losses {
-		if _, shared := servers[known.server]; shared {
-			ends[known.digest] = 0
+	counts := make(map[uint64]int)
+	for _, l := range d.losses {
+		if _, shared := servers[l.server]; shared {
+			counts[l.digest] = 0
 		}
 	}
-	for _, known := range l.losses {
-		if _, shared := ends[known.digest]; shared && !known.at.After(proved) {
-			ends[known.digest]++
+	for _, l := range d.losses {
+		if _, shared := counts[l.digest]; shared && !l.at.After(refusedAt) {
+			counts[l.digest]++
 		}
 	}
-	return ends
+	return counts
 }
 
-// forget forgets the losses that are not wanted any more and returns of which requests
-// they were. A new list is made only if there are some, since it is asked for with each
-// answer. The caller holds mu.
-func (l *Detector) forget(unwanted func(loss) bool) []uint64 {
-	if !slices.ContainsFunc(l.losses, unwanted) {
+// dropLosses drops the unwanted losses and returns their requests. It is called for each
+// response, so it copies the list only if there is something to drop. The caller holds mu.
+func (d *Detector) dropLosses(unwanted func(loss) bool) []uint64 {
+	if !slices.ContainsFunc(d.losses, unwanted) {
 		return nil
 	}
 	var digests []uint64
-	l.losses = slices.DeleteFunc(slices.Clone(l.losses), func(known loss) bool {
-		forgotten := unwanted(known)
-		if forgotten {
-			digests = append(digests, known.digest)
+	d.losses = slices.DeleteFunc(slices.Clone(d.losses), func(l loss) bool {
+		dropped := unwanted(l)
+		if dropped {
+			digests = append(digests, l.digest)
 		}
-		return forgotten
+		return dropped
 	})
 	slices.Sort(digests)
 	return slices.Compact(digests)
--- a/suspect/keeper_test.go
+++ b/suspect/syncer_test.go
@@ -16,21 +16,20 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// learnTime is how late a node hears what the store holds.
-const learnTime = time.Second
+// watchDelay is how long a change in the store takes to reach a node.
+const watchDelay = time.Second
 
-// fakeStore is a store with leases, and all nodes that follow it.
+// fakeStore is a store with leases, and holds all nodes that watch it.
 type fakeStore struct {
-	mu       sync.Mutex
-	away     bool
-	items    map[string]mirror.Item
-	lapses   map[int64]time.Time
-	revision int64
-	calls    int
-	nodes    []*node
+	mu          sync.Mutex
+	unavailable bool
+	items       map[string]mirror.Item
+	expiry      map[int64]time.Time
+	revision    int64
+	calls       int
+	nodes       []*node
 }
 
-// node is one node.
 type node struct {
 	*suspect.Detector
 	*suspect.Syncer
@@ -38,50 +37,51 @@
 	stop context.CancelFunc
 
 	mu    sync.Mutex
-	known map[string]mirror.Item
+	local map[string]mirror.Item
 }
 
 func (n *node) Get(key string) (mirror.Item, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	item, ok := n.known[key]
+	item, ok := n.local[key]
 	return item, ok
 }
 
-// take hears of a change.
-func (n *node) take(item mirror.Item) {
+// receive applies a change of the store to the node.
+func (n *node) receive(item mirror.Item) {
 	n.mu.Lock()
 	if item.Deleted {
-		delete(n.known, item.Key)
+		delete(n.local, item.Key)
 	} else {
-		n.known[item.Key] = item
+		n.local[item.Key] = item
 	}
 	n.mu.Unlock()
 	n.Apply(mirror.Change{Item: item})
 }
 
 func newFakeStore() *fakeStore {
-	return &fakeStore{items: make(map[string]mirror.Item), lapses: make(map[int64]time.Time)}
+	return &fakeStore{items: make(map[string]mirror.Item), expiry: make(map[int64]time.Time)}
 }
 
-// start starts a node, which knows at once what the store holds.
+// start starts a node that has received all entries of the store.
 func (s *fakeStore) start(ctx context.Context) *node {
 	ctx, stop := context.WithCancel(ctx)
 	timers := timer.New()
-	n := &node{Detector: suspect.New(timers), s: s, stop: stop, known: make(map[string]mirror.Item)}
-	n.Syncer = suspect.NewSyncer(n.Detector, s, n, s.size, timers)
+	n := &node{Detector: suspect.New(timers), s: s, stop: stop, local: make(map[string]mirror.Item)}
+	n.Syncer = suspect.NewSyncer(n.Detector, s, n, s.nodeCount, timers)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.nodes = append(s.nodes, n)
 	for _, item := range s.items {
-		n.take(item)
+		n.receive(item)
 	}
 	go n.Run(ctx)
 	return n
 }
 
-// tell lets all nodes hear of a change, later. The caller holds mu.
-func (s *fakeStore) tell(item mirror.Item) {
+// put writes or deletes an entry, and sends the change to all nodes after watchDelay. The
+// caller holds mu.
+func (s *fakeStore) put(item mirror.Item) {
 	s.revision++
 	item.Revision = s.revision
 	if item.Deleted {
@@ -90,35 +90,35 @@
 		s.items[item.Key] = item
 	}
 	for _, n := range s.nodes {
-		time.AfterFunc(learnTime, func() { n.take(item) })
+		time.AfterFunc(watchDelay, func() { n.receive(item) })
 	}
 }
 
-var errAway = errors.New("the store is away")
+var errUnavailable = errors.New("the store is unavailable")
 
 func (s *fakeStore) Grant(_ context.Context, ttl time.Duration) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	if s.away {
-		return 0, errAway
+	if s.unavailable {
+		return 0, errUnavailable
 	}
-	lease := int64(len(s.lapses) + 1)
-	s.lapses[lease] = time.Now().Add(ttl)
-	time.AfterFunc(ttl, func() { s.lapse(lease) })
+	lease := int64(len(s.expiry) + 1)
+	s.expiry[lease] = time.Now().Add(ttl)
+	time.AfterFunc(ttl, func() { s.expire(lease) })
 	return lease, nil
 }
 
-// lapse ends a lease whose time is over.
-func (s *fakeStore) lapse(lease int64) {
+// expire deletes the entries of a lease if it has expired.
+func (s *fakeStore) expire(lease int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if time.Now().Before(s.lapses[lease]) {
+	if time.Now().Before(s.expiry[lease]) {
 		return
 	}
 	for key, item := range s.items {
 		if item.Lease == lease {
-			s.tell(mirror.Item{Key: key, Deleted: true})
+			s.put(mirror.Item{Key: key, Deleted: true})
 		}
 	}
 }
@@ -127,123 +127,123 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls++
-	if s.away {
-		return 0, false, errAway
+	if s.unavailable {
+		return 0, false, errUnavailable
 	}
 	if s.items[key].Revision != expected {
 		return 0, false, nil
 	}
-	s.tell(mirror.Item{Key: key, Value: data, Lease: lease})
+	s.put(mirror.Item{Key: key, Value: data, Lease: lease})
 	return s.revision, true, nil
 }
 
 func (s *fakeStore) KeepAlive(_ context.Context, lease int64) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapses[lease] = time.Now().Add(suspect.Retention)
-	time.AfterFunc(suspect.Retention, func() { s.lapse(lease) })
+	s.expiry[lease] = time.Now().Add(suspect.Retention)
+	time.AfterFunc(suspect.Retention, func() { s.expire(lease) })
 	return true, nil
 }
 
-// called returns how many writing calls there were since the last time.
-func (s *fakeStore) called() int {
+// takeCalls returns the number of writing calls since it was last called.
+func (s *fakeStore) takeCalls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	defer func() { s.calls = 0 }()
 	return s.calls
 }
 
-func (s *fakeStore) size() int {
+func (s *fakeStore) nodeCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.nodes)
 }
 
-func (s *fakeStore) setAway(away bool) {
+func (s *fakeStore) setUnavailable(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unavailable = unavailable
 }
 
-// endUnder lets three servers end under a request; the losses are seen by one node
-// and heard of by the others.
-func (s *fakeStore) endUnder(digest uint64, seen *node) {
+// crashUnder lets three servers crash under a request. One node observes the losses, and
+// the others learn of them.
+func (s *fakeStore) crashUnder(digest uint64, observer *node) {
 	for range 3 {
 		s.mu.Lock()
-		s.revision++ // names the server
+		s.revision++ // a new server hash
 		server, nodes := uint64(s.revision), s.nodes
 		s.mu.Unlock()
 		for _, n := range nodes {
 			if finding, _ := n.RecordLoss(digest, server, 0); finding == suspect.FindingVerdict {
-				n.ScheduleWrite(digest, n == seen)
+				n.ScheduleWrite(digest, n == observer)
 			}
 		}
 		time.Sleep(time.Second)
 	}
 }
 
-// withNodes runs a test with a store and some nodes, in its own time.
-func withNodes(t *testing.T, nodes int, play func(ctx context.Context, s *fakeStore)) {
+// withNodes runs a test with a store and some nodes, in a time bubble of its own.
+func withNodes(t *testing.T, nodes int, run func(ctx context.Context, s *fakeStore)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
 		s := newFakeStore()
 		for range nodes {
 			s.start(ctx)
 		}
-		play(ctx, s)
+		run(ctx, s)
 		stop()
-		time.Sleep(time.Hour) // whatever was to lapse
+		time.Sleep(time.Hour) // whatever was to expire
 		synctest.Wait()
 	})
 }
 
-// TestVerdictIsWrittenOnce: of many nodes that reach a verdict one tells the store, a
-// grant and a write, and a node that starts goes by it.
+// TestVerdictIsWrittenOnce: when many nodes reach a verdict, the store gets one grant and one
+// write, and a node that starts later refuses the request.
 func TestVerdictIsWrittenOnce(t *testing.T) {
 	withNodes(t, 100, func(ctx context.Context, s *fakeStore) {
-		s.endUnder(1, s.nodes[7])
+		s.crashUnder(1, s.nodes[7])
 		time.Sleep(time.Minute)
-		must.Eq(t, 2, s.called())
+		must.Eq(t, 2, s.takeCalls())
 		must.True(t, s.start(ctx).Refuses(1))
 		must.False(t, s.start(ctx).Refuses(2))
 	})
 }
 
-// TestVerdictAfterOutage: the store is away when a verdict is reached, and the node that
-// has seen the last loss ends; the others tell the store once it is back. They don't
-// press it meanwhile.
+// TestVerdictAfterOutage: the store is unavailable when a verdict is reached, and the node
+// that observed the last loss stops. The others write the verdict once the store is back,
+// and call it at a bounded rate until then.
 func TestVerdictAfterOutage(t *testing.T) {
 	withNodes(t, 100, func(ctx context.Context, s *fakeStore) {
-		s.setAway(true)
-		s.endUnder(1, s.nodes[7])
+		s.setUnavailable(true)
+		s.crashUnder(1, s.nodes[7])
 		s.nodes[7].stop()
-		s.called()
+		s.takeCalls()
 		time.Sleep(time.Minute)
-		must.LessEq(t, 2*60, s.called(), must.Sprint("two calls a second, however many nodes"))
-		s.setAway(false)
+		must.LessEq(t, 2*60, s.takeCalls(), must.Sprint("at most two calls a second from all nodes together"))
+		s.setUnavailable(false)
 		time.Sleep(20 * time.Second)
 		must.True(t, s.start(ctx).Refuses(1))
-		must.LessEq(t, 20, s.called(), must.Sprint("some write at once, before they hear of each other"))
+		must.LessEq(t, 20, s.takeCalls(), must.Sprint("only few nodes write before they learn of the first entry"))
 	})
 }
 
-// TestVerdictsAreBounded: a client that ends servers under ever different requests makes
+// TestVerdictsAreBounded: a client that crashes servers with many different requests makes
 // the nodes write a bounded number of entries.
 func TestVerdictsAreBounded(t *testing.T) {
 	withNodes(t, 3, func(_ context.Context, s *fakeStore) {
 		for digest := range uint64(150) {
-			s.endUnder(digest+1, s.nodes[0])
+			s.crashUnder(digest+1, s.nodes[0])
 		}
 		must.MapLen(t, 64, s.items)
-		must.LessEq(t, 2*64, s.called())
+		must.LessEq(t, 2*64, s.takeCalls())
 		must.True(t, s.nodes[0].Refuses(150))
 	})
 }
 
-// TestVerdictLapses: nobody sends the request any more, and it is forgotten.
-func TestVerdictLapses(t *testing.T) {
+// TestVerdictExpires: the request is no longer sent, so its verdict is dropped.
+func TestVerdictExpires(t *testing.T) {
 	withNodes(t, 3, func(ctx context.Context, s *fakeStore) {
-		s.endUnder(1, s.nodes[0])
+		s.crashUnder(1, s.nodes[0])
 		next := s.start(ctx)
 		time.Sleep(5 * time.Second)
 		must.True(t, next.Refuses(1))
@@ -260,26 +260,26 @@
 	})
 }
 
-// TestVerdictOutlivesLease: the entry lapses while the store is away, and the nodes that
-// still have the evidence tell of it anew.
+// TestVerdictOutlivesLease: the entry expires during an outage of the store, and the nodes
+// that still have the evidence write it again.
 func TestVerdictOutlivesLease(t *testing.T) {
 	withNodes(t, 3, func(ctx context.Context, s *fakeStore) {
-		s.endUnder(1, s.nodes[0])
+		s.crashUnder(1, s.nodes[0])
 		time.Sleep(5 * time.Second)
 		s.mu.Lock()
-		clear(s.lapses)
+		clear(s.expiry)
 		s.mu.Unlock()
-		s.lapse(1)
+		s.expire(1)
 		time.Sleep(10 * time.Second)
 		must.True(t, s.start(ctx).Refuses(1))
 	})
 }
 
-// TestWithdrawnVerdict: a server turns out to go on, and all nodes hear of it, also those
-// that have no evidence of their own.
+// TestWithdrawnVerdict: a server turns out to be running, and all nodes withdraw the verdict,
+// also those that have no evidence of their own.
 func TestWithdrawnVerdict(t *testing.T) {
 	withNodes(t, 3, func(ctx context.Context, s *fakeStore) {
-		s.endUnder(1, s.nodes[0])
+		s.crashUnder(1, s.nodes[0])
 		next := s.start(ctx)
 		time.Sleep(5 * time.Second)
 		must.True(t, next.Refuses(1))
@@ -293,37 +293,38 @@
 	})
 }
 
-// TestForeignEntry: keys and values of other writers change nothing.
-func TestForeignEntry(t *testing.T) {
+// TestInvalidEntriesIgnored: invalid keys and values change nothing, and unknown fields
+// are ignored.
+func TestInvalidEntriesIgnored(t *testing.T) {
 	withNodes(t, 1, func(_ context.Context, s *fakeStore) {
 		n := s.nodes[0]
 		for _, key := range []string{"", "x", "00000000000000001", "-1", "1/2"} {
-			n.take(mirror.Item{Key: suspect.KeyPrefix + key, Value: []byte(`{"refused":true}`)})
+			n.receive(mirror.Item{Key: suspect.KeyPrefix + key, Value: []byte(`{"refused":true}`)})
 		}
 		for _, value := range []string{"", "[]", "1", `{"refused":1}`, `{"refused":true,"tests":"x"}`} {
-			n.take(mirror.Item{Key: suspect.KeyPrefix + suspect.FormatDigest(1), Value: []byte(value)})
+			n.receive(mirror.Item{Key: suspect.KeyPrefix + suspect.FormatDigest(1), Value: []byte(value)})
 		}
 		must.False(t, n.Refuses(1))
-		n.take(mirror.Item{Key: suspect.KeyPrefix + suspect.FormatDigest(1), Value: []byte(`{"refused":true,"more":1}`)})
+		n.receive(mirror.Item{Key: suspect.KeyPrefix + suspect.FormatDigest(1), Value: []byte(`{"refused":true,"more":1}`)})
 		must.True(t, n.Refuses(1))
 	})
 }
 
-// TestWrongVerdictIsFoundOut: a request that is refused wrongly is sent once more after a
-// minute, by one node of all; its answer lets all have it.
-func TestWrongVerdictIsFoundOut(t *testing.T) {
+// TestWrongVerdictWithdrawnByProbe: one of all nodes sends a wrongly refused request again
+// after a minute; when it is answered, no node refuses it any more.
+func TestWrongVerdictWithdrawnByProbe(t *testing.T) {
 	withNodes(t, 20, func(ctx context.Context, s *fakeStore) {
-		s.endUnder(1, s.nodes[0])
+		s.crashUnder(1, s.nodes[0])
 		time.Sleep(2 * time.Minute)
-		tests := 0
+		probes := 0
 		for i, n := range s.nodes {
 			if n.Probe(ctx, 1) {
-				tests++
+				probes++
 				must.Eq(t, suspect.ClearedVerdict, n.RecordAnswer(1), must.Sprint(i))
 				n.ScheduleWrite(1, true)
 			}
 		}
-		must.Eq(t, 1, tests)
+		must.Eq(t, 1, probes)
 		time.Sleep(5 * time.Second)
 		for i, n := range s.nodes {
 			must.False(t, n.Refuses(1), must.Sprint(i))
@@ -331,18 +332,18 @@
 	})
 }
 
-// TestRightVerdictStands: a request that goes on to end its servers and comes all the time
-// is sent more and more rarely, however often all processes are replaced.
-func TestRightVerdictStands(t *testing.T) {
+// TestVerdictKeptByFailedProbes: a request that keeps crashing its servers and is sent
+// continually is probed more and more rarely, however often the nodes are replaced.
+func TestVerdictKeptByFailedProbes(t *testing.T) {
 	withNodes(t, 5, func(ctx context.Context, s *fakeStore) {
-		s.endUnder(1, s.nodes[0])
-		ends := []time.Duration{}
-		begun := time.Now()
+		s.crashUnder(1, s.nodes[0])
+		crashes := []time.Duration{}
+		start := time.Now()
 		for second := range 3600 {
 			time.Sleep(time.Second)
 			n := s.nodes[second%len(s.nodes)]
 			if n.Probe(ctx, 1) {
-				ends = append(ends, time.Since(begun).Round(time.Minute))
+				crashes = append(crashes, time.Since(start).Round(time.Minute))
 				n.RecordLoss(1, uint64(1_000_000+second), 0)
 			}
 			must.True(t, n.Refuses(1), must.Sprint(second))
@@ -354,6 +355,6 @@
 				s.start(ctx)
 			}
 		}
-		must.LessEq(t, 9, len(ends), must.Sprint(fmt.Sprint(ends)))
+		must.LessEq(t, 9, len(crashes), must.Sprint(fmt.Sprint(crashes)))
 	})
 }
--- a/suspect/verdict.go
+++ b/suspect/verdict.go
@@ -3,106 +3,108 @@
 import "time"
 
 const (
-	// firstTest is how long after its verdict a request is tried again, as one that
-	// was wrongly refused is then served, and one that still ends its server ends
-	// few: each test that fails doubles the pause.
-	firstTest = time.Minute
-	// lastTest bounds the pause, so that a test comes before the verdict is forgotten.
-	lastTest = 8 * time.Minute
-	// pardonTime is how long it may take until the store tells of a pardon.
-	pardonTime = 10 * time.Second
+	// initialProbeDelay is the time from a verdict to its first probe. Each failed probe
+	// doubles the delay, so that a request that was refused by mistake is soon served
+	// again, and one that still crashes its server crashes few of them.
+	initialProbeDelay = time.Minute
+	// maxProbeDelay bounds the delay to less than Retention, so that a probe comes
+	// before the verdict expires.
+	maxProbeDelay = 8 * time.Minute
+	// withdrawalDelay is how long it may take until the store reports a withdrawal.
+	withdrawalDelay = 10 * time.Second
 )
 
-// verdict is that a request is refused.
+// verdict says that a request is refused.
 type verdict struct {
-	// since is when this node learned of it, or of the last test.
-	since time.Time
-	// proved is when this node had evidence enough of its own; zero if it has not.
-	proved time.Time
-	// stored says that the store tells of it.
+	// lastProbe is when the request was last probed, or when this node learned of the
+	// verdict if that was later.
+	lastProbe time.Time
+	// provenAt is when this node had enough evidence of its own; zero if it has not.
+	provenAt time.Time
+	// stored is whether the store holds the verdict.
 	stored bool
-	// tests is how often the request was tried again since.
-	tests int
+	// probes is the number of probes since the verdict.
+	probes int
 }
 
-// pause is how long after its beginning, or the last test, the next test may come.
-func (v *verdict) pause() time.Duration {
-	pause := firstTest
-	for range v.tests {
-		pause = min(2*pause, lastTest)
+// probeDelay returns the time from lastProbe to the next probe.
+func (v *verdict) probeDelay() time.Duration {
+	delay := initialProbeDelay
+	for range v.probes {
+		delay = min(2*delay, maxProbeDelay)
 	}
-	return pause
+	return delay
 }
 
-// Refuses reports whether a request is to be sent to no server any more.
-func (l *Detector) Refuses(digest uint64) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.verdicts[digest] != nil
+// Refuses reports whether a request must not be sent to any server.
+func (d *Detector) Refuses(digest uint64) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.verdicts[digest] != nil
 }
 
-// ProbeDue reports whether it is time to put a verdict to the test: to send the request
-// once more. It does so to one caller, and not again before the next pause is over;
-// tests is what to store, before the request is sent, as the number of tests.
-func (l *Detector) ProbeDue(digest uint64) (tests int, due bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	v := l.verdicts[digest]
-	if v == nil || l.timers.Steady().Sub(v.since) < v.pause() {
+// ProbeDue reports whether it is time to probe a verdict by sending the request once more.
+// It returns true to one caller only, until the next delay has passed. The caller stores
+// the returned number of probes before it sends the request.
+func (d *Detector) ProbeDue(digest uint64) (probes int, due bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	v := d.verdicts[digest]
+	if v == nil || d.timers.Steady().Sub(v.lastProbe) < v.probeDelay() {
 		return 0, false
 	}
-	v.since = l.timers.Steady()
-	return v.tests + 1, true
+	v.lastProbe = d.timers.Steady()
+	return v.probes + 1, true
 }
 
-// pardon ends a verdict. The caller holds mu.
-func (l *Detector) pardon(digest uint64) {
-	delete(l.verdicts, digest)
-	l.pardoned[digest] = l.timers.Steady()
+// endVerdict removes a verdict and records when. The caller holds mu.
+func (d *Detector) endVerdict(digest uint64) {
+	delete(d.verdicts, digest)
+	d.withdrawnAt[digest] = d.timers.Steady()
 }
 
-// ApplyStored takes the word of the store, or of whoever has just written there, that a
-// request is refused and was tested that often since. Just after a pardon here that is
-// old news, or soon will be.
-func (l *Detector) ApplyStored(digest uint64, tests int) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	v := l.verdicts[digest]
-	if at, ok := l.pardoned[digest]; v == nil && ok && l.timers.Steady().Sub(at) < pardonTime {
+// ApplyStored applies a stored entry that refuses a request and counts its probes. It
+// is called when the store reports the entry, and after writing it. Shortly after a
+// withdrawal on this node such an entry is outdated, or soon will be, and is ignored.
+func (d *Detector) ApplyStored(digest uint64, probes int) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	v := d.verdicts[digest]
+	if at, ok := d.withdrawnAt[digest]; v == nil && ok && d.timers.Steady().Sub(at) < withdrawalDelay {
 		return
 	}
 	if v == nil {
-		v = &verdict{since: l.timers.Steady()}
-		l.verdicts[digest] = v
+		v = &verdict{lastProbe: d.timers.Steady()}
+		d.verdicts[digest] = v
 	}
 	v.stored = true
-	if tests > v.tests {
-		v.tests, v.since = tests, l.timers.Steady()
+	if probes > v.probes {
+		v.probes, v.lastProbe = probes, d.timers.Steady()
 	}
 }
 
-// ApplyWithdrawn takes the word of the store that a request has been answered since, or
-// that its servers go on. It reports whether the request was refused here.
-func (l *Detector) ApplyWithdrawn(digest uint64) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.clear(digest) == ClearedVerdict
+// ApplyWithdrawn applies a stored withdrawal: the request has been answered, or its
+// servers kept running. It reports whether the request was refused here.
+func (d *Detector) ApplyWithdrawn(digest uint64) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.clearRequest(digest) == ClearedVerdict
 }
 
-// ApplyExpired takes the news that the store tells no more of a verdict. One that this node
-// has evidence for stays, as long as that is remembered: verdicts lapse early while the
-// store is away. It reports whether it stays.
-func (l *Detector) ApplyExpired(digest uint64) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.forgetOld()
-	v := l.verdicts[digest]
+// ApplyExpired applies the removal of a verdict from the store. The verdict stays while
+// this node has the evidence for it, since entries expire early during an outage of the
+// store. It reports whether the verdict stays.
+func (d *Detector) ApplyExpired(digest uint64) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.dropExpired()
+	v := d.verdicts[digest]
 	if v == nil {
 		return false
 	}
 	v.stored = false
-	if v.proved.IsZero() {
-		delete(l.verdicts, digest)
+	if v.provenAt.IsZero() {
+		delete(d.verdicts, digest)
 		return false
 	}
 	return true
