--- a/share/run.go
+++ b/share/run.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// interval lies between two calls of a node. What is told later than a
-	// prompt takes to be read comes too late to keep others from its server. In a
-	// data hall of 60 news passes four calls and one to another hall: 125 ms on
-	// average, 250 ms with twice the interval.
-	interval = 50 * time.Millisecond
-	// fanOut is how many nodes call the same one in a data hall: halls of up to
-	// 73 have two levels below their top.
+	// exchangeInterval is the time between two calls of a node. A record that arrives
+	// later than its prompt takes to be read comes too late to keep other nodes from the
+	// server. In a data hall of 60 nodes a record passes through four calls, and one more
+	// to another hall: 125 ms on average, 250 ms with twice the interval.
+	exchangeInterval = 50 * time.Millisecond
+	// fanOut is the number of children of a node in the tree of a data hall: halls of up
+	// to 73 nodes have two levels below the root.
 	fanOut = 8
-	// callTime bounds one call. Peers answer in some milliseconds.
-	callTime = 300 * time.Millisecond
-	// downTime is how long a peer that did not answer is passed over.
-	downTime = 2 * time.Second
+	// callTimeout bounds one call. Peers respond within a few milliseconds.
+	callTimeout = 300 * time.Millisecond
+	// peerBackoff is how long a peer that did not respond is skipped.
+	peerBackoff = 2 * time.Second
 )
 
-// Nodes knows the other nodes.
+// Nodes returns the other nodes.
 type Nodes interface {
 	Others() []view.Member
 }
@@ -36,52 +36,52 @@
 	Exchange(ctx context.Context, address string, m Message) (Reply, error)
 }
 
-// Run exchanges with other nodes until the context ends.
-func (b *Exchange) Run(ctx context.Context) {
+// Run exchanges records with other nodes until the context ends.
+func (x *Exchange) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		halls := b.halls()
-		ticks := b.timers.Subscribe(interval)
+		halls := x.membersByHall()
+		ticks := x.timers.Subscribe(exchangeInterval)
 		select {
 		case <-ctx.Done():
 		case <-ticks.C():
-			for _, address := range b.targets(halls) {
-				b.exchange(ctx, address)
+			for _, address := range x.targets(halls) {
+				x.callPeer(ctx, address)
 			}
 		}
 		ticks.Stop()
 	}
 }
 
-// halls returns all nodes that are not passed over, this one included, by data
-// hall and in order.
-func (b *Exchange) halls() map[string][]view.Member {
-	members := append(b.nodes.Others(), b.self)
-	now := b.timers.Now()
+// membersByHall returns all nodes that are not skipped, including this one, by data hall
+// and sorted by VM.
+func (x *Exchange) membersByHall() map[string][]view.Member {
+	members := append(x.nodes.Others(), x.self)
+	now := x.timers.Now()
 	halls := make(map[string][]view.Member)
-	b.mu.Lock()
-	defer b.mu.Unlock()
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	for _, m := range members {
-		if p := b.peers[m.Peer]; p == nil || now.After(p.down) {
+		if p := x.peers[m.Peer]; p == nil || now.After(p.downUntil) {
 			halls[m.DataHall] = append(halls[m.DataHall], m)
 		}
 	}
 	for _, hall := range halls {
-		slices.SortFunc(hall, func(x, y view.Member) int { return cmp.Compare(x.VM, y.VM) })
+		slices.SortFunc(hall, func(a, b view.Member) int { return cmp.Compare(a.VM, b.VM) })
 	}
 	return halls
 }
 
-// targets returns whom this node calls: the one above it in the tree of its data
-// hall, or, if it is the top, that of each data hall which comes after its own.
-func (b *Exchange) targets(halls map[string][]view.Member) []string {
-	own := halls[b.self.DataHall]
-	at := slices.IndexFunc(own, func(m view.Member) bool { return m.VM == b.self.VM })
-	if at > 0 {
-		return []string{own[(at-1)/fanOut].Peer}
+// targets returns the addresses that this node calls: its parent in the tree of its data
+// hall or, if it is the root, the roots of the data halls whose names sort after its own.
+func (x *Exchange) targets(halls map[string][]view.Member) []string {
+	own := halls[x.self.DataHall]
+	index := slices.IndexFunc(own, func(m view.Member) bool { return m.VM == x.self.VM })
+	if index > 0 {
+		return []string{own[(index-1)/fanOut].Peer}
 	}
 	var addresses []string
 	for hall, members := range halls {
-		if hall > b.self.DataHall {
+		if hall > x.self.DataHall {
 			addresses = append(addresses, members[0].Peer)
 		}
 	}
@@ -89,49 +89,49 @@
 	return addresses
 }
 
-// exchange makes one call.
-func (b *Exchange) exchange(ctx context.Context, address string) {
-	message, upTo := b.message(address)
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+// callPeer makes one call, and skips the peer for a while if it fails.
+func (x *Exchange) callPeer(ctx context.Context, address string) {
+	message, upTo := x.nextMessage(address)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := b.caller.Exchange(ctx, address, message)
+	reply, err := x.caller.Exchange(ctx, address, message)
 	if err != nil {
-		slog.Debug("peer did not take what was sent to servers", "peer", address, "error", err)
-		b.mu.Lock()
-		b.peers[address].down = b.timers.Now().Add(downTime)
-		b.mu.Unlock()
+		slog.Debug("exchange with peer failed; skipping it for a while", "peer", address, "error", err)
+		x.mu.Lock()
+		x.peers[address].downUntil = x.timers.Now().Add(peerBackoff)
+		x.mu.Unlock()
 		return
 	}
-	from, _ := b.peerAt(address)
-	b.take(reply.Batches, from)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.peers[address]
-	p.board, p.after, p.told = reply.LogID, reply.UpTo, upTo
+	from, _ := x.peerHashes(address)
+	x.receive(reply.Batches, from)
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	p := x.peers[address]
+	p.logID, p.receivedUpTo, p.sentUpTo = reply.LogID, reply.UpTo, upTo
 }
 
-// message returns what a peer is to be told, and up to which entry that is all.
-func (b *Exchange) message(address string) (m Message, upTo uint64) {
-	node, hall := b.peerAt(address)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.peers[address]
+// nextMessage returns the message to a peer, and the position in the log that it reaches.
+func (x *Exchange) nextMessage(address string) (m Message, upTo uint64) {
+	node, hall := x.peerHashes(address)
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	p := x.peers[address]
 	if p == nil {
 		p = &peer{}
-		b.peers[address] = p
+		x.peers[address] = p
 	}
-	news := b.since(p.told, func(e entry) bool {
-		if hall == b.hall {
-			return e.from != node
+	batches := x.entriesAfter(p.sentUpTo, func(e entry) bool {
+		if hall == x.hall {
+			return e.receivedFrom != node
 		}
-		return e.hall == b.hall
+		return e.hall == x.hall
 	})
-	return Message{Node: b.node, Hall: b.hall, LogID: p.board, After: p.after, Batches: news}, b.count
+	return Message{Node: x.node, Hall: x.hall, LogID: p.logID, After: p.receivedUpTo, Batches: batches}, x.count
 }
 
-// peerAt returns the hashes of a peer's ID and of its data hall.
-func (b *Exchange) peerAt(address string) (node, hall uint64) {
-	for _, m := range b.nodes.Others() {
+// peerHashes returns the hashes of a peer's ID and of its data hall.
+func (x *Exchange) peerHashes(address string) (node, hall uint64) {
+	for _, m := range x.nodes.Others() {
 		if m.Peer == address {
 			return rendezvous.Hash(m.ID), rendezvous.Hash(m.DataHall)
 		}
--- a/share/share.go
+++ b/share/share.go
@@ -1,27 +1,27 @@
-// Package share tells the nodes of a deployment what the others have sent to
-// the backend servers, so that each knows what all of them have made wait there
-// and what the engines' caches hold.
+// Package share exchanges between the nodes of a deployment which requests each of them has
+// sent to the backend servers, so that each node knows the queues of the servers and the
+// contents of the engines' caches. It also passes on which requests were lost at a server.
 //
-// Each node writes down on a [Exchange] those of its own sends that are worth
-// telling: work that is over before others hear of it is not, and the more
-// there are to tell, the larger a send's work must be. The nodes of a data hall
-// form a tree by their names. At every interval a node calls the one above it,
-// gives it what is new, and gets in return what that one has heard from all
-// others. The top nodes of two data halls call each other in the same way with
-// what their own halls have sent, so a send passes between two halls once,
-// however many nodes there are. Who does not answer is passed over for a while.
+// Each node publishes records of its own requests to an [Exchange], except for those with
+// too little work: short work is over before other nodes learn of it, and the minimum rises
+// with the number of records. The nodes of a data hall form a tree, in the order of their
+// names. At every interval a node calls its parent, sends it new records, and gets in return
+// those that the parent has received from all others. The roots of two data halls call each
+// other in the same way with the records of their own halls, so a record passes between two
+// halls once, however many nodes there are. A peer that doesn't respond is skipped for a
+// while.
 //
-// Nothing here is agreed or kept: a board holds the latest sends only, a node
-// that starts is given them with its first call, and one that hears of nothing
-// goes by what it has sent itself.
+// There is no agreement and no storage: a node keeps the latest records only, a node that
+// starts receives them with its first call, and a node that receives nothing relies on what
+// it has sent itself.
 //
 // # Usage
 //
-//	board := share.NewExchange(self, nodes, client, timers, balancer.Heard)
-//	go board.Run(ctx)
-//	board.Tell(share.Record{Server: server.Incarnation().Hash(), Prompt: shared, Work: 130}, 105)
+//	exchange := share.NewExchange(self, nodes, client, timers, balancer.Heard)
+//	go exchange.Run(ctx)
+//	exchange.Publish(share.Record{Server: server.Incarnation().Hash(), Prompt: shared, WorkMillis: 130}, 105)
 //
-//	reply := board.Answer(message) // where a peer calls
+//	reply := exchange.Handle(message) // for a call from a peer
 package share
 
 import (
@@ -37,47 +37,47 @@
 	"github.com/violettally/violettally/view"
 )
 
-// boardSize is the number of sends that a node remembers for its peers, and the
-// most that one message tells: some 10 kB. Trees are joined anew when nodes come
-// and go; with 4,096 sends told then, every tenth plain answer came late on VMs
-// with a link of 10 Mbit/s.
-const boardSize = 200
+// logSize is the number of records that a node keeps for its peers, and the most that one
+// message carries, some 10 kB. When nodes come and go, others join the tree anew and receive
+// the whole log; with 4,096 records, every tenth plain response was late on VMs with a link
+// of 10 Mbit/s.
+const logSize = 200
 
 const (
-	// lossesPerSecond bounds what a node tells of requests that were lost, far
-	// above what servers that end leave to one node of many.
+	// lossesPerSecond bounds the lost requests that a node publishes. It is far above what
+	// crashing servers cause at one of many nodes.
 	lossesPerSecond = 10
-	// lossesAtOnce is what one server may have been running of one node.
-	lossesAtOnce = 20
+	// lossBurst is the number of requests of one node that one server may be running.
+	lossBurst = 20
 )
 
-// Record is one request that was sent to a backend server. The fields are
-// exported for the codecs.
+// Record is one request that was sent to a backend server, or the loss of one, or the
+// answer to one that had been lost. The fields are exported for the codecs.
 type Record struct {
 	_ struct{} `cbor:",toarray"`
-	// Sequence counts the sends of one node.
+	// Sequence numbers the records of one node.
 	Sequence uint64
-	// Server is the hash of the server's incarnation: what is sent to one says nothing
-	// of the next.
+	// Server is the hash of the server's incarnation: what was sent to one incarnation says
+	// nothing about the next.
 	Server uint64
 	// Prompt is the part of the prompt that other requests share.
 	Prompt prefix.Chain
-	// WorkMillis is for how long it keeps the server busy, in milliseconds.
+	// WorkMillis is how long the request keeps the server busy, in milliseconds.
 	WorkMillis float32
-	// AgeMillis is how long ago it was sent.
+	// AgeMillis is how long ago the request was sent, in milliseconds.
 	AgeMillis uint32
-	// LostDigest is the digest of a request that the server left without an answer; the
-	// entry then tells of that and not of a send. Zero for a send.
+	// LostDigest is the digest of a request that the server left without a response; zero
+	// if the record is no loss.
 	LostDigest uint64
-	// AnsweredDigest is the digest of a request that was answered after it had been lost; the
-	// entry then tells of that alone. Zero for any other.
+	// AnsweredDigest is the digest of a request that was answered after it had been lost;
+	// zero if the record is no such answer.
 	AnsweredDigest uint64
 }
 
-// Age is how long ago it was sent.
-func (s Record) Age() time.Duration { return time.Duration(s.AgeMillis) * time.Millisecond }
+// Age returns how long ago the request was sent.
+func (r Record) Age() time.Duration { return time.Duration(r.AgeMillis) * time.Millisecond }
 
-// Batch is what one node has sent.
+// Batch holds records of one node.
 type Batch struct {
 	_ struct{} `cbor:",toarray"`
 	// Node and Hall are hashes of the node's ID and of its data hall.
@@ -86,20 +86,21 @@
 	Records []Record
 }
 
-// Message is what a node tells another.
+// Message is what a node sends to a peer.
 type Message struct {
 	_ struct{} `cbor:",toarray"`
-	// Node and Hall are hashes of the caller's ID and of its data hall.
+	// Node and Hall are hashes of the sender's ID and of its data hall.
 	Node uint64
 	Hall uint64
-	// LogID and After say up to which entry of which board of the callee the
-	// caller knows everything.
+	// LogID and After give the position in the callee's log up to which the sender has
+	// received everything.
 	LogID   uint64
 	After   uint64
 	Batches []Batch
 }
 
-// Reply is what it gets in return.
+// Reply is the response to a Message, with the position in the callee's log that the
+// sender has now reached.
 type Reply struct {
 	_       struct{} `cbor:",toarray"`
 	LogID   uint64
@@ -107,189 +108,190 @@
 	Batches []Batch
 }
 
-// entry is one send on the board.
+// entry is one record in the log.
 type entry struct {
 	node, hall uint64
-	// from is the node that told it.
-	from uint64
-	sent time.Time
-	send Record
+	// receivedFrom is the node that this node received the record from.
+	receivedFrom uint64
+	sentAt       time.Time
+	record       Record
 }
 
-// Exchange is one node's part of the exchange. It is safe for concurrent use.
+// Exchange is one node's part in the exchange of records. It is safe for concurrent use.
 type Exchange struct {
 	self       view.Member
 	node, hall uint64
 	nodes      Nodes
 	caller     Caller
 	timers     *timer.Service
-	heard      func(Record)
+	onRecord   func(Record)
 
 	mu sync.Mutex
-	// id tells this board from those of earlier and later processes.
-	id      uint64
+	// logID distinguishes this log from those of earlier and later processes.
+	logID   uint64
 	entries []entry
-	// count is how many entries there have been; the latest ones are kept.
+	// count is the number of entries so far; the latest ones are kept.
 	count uint64
-	// latest is by node the number of the last send that was heard of it.
-	latest map[uint64]uint64
+	// latestSequence is, by node, the latest sequence number received.
+	latestSequence map[uint64]uint64
 	// peers are by address.
 	peers  map[string]*peer
 	budget budget
-	// losses bounds what this node tells of lost requests, lossesAgain of those that
+	// losses limits the published losses and answers, repeatedLosses those of requests that
 	// were lost more than once.
-	losses, lossesAgain *rate.Limiter
+	losses, repeatedLosses *rate.Limiter
 }
 
-// peer is how far this node and another one know each other's boards.
+// peer holds how far this node and a peer have received each other's logs.
 type peer struct {
-	// board and after say up to which entry of which board this node knows
-	// everything, told up to which of its own entries it has told the peer.
-	board, after, told uint64
-	// down is until when the peer is passed over.
-	down time.Time
+	// logID and receivedUpTo give the position in the peer's log up to which this node has
+	// received everything, sentUpTo the position in its own log up to which it has sent
+	// everything.
+	logID, receivedUpTo, sentUpTo uint64
+	// downUntil is until when the peer is skipped.
+	downUntil time.Time
 }
 
-// NewExchange returns the board of a node. Heard is called for each send of
-// another node.
-func NewExchange(self view.Member, nodes Nodes, caller Caller, timers *timer.Service, heard func(Record)) *Exchange {
+// NewExchange returns the exchange of a node. OnRecord is called for each record of another
+// node.
+func NewExchange(self view.Member, nodes Nodes, caller Caller, timers *timer.Service, onRecord func(Record)) *Exchange {
 	return &Exchange{
-		self:    self,
-		node:    rendezvous.Hash(self.ID),
-		hall:    rendezvous.Hash(self.DataHall),
-		nodes:   nodes,
-		caller:  caller,
-		timers:  timers,
-		heard:   heard,
-		id:      rand.Uint64(),
-		entries: make([]entry, 0, boardSize),
-		latest:  make(map[uint64]uint64),
-		peers:   make(map[string]*peer),
-		losses:  rate.NewLimiter(lossesPerSecond, lossesAtOnce),
+		self:           self,
+		node:           rendezvous.Hash(self.ID),
+		hall:           rendezvous.Hash(self.DataHall),
+		nodes:          nodes,
+		caller:         caller,
+		timers:         timers,
+		onRecord:       onRecord,
+		logID:          rand.Uint64(),
+		entries:        make([]entry, 0, logSize),
+		latestSequence: make(map[uint64]uint64),
+		peers:          make(map[string]*peer),
+		losses:         rate.NewLimiter(lossesPerSecond, lossBurst),
 
-		lossesAgain: rate.NewLimiter(lossesPerSecond, lossesAtOnce),
+		repeatedLosses: rate.NewLimiter(lossesPerSecond, lossBurst),
 	}
 }
 
-// Publish writes down a send of this node, if it is worth telling. Its number and
-// age are set here. News says for how long the server reads what it did not have
-// of the shared prompt, in milliseconds.
-func (b *Exchange) Publish(s Record, news float64) {
-	nodes := len(b.nodes.Others()) + 1
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if !b.budget.allows(max(float64(s.WorkMillis), newsWeight*news), nodes, b.timers.Now()) {
+// Publish publishes a request of this node, if its work is large enough, and sets its
+// sequence number and age. PrefillMillis is how long the server takes to read the part of the
+// shared prompt that it did not have in its cache, in milliseconds.
+func (x *Exchange) Publish(r Record, prefillMillis float64) {
+	nodes := len(x.nodes.Others()) + 1
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	if !x.budget.allows(max(float64(r.WorkMillis), prefillWeight*prefillMillis), nodes, x.timers.Now()) {
 		return
 	}
-	b.latest[b.node]++
-	s.Sequence = b.latest[b.node]
-	b.write(entry{node: b.node, hall: b.hall, from: b.node, sent: b.timers.Now(), send: s})
+	x.latestSequence[x.node]++
+	r.Sequence = x.latestSequence[x.node]
+	x.add(entry{node: x.node, hall: x.hall, receivedFrom: x.node, sentAt: x.timers.Now(), record: r})
 }
 
-// PublishLoss writes down that a server left a request without an answer. Losses do
-// not draw on what sends may take, and have a bound of their own: a server that ends
-// leaves many. Those of requests that were lost again have one beside it, since they
-// are what tells. It reports whether the others are told.
-func (b *Exchange) PublishLoss(server, digest uint64, again bool) bool {
-	return b.tellOf(Record{Server: server, LostDigest: digest}, again)
+// PublishLoss publishes that a server left a request without a response. Losses do not use
+// up the budget of other records but have a rate limit of their own, since a server that
+// crashes causes many. Requests that were lost repeatedly have a separate limit, since they
+// are the evidence that matters. It reports whether the loss was published.
+func (x *Exchange) PublishLoss(server, digest uint64, repeated bool) bool {
+	return x.publishLimited(Record{Server: server, LostDigest: digest}, repeated)
 }
 
-// PublishAnswer writes down that a request was answered after it had been lost, more
-// than once or not. It has the bounds of TellLost.
-func (b *Exchange) PublishAnswer(digest uint64, again bool) bool {
-	return b.tellOf(Record{AnsweredDigest: digest}, again)
+// PublishAnswer publishes that a request was answered after it had been lost, once or
+// repeatedly. The rate limits of PublishLoss apply.
+func (x *Exchange) PublishAnswer(digest uint64, repeated bool) bool {
+	return x.publishLimited(Record{AnsweredDigest: digest}, repeated)
 }
 
-// tellOf writes down an entry that is no send, within the bound of its kind.
-func (b *Exchange) tellOf(s Record, again bool) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	bound := b.losses
-	if again {
-		bound = b.lossesAgain
+// publishLimited publishes a loss or an answer, within its rate limit.
+func (x *Exchange) publishLimited(r Record, repeated bool) bool {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	limiter := x.losses
+	if repeated {
+		limiter = x.repeatedLosses
 	}
-	if !bound.AllowN(b.timers.Now(), 1) {
+	if !limiter.AllowN(x.timers.Now(), 1) {
 		return false
 	}
-	b.latest[b.node]++
-	s.Sequence = b.latest[b.node]
-	b.write(entry{node: b.node, hall: b.hall, from: b.node, sent: b.timers.Now(), send: s})
+	x.latestSequence[x.node]++
+	r.Sequence = x.latestSequence[x.node]
+	x.add(entry{node: x.node, hall: x.hall, receivedFrom: x.node, sentAt: x.timers.Now(), record: r})
 	return true
 }
 
-// Handle takes what a peer tells, and returns what it does not know.
-func (b *Exchange) Handle(m Message) Reply {
-	b.take(m.Batches, m.Node)
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// Handle receives a peer's records and returns those that the peer has not received.
+func (x *Exchange) Handle(m Message) Reply {
+	x.receive(m.Batches, m.Node)
+	x.mu.Lock()
+	defer x.mu.Unlock()
 	after := m.After
-	if m.LogID != b.id {
+	if m.LogID != x.logID {
 		after = 0
 	}
-	news := b.since(after, func(e entry) bool {
-		if m.Hall != b.hall {
-			return e.hall == b.hall
+	batches := x.entriesAfter(after, func(e entry) bool {
+		if m.Hall != x.hall {
+			return e.hall == x.hall
 		}
-		return e.from != m.Node
+		return e.receivedFrom != m.Node
 	})
-	return Reply{LogID: b.id, UpTo: b.count, Batches: news}
+	return Reply{LogID: x.logID, UpTo: x.count, Batches: batches}
 }
 
-// take writes down what others have sent, each send once.
-func (b *Exchange) take(news []Batch, from uint64) {
-	now := b.timers.Now()
-	for _, g := range news {
-		for _, s := range g.Records {
-			if b.takeOne(g, s, from, now) {
-				b.heard(s)
+// receive adds the records of other nodes to the log, each once.
+func (x *Exchange) receive(batches []Batch, from uint64) {
+	now := x.timers.Now()
+	for _, batch := range batches {
+		for _, r := range batch.Records {
+			if x.addIfNew(batch, r, from, now) {
+				x.onRecord(r)
 			}
 		}
 	}
 }
 
-func (b *Exchange) takeOne(g Batch, s Record, from uint64, now time.Time) (isNew bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if g.Node == b.node || s.Sequence <= b.latest[g.Node] {
+func (x *Exchange) addIfNew(batch Batch, r Record, from uint64, now time.Time) (isNew bool) {
+	x.mu.Lock()
+	defer x.mu.Unlock()
+	if batch.Node == x.node || r.Sequence <= x.latestSequence[batch.Node] {
 		return false
 	}
-	b.latest[g.Node] = s.Sequence
-	b.write(entry{node: g.Node, hall: g.Hall, from: from, sent: now.Add(-s.Age()), send: s})
+	x.latestSequence[batch.Node] = r.Sequence
+	x.add(entry{node: batch.Node, hall: batch.Hall, receivedFrom: from, sentAt: now.Add(-r.Age()), record: r})
 	return true
 }
 
-// write puts an entry on the board. The caller holds mu.
-func (b *Exchange) write(e entry) {
-	if len(b.entries) < boardSize {
-		b.entries = append(b.entries, e)
+// add appends an entry to the log. The caller holds mu.
+func (x *Exchange) add(e entry) {
+	if len(x.entries) < logSize {
+		x.entries = append(x.entries, e)
 	} else {
-		b.entries[b.count%boardSize] = e
+		x.entries[x.count%logSize] = e
 	}
-	b.count++
+	x.count++
 }
 
-// since returns the wanted entries after the given one, as far as they are
-// kept, by the node that sent them. The caller holds mu.
-func (b *Exchange) since(after uint64, wanted func(entry) bool) []Batch {
-	if b.count > boardSize {
-		after = max(after, b.count-boardSize)
+// entriesAfter returns the wanted entries after a position, as far as they are kept, grouped
+// by the node that published them. The caller holds mu.
+func (x *Exchange) entriesAfter(after uint64, wanted func(entry) bool) []Batch {
+	if x.count > logSize {
+		after = max(after, x.count-logSize)
 	}
-	now := b.timers.Now()
-	var groups []Batch
-	at := make(map[uint64]int)
-	for i := after; i < b.count; i++ {
-		e := b.entries[i%boardSize]
+	now := x.timers.Now()
+	var batches []Batch
+	indexOf := make(map[uint64]int)
+	for i := after; i < x.count; i++ {
+		e := x.entries[i%logSize]
 		if !wanted(e) {
 			continue
 		}
-		index, known := at[e.node]
+		index, known := indexOf[e.node]
 		if !known {
-			index = len(groups)
-			at[e.node] = index
-			groups = append(groups, Batch{Node: e.node, Hall: e.hall})
+			index = len(batches)
+			indexOf[e.node] = index
+			batches = append(batches, Batch{Node: e.node, Hall: e.hall})
 		}
-		e.send.AgeMillis = uint32(max(0, now.Sub(e.sent).Milliseconds()))
-		groups[index].Records = append(groups[index].Records, e.send)
+		e.record.AgeMillis = uint32(max(0, now.Sub(e.sentAt).Milliseconds()))
+		batches[index].Records = append(batches[index].Records, e.record)
 	}
-	return groups
+	return batches
 }
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -18,16 +18,16 @@
 	"github.com/violettally/violettally/view"
 )
 
-// deployment is a set of boards that call each other without a network.
+// deployment is a set of exchanges that call each other without a network.
 type deployment struct {
-	mu      sync.Mutex
-	members []view.Member
-	boards  map[string]*share.Exchange
-	// cut are addresses that answer nobody.
-	cut map[string]bool
-	// heard are by node the servers' hashes that it heard of, in order.
-	heard map[string][]uint64
-	// sent is the number of sends told, by whether they pass between halls.
+	mu        sync.Mutex
+	members   []view.Member
+	exchanges map[string]*share.Exchange
+	// unreachable holds the addresses that do not respond.
+	unreachable map[string]bool
+	// received holds, by node, the server hashes of the records received, in order.
+	received map[string][]uint64
+	// sent counts the records sent, by whether they pass between halls.
 	sent map[bool]int
 }
 
@@ -35,7 +35,7 @@
 	return d.members[slices.IndexFunc(d.members, func(m view.Member) bool { return m.Peer == address })]
 }
 
-// node is one node's view of a deployment.
+// node is one node of a deployment, as its exchange sees the others.
 type node struct {
 	d    *deployment
 	self view.Member
@@ -49,12 +49,12 @@
 
 func (n node) Exchange(_ context.Context, address string, m share.Message) (share.Reply, error) {
 	n.d.mu.Lock()
-	board, cut, callee := n.d.boards[address], n.d.cut[address], n.d.memberAt(address)
+	exchange, unreachable, callee := n.d.exchanges[address], n.d.unreachable[address], n.d.memberAt(address)
 	n.d.mu.Unlock()
-	if cut || board == nil {
-		return share.Reply{}, errors.New("no answer")
+	if unreachable || exchange == nil {
+		return share.Reply{}, errors.New("no response")
 	}
-	reply := board.Handle(m)
+	reply := exchange.Handle(m)
 	n.d.mu.Lock()
 	defer n.d.mu.Unlock()
 	for _, g := range append(slices.Clone(m.Batches), reply.Batches...) {
@@ -68,26 +68,26 @@
 	name := fmt.Sprintf("%s-%d", hall, i)
 	self := view.Member{ID: name + "#1", VM: name, DataHall: hall, Peer: name}
 	n := node{d, self}
-	board := share.NewExchange(self, n, n, timer.New(), func(s share.Record) {
+	exchange := share.NewExchange(self, n, n, timer.New(), func(s share.Record) {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.heard[name] = append(d.heard[name], s.Server)
+		d.received[name] = append(d.received[name], s.Server)
 	})
 	d.mu.Lock()
-	d.members, d.boards[name] = append(d.members, self), board
+	d.members, d.exchanges[name] = append(d.members, self), exchange
 	d.mu.Unlock()
-	go board.Run(ctx)
-	return board
+	go exchange.Run(ctx)
+	return exchange
 }
 
 func newDeployment() *deployment {
-	return &deployment{boards: make(map[string]*share.Exchange), cut: make(map[string]bool), heard: make(map[string][]uint64), sent: make(map[bool]int)}
+	return &deployment{exchanges: make(map[string]*share.Exchange), unreachable: make(map[string]bool), received: make(map[string][]uint64), sent: make(map[bool]int)}
 }
 
-// TestLossesAreTold: a request that a server left without an answer is known at
-// every node within 0.3 s, with the boards full of sends; a node whose clients
-// have many such requests tells of a bounded number.
-func TestLossesAreTold(t *testing.T) {
+// TestLossesArePublished: every node learns within 0.3 s of a request that a server left
+// without a response, even if the logs are full of other records. A node with many such
+// requests publishes a bounded number.
+func TestLossesArePublished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		d := newDeployment()
@@ -98,33 +98,33 @@
 		}
 		time.Sleep(time.Second)
 		for i := range uint64(500) {
-			d.boards["a-7"].Publish(share.Record{Server: 1_000 + i, WorkMillis: 500}, 0)
+			d.exchanges["a-7"].Publish(share.Record{Server: 1_000 + i, WorkMillis: 500}, 0)
 		}
 		for digest := range uint64(1_000) {
-			d.boards["b-19"].PublishLoss(7, digest+1, false)
+			d.exchanges["b-19"].PublishLoss(7, digest+1, false)
 		}
 		time.Sleep(300 * time.Millisecond)
 		cancel()
 		synctest.Wait()
-		for name, heard := range d.heard {
-			told := 0
-			for _, server := range heard {
+		for name, received := range d.received {
+			published := 0
+			for _, server := range received {
 				if server == 7 {
-					told++
+					published++
 				}
 			}
 			if name != "b-19" {
-				must.Greater(t, 0, told, must.Sprint(name))
+				must.Greater(t, 0, published, must.Sprint(name))
 			}
-			must.LessEq(t, 30, told, must.Sprint(name))
+			must.LessEq(t, 30, published, must.Sprint(name))
 		}
-		must.MapLen(t, 40, d.heard)
+		must.MapLen(t, 40, d.received)
 	})
 }
 
-// TestKnownLossIsTold: a server ends with more requests of one node than it tells of, and
-// the last of them is the one under which another server had ended before.
-func TestKnownLossIsTold(t *testing.T) {
+// TestRepeatedLossIsPublished: a server crashes with more requests of one node than the rate
+// limit allows, and the last of them is the one that had crashed another server before.
+func TestRepeatedLossIsPublished(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		d := newDeployment()
@@ -134,19 +134,19 @@
 		time.Sleep(time.Second)
 		const running = 128
 		for digest := range uint64(running) {
-			d.boards["a-2"].PublishLoss(7, digest+1, false)
+			d.exchanges["a-2"].PublishLoss(7, digest+1, false)
 		}
-		must.True(t, d.boards["a-2"].PublishLoss(8, running+1, true))
+		must.True(t, d.exchanges["a-2"].PublishLoss(8, running+1, true))
 		time.Sleep(300 * time.Millisecond)
 		cancel()
 		synctest.Wait()
-		must.SliceContains(t, d.heard["a-0"], 8)
+		must.SliceContains(t, d.received["a-0"], 8)
 	})
 }
 
-// TestAllHear: what one node sends is heard of once by every other one, within
-// a few intervals, and passes between two data halls once.
-func TestAllHear(t *testing.T) {
+// TestRecordsReachAllNodes: every other node receives the records of a node once, within a
+// few intervals, and a record passes between two data halls once.
+func TestRecordsReachAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		d := newDeployment()
@@ -157,25 +157,25 @@
 		}
 		time.Sleep(time.Second)
 		for i, name := range []string{"a-3", "b-0", "c-1"} {
-			d.boards[name].Publish(share.Record{Server: uint64(i), WorkMillis: 500}, 0)
+			d.exchanges[name].Publish(share.Record{Server: uint64(i), WorkMillis: 500}, 0)
 		}
 		time.Sleep(time.Second)
 		cancel()
 		synctest.Wait()
-		for name, heard := range d.heard {
-			slices.Sort(heard)
-			must.Eq(t, len(heard), len(slices.Compact(slices.Clone(heard))), must.Sprintf("%s heard %v", name, heard))
+		for name, received := range d.received {
+			slices.Sort(received)
+			must.Eq(t, len(received), len(slices.Compact(slices.Clone(received))), must.Sprintf("%s received %v", name, received))
 		}
-		must.MapLen(t, 12, d.heard)
-		must.Len(t, 3, d.heard["a-0"])
-		must.Len(t, 2, d.heard["a-3"])
+		must.MapLen(t, 12, d.received)
+		must.Len(t, 3, d.received["a-0"])
+		must.Len(t, 2, d.received["a-3"])
 		must.Eq(t, 6, d.sent[true])
 	})
 }
 
-// TestFirstIsGone: the next node of a data hall takes the place of the first
-// one, in the hall and towards others, and nothing is lost or heard twice.
-func TestFirstIsGone(t *testing.T) {
+// TestRootFailure: the next node of a data hall takes the place of its root, in the hall and
+// towards other halls. No record is lost or received twice.
+func TestRootFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		d := newDeployment()
@@ -186,24 +186,24 @@
 		}
 		time.Sleep(time.Second)
 		d.mu.Lock()
-		d.cut["b-0"] = true
+		d.unreachable["b-0"] = true
 		d.mu.Unlock()
 		for i := range 30 {
-			d.boards["a-2"].Publish(share.Record{Server: uint64(i), WorkMillis: 500}, 0)
+			d.exchanges["a-2"].Publish(share.Record{Server: uint64(i), WorkMillis: 500}, 0)
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(3 * time.Second)
 		cancel()
 		synctest.Wait()
 		for _, name := range []string{"a-0", "a-1", "b-1", "b-2"} {
-			must.Len(t, 30, d.heard[name], must.Sprint(name))
+			must.Len(t, 30, d.received[name], must.Sprint(name))
 		}
 	})
 }
 
-// TestLateStart: a node that starts hears what the others know, but no more
-// than a board holds; one whose call fails tells the same again.
-func TestLateStart(t *testing.T) {
+// TestLateJoin: a node that starts receives the latest records of the others, at most a full
+// log.
+func TestLateJoin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		d := newDeployment()
@@ -216,20 +216,20 @@
 		time.Sleep(time.Second)
 		cancel()
 		synctest.Wait()
-		heard := d.heard["a-1"]
-		must.Between(t, 100, len(heard), 300)
-		must.Eq(t, 9999, heard[len(heard)-1])
+		received := d.received["a-1"]
+		must.Between(t, 100, len(received), 300)
+		must.Eq(t, 9999, received[len(received)-1])
 	})
 }
 
-// TestAge: a send is as old as the time that it has been on its way.
+// TestAge: the age of a record is the time since it was published.
 func TestAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		board := newDeployment().start(ctx, "a", 0)
-		board.Publish(share.Record{Server: 1, WorkMillis: 500}, 0)
+		exchange := newDeployment().start(ctx, "a", 0)
+		exchange.Publish(share.Record{Server: 1, WorkMillis: 500}, 0)
 		time.Sleep(150 * time.Millisecond)
-		reply := board.Handle(share.Message{Hall: 1})
+		reply := exchange.Handle(share.Message{Hall: 1})
 		must.Len(t, 1, reply.Batches)
 		must.Eq(t, 150, reply.Batches[0].Records[0].AgeMillis)
 		cancel()
@@ -237,37 +237,37 @@
 	})
 }
 
-// TestWorthTelling: short work is not told, reading a shared part is; and all
-// nodes together tell a bounded number of sends, those of the largest work.
-func TestWorthTelling(t *testing.T) {
+// TestPublishThreshold: short work is not published, but the prefill of a shared prompt is.
+// All nodes together publish a bounded number of records, those with the most work.
+func TestPublishThreshold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		d := newDeployment()
-		// So many that each has a part of 20 sends a second.
+		// Each of 40 nodes may publish 20 records a second.
 		for i := range 40 {
 			d.start(ctx, "a", i)
 		}
-		board := d.boards["a-0"]
-		told := func() (n int) {
-			for _, g := range board.Handle(share.Message{Hall: 1}).Batches {
+		exchange := d.exchanges["a-0"]
+		published := func() (n int) {
+			for _, g := range exchange.Handle(share.Message{Hall: 1}).Batches {
 				n += len(g.Records)
 			}
 			return n
 		}
-		board.Publish(share.Record{WorkMillis: 10}, 0)
-		must.Eq(t, 0, told())
-		board.Publish(share.Record{WorkMillis: 10}, 30)
-		must.Eq(t, 1, told())
+		exchange.Publish(share.Record{WorkMillis: 10}, 0)
+		must.Eq(t, 0, published())
+		exchange.Publish(share.Record{WorkMillis: 10}, 30)
+		must.Eq(t, 1, published())
 		large := 0
 		for i := range 3000 {
 			work := float32(100)
 			if i%30 == 0 {
 				work = 2000
 			}
-			board.Publish(share.Record{WorkMillis: work}, 0)
+			exchange.Publish(share.Record{WorkMillis: work}, 0)
 			time.Sleep(10 * time.Millisecond)
 		}
-		for _, g := range board.Handle(share.Message{Hall: 1}).Batches {
+		for _, g := range exchange.Handle(share.Message{Hall: 1}).Batches {
 			for _, s := range g.Records {
 				if s.WorkMillis == 2000 {
 					large++
@@ -276,6 +276,6 @@
 		}
 		cancel()
 		synctest.Wait()
-		must.Greater(t, 30, large, must.Sprint("of the 33 in the time of 200 sends"))
+		must.Greater(t, 30, large, must.Sprint("large records among the latest 200, of 33 in their time"))
 	})
 }
