--- a/estimate/estimate.go
+++ b/estimate/estimate.go
@@ -1,7 +1,7 @@
 // Package estimate learns how long a piece of work takes from how long such
 // work has taken lately.
 //
-// A [Line] is the time of a work as a base and a rate for each unit of its
+// A [Regression] is the time of a work as a base and a rate for each unit of its
 // size: reading a prompt takes so long to begin, and so much for each token.
 // It is fitted by least squares in which older samples count for less, so that
 // it follows a pool that changes, and with a bound on what one sample can do,
@@ -39,9 +39,9 @@
 	sureSamples = 6
 )
 
-// Line is a time in milliseconds as a linear function of a size. Its zero
+// Regression is a time in milliseconds as a linear function of a size. Its zero
 // value is not ready; use [New]. It is not safe for concurrent use.
-type Line struct {
+type Regression struct {
 	base, rate float64
 	deviation  float64 // mean, as a share of what was expected
 	samples    int
@@ -52,31 +52,31 @@
 
 // New returns a line that assumes a base in milliseconds and a rate in
 // milliseconds for each unit of size.
-func New(base, rate float64) *Line {
-	l := &Line{base: base, rate: rate, deviation: 1}
+func New(base, rate float64) *Regression {
+	l := &Regression{base: base, rate: rate, deviation: 1}
 	l.add(0, base, priorWeight)
 	l.add(priorSize, base+rate*priorSize, priorWeight)
 	return l
 }
 
-// At returns the time in milliseconds that work of a size is expected to take.
-func (l *Line) At(size float64) float64 { return l.base + l.rate*size }
+// Predict returns the time in milliseconds that work of a size is expected to take.
+func (l *Regression) Predict(size float64) float64 { return l.base + l.rate*size }
 
 // Rate returns the time in milliseconds for each unit of size.
-func (l *Line) Rate() float64 { return l.rate }
+func (l *Regression) Rate() float64 { return l.rate }
 
 // Deviation returns by which share of what was expected work is off, on
 // average; one while nothing is known.
-func (l *Line) Deviation() float64 { return l.deviation }
+func (l *Regression) Deviation() float64 { return l.deviation }
 
-// Learn takes that work of a size took so many milliseconds. Weight is between
+// AddSample takes that work of a size took so many milliseconds. Weight is between
 // 0 and 1, for how far the sample can be relied on; what is not a time is left
 // out.
-func (l *Line) Learn(size, took, weight float64) {
+func (l *Regression) AddSample(size, took, weight float64) {
 	if !(size >= 0 && took >= 0 && weight > 0) || math.IsInf(size, 0) || math.IsInf(took, 0) {
 		return
 	}
-	expected := math.Max(1, l.At(size))
+	expected := math.Max(1, l.Predict(size))
 	off := (took - expected) / expected
 	if l.samples >= sureSamples {
 		bound := outlier * l.deviation
@@ -94,7 +94,7 @@
 }
 
 // add counts one sample.
-func (l *Line) add(size, took, weight float64) {
+func (l *Regression) add(size, took, weight float64) {
 	weight /= 1 + size/sizeScale
 	l.w += weight
 	l.x += weight * size
@@ -105,7 +105,7 @@
 
 // fit solves for base and rate. Neither is below zero: where the best line has
 // one there, the best line without it is taken.
-func (l *Line) fit() {
+func (l *Regression) fit() {
 	determinant := l.w*l.xx - l.x*l.x
 	if determinant <= 1e-9*l.w*l.xx {
 		// All samples are of one size: the rate stays, the base moves.
--- a/gateway/entries_test.go
+++ b/gateway/entries_test.go
@@ -113,15 +113,15 @@
 	parts := []prefix.Part{{ID: "shared", Tokens: 5000}, {ID: "own", Tokens: 1000}}
 	task := func(g *gateway.Gateway) route.Task {
 		return route.Task{
-			Servers: g.Servers("pool"), Kind: "m", Tokens: 6000, Capacity: 100_000,
-			Assumed: route.Assumption{Base: 30, Rate: 0.05}, Prompt: prefix.NewChain("m", parts),
+			Servers: g.Servers("pool"), Kind: "m", PromptTokens: 6000, CacheCapacity: 100_000,
+			Initial: route.InitialEstimate{Base: 30, Rate: 0.05}, Prompt: prefix.NewChain("m", parts),
 		}
 	}
-	answer := func(g *gateway.Gateway, outcome route.Outcome) *route.Use {
+	answer := func(g *gateway.Gateway, outcome route.Outcome) *route.Assignment {
 		use, err := g.Balancer().Choose(task(g))
 		must.NoError(t, err)
 		if outcome == route.OutcomeOK {
-			use.Begin()
+			use.RecordResponseStart()
 		}
 		use.End(outcome)
 		return use
@@ -129,7 +129,7 @@
 	g := newGateway(t)
 	g.TakeServer("s", entry(t, map[string]any{"born": 1000}))
 	answer(g, route.OutcomeOK)
-	must.Eq(t, 6000, answer(g, route.OutcomeOK).Held())
+	must.Eq(t, 6000, answer(g, route.OutcomeOK).CachedTokens())
 	for range 3 {
 		answer(g, route.OutcomeFailed)
 	}
@@ -137,12 +137,12 @@
 	must.Error(t, err, must.Sprint("its breaker is open"))
 
 	g.TakeServer("s", entry(t, map[string]any{"born": 2000}))
-	must.Eq(t, 0, answer(g, route.OutcomeOK).Held())
+	must.Eq(t, 0, answer(g, route.OutcomeOK).CachedTokens())
 
 	// A write of the earlier start that was under way comes last.
 	g.TakeServer("s", entry(t, map[string]any{"born": 1000, "address": "10.0.0.9:80", "state": "draining"}))
 	must.Eq(t, "10.0.0.1:80", g.Servers("pool")[0].Address)
-	must.Eq(t, 6000, answer(g, route.OutcomeOK).Held())
+	must.Eq(t, 6000, answer(g, route.OutcomeOK).CachedTokens())
 }
 
 // TestForeignNodes lists what may stand under another gateway's key that names none:
--- a/gateway/subscribe.go
+++ b/gateway/subscribe.go
@@ -50,7 +50,7 @@
 	id := strings.TrimPrefix(c.Key, platform.ServerPrefix)
 	if c.Deleted {
 		kept := g.registry.Drop(id)
-		g.balancer.Keep(g.registry.Incarnations())
+		g.balancer.Retain(g.registry.Incarnations())
 		slog.Info("server is gone", "server", id, "revision", c.Revision, "kept_ms", kept.Milliseconds())
 		return
 	}
@@ -83,6 +83,6 @@
 // there are left to their connections, which tell better than the entry whether their
 // answers still come.
 func (g *Gateway) restarted(server registry.Server) {
-	g.balancer.Keep(g.registry.Incarnations())
+	g.balancer.Retain(g.registry.Incarnations())
 	g.runners.CloseKept(server.Address)
 }
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -88,7 +88,7 @@
 	case s.Answered != 0:
 		g.suspects.Answered(s.Answered)
 	default:
-		g.balancer.Heard(s)
+		g.balancer.ObserveSend(s)
 	}
 }
 
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -3,7 +3,7 @@
 // A prompt comes in parts, most of them shared with other prompts. An engine
 // keeps what it has read by model: a part that it still has is not read again,
 // provided that it has every part before it as well. When its memory runs out,
-// the parts unused longest give way. A [Memory] follows one engine by the
+// the parts unused longest give way. A [CacheTracker] follows one engine by the
 // prompts that were sent there, in the same order and with the same bound.
 //
 // # Usage
@@ -26,9 +26,9 @@
 	Tokens int
 }
 
-// Mark stands for a prompt's beginning up to the end of one of its parts. The
+// Block stands for a prompt's beginning up to the end of one of its parts. The
 // fields are exported for the codecs.
-type Mark struct {
+type Block struct {
 	_ struct{} `cbor:",toarray"`
 	// Hash is of the model and of all parts so far.
 	Hash uint64
@@ -37,7 +37,7 @@
 }
 
 // Chain is a whole prompt as its beginnings, the shortest first.
-type Chain []Mark
+type Chain []Block
 
 // NewChain returns the chain of a prompt for a model: engines keep what they
 // read by model.
@@ -52,7 +52,7 @@
 		_, _ = digest.Write(buffer[:])
 		_, _ = digest.WriteString(p.ID)
 		hash = digest.Sum64()
-		chain = append(chain, Mark{Hash: hash, Tokens: p.Tokens})
+		chain = append(chain, Block{Hash: hash, Tokens: p.Tokens})
 	}
 	return chain
 }
@@ -74,9 +74,9 @@
 	return sum
 }
 
-// Memory is what one engine is believed to hold. It is not safe for concurrent
+// CacheTracker is what one engine is believed to hold. It is not safe for concurrent
 // use.
-type Memory struct {
+type CacheTracker struct {
 	// capacity in tokens; zero or less for no bound but entriesMax.
 	capacity int
 	tokens   int
@@ -89,16 +89,16 @@
 // those of 150 engines take 11 MB at most.
 const entriesMax = 500
 
-// NewMemory returns the memory of an engine that has read nothing.
-func NewMemory() *Memory {
-	return &Memory{entries: make(map[uint64]*list.Element), order: list.New()}
+// NewCacheTracker returns the memory of an engine that has read nothing.
+func NewCacheTracker() *CacheTracker {
+	return &CacheTracker{entries: make(map[uint64]*list.Element), order: list.New()}
 }
 
 // SetCapacity says how many tokens the engine holds; zero if it is not known.
-func (m *Memory) SetCapacity(tokens int) { m.capacity = tokens }
+func (m *CacheTracker) SetCapacity(tokens int) { m.capacity = tokens }
 
-// Held returns how many tokens of a prompt need not be read.
-func (m *Memory) Held(c Chain) int {
+// CachedTokens returns how many tokens of a prompt need not be read.
+func (m *CacheTracker) CachedTokens(c Chain) int {
 	held := 0
 	for _, mark := range c {
 		if m.entries[mark.Hash] == nil {
@@ -109,8 +109,8 @@
 	return held
 }
 
-// Read takes that the engine reads a prompt, or uses what it has of it.
-func (m *Memory) Read(c Chain) {
+// Insert takes that the engine reads a prompt, or uses what it has of it.
+func (m *CacheTracker) Insert(c Chain) {
 	// The later parts come first, so that a beginning outlives what follows it.
 	for i := len(c) - 1; i >= 0; i-- {
 		m.use(c[i])
@@ -120,9 +120,9 @@
 	}
 }
 
-// Forget takes that the engine does not hold a prompt's parts after all, from
+// Remove takes that the engine does not hold a prompt's parts after all, from
 // the first one on.
-func (m *Memory) Forget(c Chain) {
+func (m *CacheTracker) Remove(c Chain) {
 	for _, mark := range c {
 		if e := m.entries[mark.Hash]; e != nil {
 			m.drop(e)
@@ -130,7 +130,7 @@
 	}
 }
 
-func (m *Memory) use(mark Mark) {
+func (m *CacheTracker) use(mark Block) {
 	if e := m.entries[mark.Hash]; e != nil {
 		m.order.MoveToFront(e)
 		return
@@ -139,8 +139,8 @@
 	m.tokens += mark.Tokens
 }
 
-func (m *Memory) drop(e *list.Element) {
-	mark := m.order.Remove(e).(Mark)
+func (m *CacheTracker) drop(e *list.Element) {
+	mark := m.order.Remove(e).(Block)
 	delete(m.entries, mark.Hash)
 	m.tokens -= mark.Tokens
 }
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -15,15 +15,15 @@
 // TestHeld: parts count by model and only with all parts before them.
 func TestHeld(t *testing.T) {
 	shared, mid := prefix.Part{ID: "a", Tokens: 100}, prefix.Part{ID: "b", Tokens: 20}
-	m := prefix.NewMemory()
-	must.Zero(t, m.Held(chain("m", shared)))
-	m.Read(chain("m", shared, mid, prefix.Part{ID: "own", Tokens: 3}))
-	must.Eq(t, 120, m.Held(chain("m", shared, mid, prefix.Part{ID: "other", Tokens: 9})))
-	must.Eq(t, 100, m.Held(chain("m", shared, prefix.Part{ID: "c", Tokens: 20})))
-	must.Zero(t, m.Held(chain("m", mid)), must.Sprint("a part that does not follow its beginning"))
-	must.Zero(t, m.Held(chain("n", shared)), must.Sprint("another model"))
-	m.Forget(chain("m", shared))
-	must.Zero(t, m.Held(chain("m", shared, mid)))
+	m := prefix.NewCacheTracker()
+	must.Zero(t, m.CachedTokens(chain("m", shared)))
+	m.Insert(chain("m", shared, mid, prefix.Part{ID: "own", Tokens: 3}))
+	must.Eq(t, 120, m.CachedTokens(chain("m", shared, mid, prefix.Part{ID: "other", Tokens: 9})))
+	must.Eq(t, 100, m.CachedTokens(chain("m", shared, prefix.Part{ID: "c", Tokens: 20})))
+	must.Zero(t, m.CachedTokens(chain("m", mid)), must.Sprint("a part that does not follow its beginning"))
+	must.Zero(t, m.CachedTokens(chain("n", shared)), must.Sprint("another model"))
+	m.Remove(chain("m", shared))
+	must.Zero(t, m.CachedTokens(chain("m", shared, mid)))
 }
 
 func TestChain(t *testing.T) {
@@ -37,12 +37,12 @@
 // last use.
 type engine struct {
 	capacity int
-	parts    []prefix.Mark
+	parts    []prefix.Block
 }
 
 func (e *engine) read(c prefix.Chain) {
 	for i := len(c) - 1; i >= 0; i-- {
-		kept := []prefix.Mark{c[i]}
+		kept := []prefix.Block{c[i]}
 		for _, p := range e.parts {
 			if p.Hash != c[i].Hash {
 				kept = append(kept, p)
@@ -80,7 +80,7 @@
 func TestAgainstEngine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(50, 2000).Draw(t, "capacity")
-		m, e := prefix.NewMemory(), engine{capacity: capacity}
+		m, e := prefix.NewCacheTracker(), engine{capacity: capacity}
 		m.SetCapacity(capacity)
 		for range rapid.IntRange(1, 80).Draw(t, "prompts") {
 			top := rapid.IntRange(0, 5).Draw(t, "top")
@@ -89,8 +89,8 @@
 				prefix.Part{ID: fmt.Sprint("top", top), Tokens: 30 + 10*top},
 				prefix.Part{ID: fmt.Sprint("sub", sub), Tokens: 10},
 				prefix.Part{ID: fmt.Sprint(rapid.IntRange(0, 1000).Draw(t, "own")), Tokens: 15})
-			must.Eq(t, e.held(c), m.Held(c))
-			m.Read(c)
+			must.Eq(t, e.held(c), m.CachedTokens(c))
+			m.Insert(c)
 			e.read(c)
 		}
 	})
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -66,14 +66,14 @@
 	offer := cascade.Offer{
 		Confidence: confidence,
 		Wait:       forecast.Wait,
-		Takes:      forecast.Takes,
+		Takes:      forecast.ServiceTime,
 		Left:       x.route.Objective - x.elapsed(),
 		Objective:  x.route.Objective,
 	}
 	length, known := x.length()
-	pays := x.relay.Ladder.Pays(offer) && x.relay.endsInTime(x.deadline, forecast.Total()+length, known)
+	pays := x.relay.Ladder.Pays(offer) && x.relay.endsInTime(x.deadline, forecast.Latency()+length, known)
 	x.record.Note("offer", "%s for confidence %.0f: %d ms, of it %d waiting, %d left: %t", x.model(), confidence,
-		forecast.Total().Milliseconds(), forecast.Wait.Milliseconds(), offer.Left.Milliseconds(), pays)
+		forecast.Latency().Milliseconds(), forecast.Wait.Milliseconds(), offer.Left.Milliseconds(), pays)
 	return pays
 }
 
@@ -86,7 +86,7 @@
 }
 
 // choose picks the server of the next attempt.
-func (x *exchange) choose() (*route.Use, string, *Refusal) {
+func (x *exchange) choose() (*route.Assignment, string, *Refusal) {
 	servers, version := x.servers()
 	x.version = version
 	use, err := x.relay.Balancer.Choose(x.task(servers))
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -90,7 +90,7 @@
 
 // attempt sends the request to one server and passes its answer on. It
 // returns nil once nothing more is to be done for the client.
-func (x *exchange) attempt(ctx context.Context, use *route.Use, version string) *failure {
+func (x *exchange) attempt(ctx context.Context, use *route.Assignment, version string) *failure {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	server := use.Server()
@@ -101,7 +101,7 @@
 	age := x.relay.News.Age()
 	x.relay.Counters.Sent(age)
 	x.record.Note("send", "to %s in %s, model %s, %d of %d tokens held, after event %q, %d ms left, by revision %d, %d ms old",
-		server.ID, server.DataHall, x.model(), use.Held(), x.request.Prompt.Tokens, x.after, time.Until(x.deadline).Milliseconds(),
+		server.ID, server.DataHall, x.model(), use.CachedTokens(), x.request.Prompt.Tokens, x.after, time.Until(x.deadline).Milliseconds(),
 		x.relay.News.Revision(), age.Milliseconds())
 	sent := time.Now()
 	stopWaiting := x.relay.waiting.add(x.request, cancel)
--- a/relay/forecast.go
+++ b/relay/forecast.go
@@ -28,9 +28,9 @@
 	servers, _ := x.servers()
 	forecast := x.relay.Balancer.Forecast(x.task(servers))
 	length, known := x.length()
-	fits := ends(x.deadline, forecast.Total()+length, known)
+	fits := ends(x.deadline, forecast.Latency()+length, known)
 	x.record.Note("fits", "%d ms to the answer's head and %d ms from there (seen: %t): %t",
-		forecast.Total().Milliseconds(), length.Milliseconds(), known, fits)
+		forecast.Latency().Milliseconds(), length.Milliseconds(), known, fits)
 	return fits
 }
 
--- a/relay/judge.go
+++ b/relay/judge.go
@@ -29,7 +29,7 @@
 // countVersion takes an answer as evidence on a version. Only what the server
 // itself answered counts, and how long it took to begin, or had taken when it
 // was given up as late.
-func (x *exchange) countVersion(ctx context.Context, use *route.Use, version string, answer Answer, wait time.Duration) {
+func (x *exchange) countVersion(ctx context.Context, use *route.Assignment, version string, answer Answer, wait time.Duration) {
 	late := answer == nil && stalled(ctx)
 	if version == "" || (answer == nil && !late) || (answer != nil && answer.Declined()) {
 		return
@@ -38,19 +38,19 @@
 		Kind:      x.kind(),
 		Failed:    !late && failed(answer),
 		Wait:      wait,
-		Expected:  use.Takes(),
+		Expected:  use.ExpectedServiceTime(),
 		Late:      late,
 		Objective: x.route.Objective,
 	})
 }
 
 // judge decides on the head of an answer. Nil lets the answer go out.
-func (x *exchange) judge(ctx context.Context, use *route.Use, sent time.Time, answer Answer, err error) *failure {
+func (x *exchange) judge(ctx context.Context, use *route.Assignment, sent time.Time, answer Answer, err error) *failure {
 	if err != nil {
 		return x.judgeError(ctx, use, err)
 	}
 	if load, ok := answer.Load(); ok {
-		use.Tell(load)
+		use.RecordLoad(load)
 	}
 	if answer.Declined() {
 		// It may be another server's, at the address of one that has ended.
@@ -59,10 +59,10 @@
 	}
 	x.goesOn(use, sent, answer)
 	x.record.Note("head", "after %d ms, expected %d, of it %d waiting; confidence %s of %s",
-		time.Since(sent).Milliseconds(), use.Expected().Milliseconds(), use.Waits().Milliseconds(), confidence(answer), x.model())
+		time.Since(sent).Milliseconds(), use.ExpectedLatency().Milliseconds(), use.ExpectedWait().Milliseconds(), confidence(answer), x.model())
 	x.head = time.Now()
-	use.Begin()
-	use.Failed(failed(answer))
+	use.RecordResponseStart()
+	use.RecordResult(failed(answer))
 	x.runs++
 	if x.begun && answer.Status() != http.StatusOK {
 		// The client is in the middle of a stream, which nothing but the rest
@@ -95,9 +95,9 @@
 func failed(a Answer) bool { return a.Status() >= http.StatusInternalServerError }
 
 // judgeError decides on an attempt without an answer.
-func (x *exchange) judgeError(ctx context.Context, use *route.Use, err error) *failure {
+func (x *exchange) judgeError(ctx context.Context, use *route.Assignment, err error) *failure {
 	if stalled(ctx) {
-		use.Stall()
+		use.EndStalled()
 		x.left(use)
 		x.runs++
 		return stall()
--- a/relay/lengths.go
+++ b/relay/lengths.go
@@ -33,7 +33,7 @@
 
 // lengthLine is what is known of one kind.
 type lengthLine struct {
-	line    *estimate.Line
+	line    *estimate.Regression
 	samples int
 }
 
@@ -51,7 +51,7 @@
 func (l *lengths) learnCut(kind string, tokens int, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if k := l.kind(kind); inMilliseconds(took) > k.line.At(float64(tokens)) {
+	if k := l.kind(kind); inMilliseconds(took) > k.line.Predict(float64(tokens)) {
 		k.learn(tokens, took)
 	}
 }
@@ -72,7 +72,7 @@
 
 func (k *lengthLine) learn(tokens int, took time.Duration) {
 	k.samples++
-	k.line.Learn(float64(tokens), inMilliseconds(took), 1)
+	k.line.AddSample(float64(tokens), inMilliseconds(took), 1)
 }
 
 func inMilliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -86,6 +86,6 @@
 	if k == nil || k.samples < lengthSamples {
 		return 0, false
 	}
-	millis := k.line.At(float64(tokens)) * (1 + lengthDeviations*k.line.Deviation())
+	millis := k.line.Predict(float64(tokens)) * (1 + lengthDeviations*k.line.Deviation())
 	return time.Duration(millis * float64(time.Millisecond)), true
 }
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -35,9 +35,9 @@
 					serve(t, target, parts, relay.Request{AnyModel: true, Body: noBody(t)}, &received{})
 					return backends.sent
 				}
-				var busy []*route.Use
+				var busy []*route.Assignment
 				for range 3 {
-					use, err := balancer.Choose(route.Task{Servers: threeServers{}.Servers(""), Tokens: 1, Assumed: route.Assumption{Rate: 5000}})
+					use, err := balancer.Choose(route.Task{Servers: threeServers{}.Servers(""), PromptTokens: 1, Initial: route.InitialEstimate{Rate: 5000}})
 					must.NoError(t, err)
 					busy = append(busy, use)
 				}
@@ -65,7 +65,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		balancer, backends := route.NewBalancer("", func(string) {}), &modelsAsked{}
 		target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Objective: time.Second, Attempts: 3, Models: threeModels}
-		_, err := balancer.Choose(route.Task{Servers: threeServers{}.Servers("")[:1], Tokens: 1, Assumed: route.Assumption{Rate: 5000}})
+		_, err := balancer.Choose(route.Task{Servers: threeServers{}.Servers("")[:1], PromptTokens: 1, Initial: route.InitialEstimate{Rate: 5000}})
 		must.NoError(t, err)
 		parts := relay.Parts{Balancer: balancer, Versions: firstOnly{}, Moves: noMoves{}, Backends: backends}
 		serve(t, target, parts, relay.Request{AnyModel: true, Body: noBody(t)}, &received{})
--- a/relay/pass.go
+++ b/relay/pass.go
@@ -22,7 +22,7 @@
 )
 
 // pass hands a server's answer to the client as it comes.
-func (x *exchange) pass(ctx context.Context, use *route.Use, sent time.Time, answer Answer, watch *watch) *failure {
+func (x *exchange) pass(ctx context.Context, use *route.Assignment, sent time.Time, answer Answer, watch *watch) *failure {
 	if x.route.Kind == catalog.KindStream && answer.Status() == http.StatusOK {
 		return x.passStream(ctx, use, sent, answer, watch)
 	}
@@ -31,7 +31,7 @@
 
 // passPlain hands on an answer as bytes. One that breaks off within the
 // headroom gave the client nothing yet.
-func (x *exchange) passPlain(ctx context.Context, use *route.Use, answer Answer, watch *watch) *failure {
+func (x *exchange) passPlain(ctx context.Context, use *route.Assignment, answer Answer, watch *watch) *failure {
 	held, err := io.ReadAll(io.LimitReader(answer.Body(), headroom))
 	if err != nil {
 		return x.broken(ctx, use, err)
@@ -62,7 +62,7 @@
 
 // passStream hands on whole events only, so that a stream which breaks off in
 // the middle of one can be taken up after the one before.
-func (x *exchange) passStream(ctx context.Context, use *route.Use, sent time.Time, answer Answer, watch *watch) *failure {
+func (x *exchange) passStream(ctx context.Context, use *route.Assignment, sent time.Time, answer Answer, watch *watch) *failure {
 	events := newEvents(answer.Body())
 	told := sent
 	for {
@@ -75,7 +75,7 @@
 		if err != nil {
 			return x.broken(ctx, use, err)
 		}
-		use.Progress()
+		use.RecordProgress()
 		if time.Since(told) > toldInterval {
 			told = time.Now()
 			x.goesOn(use, sent, answer)
@@ -103,7 +103,7 @@
 }
 
 // answered ends an attempt whose answer the client has whole.
-func (x *exchange) answered(use *route.Use, answer Answer) {
+func (x *exchange) answered(use *route.Assignment, answer Answer) {
 	use.End(route.OutcomeOK)
 	x.cleared()
 	if answer.Status() == http.StatusOK {
@@ -113,7 +113,7 @@
 }
 
 // clientLeft ends an attempt whose client does not read on.
-func (x *exchange) clientLeft(use *route.Use) *failure {
+func (x *exchange) clientLeft(use *route.Assignment) *failure {
 	use.End(route.OutcomeNeutral)
 	x.left(use)
 	x.learnLength(x.relay.lengths.learnCut)
@@ -122,11 +122,11 @@
 }
 
 // broken judges an answer that broke off.
-func (x *exchange) broken(ctx context.Context, use *route.Use, err error) *failure {
+func (x *exchange) broken(ctx context.Context, use *route.Assignment, err error) *failure {
 	x.learnLength(x.relay.lengths.learnCut)
 	switch {
 	case stalled(ctx):
-		use.Stall()
+		use.EndStalled()
 		x.left(use)
 		return stall()
 	case ctx.Err() != nil:
--- a/relay/patience.go
+++ b/relay/patience.go
@@ -43,7 +43,7 @@
 }
 
 // watch begins to watch an attempt that has been sent just now.
-func (x *exchange) watch(use *route.Use, cancel context.CancelCauseFunc) *watch {
+func (x *exchange) watch(use *route.Assignment, cancel context.CancelCauseFunc) *watch {
 	// This attempt will count as a run, so one more must be left.
 	if !x.mayMove(x.runs + 1) {
 		return &watch{}
@@ -53,7 +53,7 @@
 	task, deadline := x.task(servers), x.deadline
 	task.Exclude = nil // these have not been tried, and tried changes meanwhile
 	return &watch{from: time.Now(), timer: time.AfterFunc(x.patience(use), func() {
-		takes := x.relay.Balancer.Forecast(task).Total() + length
+		takes := x.relay.Balancer.Forecast(task).Latency() + length
 		if x.relay.endsInTime(deadline, takes, known) && x.relay.Moves.Take(x.service, 0) && x.relay.Budgets.Take(x.service, spareForRetries) {
 			cancel(errStalled)
 		}
@@ -77,17 +77,17 @@
 func (w *watch) stop() { w.pause(0) }
 
 // patience is how long an attempt waits for the first piece of its answer.
-func (x *exchange) patience(use *route.Use) time.Duration {
+func (x *exchange) patience(use *route.Assignment) time.Duration {
 	objective := x.route.Objective
 	if objective <= 0 {
 		objective = noObjective
 	}
 	least := time.Duration(leastPatience * float64(objective))
-	most := max(time.Duration(mostPatience*float64(objective)), overExpected*use.Expected())
-	if use.Late() == 0 {
+	most := max(time.Duration(mostPatience*float64(objective)), overExpected*use.ExpectedLatency())
+	if use.LateAfter() == 0 {
 		return most
 	}
-	return min(most, max(least, use.Late()))
+	return min(most, max(least, use.LateAfter()))
 }
 
 // mayMove reports whether there is another server that the request may be taken
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -42,7 +42,7 @@
 
 // lost takes note that a server ended an attempt without an answer, or with a
 // part of one. Where this node or its client ended it, the server may be well.
-func (x *exchange) lost(ctx context.Context, use *route.Use) {
+func (x *exchange) lost(ctx context.Context, use *route.Assignment) {
 	if ctx.Err() != nil || x.request.Body.Err() != nil {
 		return
 	}
@@ -63,13 +63,13 @@
 }
 
 // left takes note that this attempt was given up, though the server may run it on.
-func (x *exchange) left(use *route.Use) {
+func (x *exchange) left(use *route.Assignment) {
 	x.relay.Suspects.Left(x.content(), use.Server().Incarnation().Hash())
 }
 
 // goesOn takes note that something came of a server's answer to what was sent to it at a
 // time.
-func (x *exchange) goesOn(use *route.Use, sent time.Time, answer Answer) {
+func (x *exchange) goesOn(use *route.Assignment, sent time.Time, answer Answer) {
 	if !x.relay.Suspects.Empty() {
 		x.relay.Suspects.Runs(use.Server().Incarnation().Hash(), sent, answer.Opened())
 	}
--- a/relay/work.go
+++ b/relay/work.go
@@ -21,22 +21,22 @@
 // task describes the next attempt to the balancer.
 func (x *exchange) task(servers []registry.Server) route.Task {
 	t := route.Task{
-		Servers: servers,
-		Exclude: x.tried,
-		Kind:    x.workKind(),
-		Assumed: route.Assumption{Base: assumedBase},
-		Bytes:   int(max(0, x.request.Body.Length())),
+		Servers:   servers,
+		Exclude:   x.tried,
+		Kind:      x.workKind(),
+		Initial:   route.InitialEstimate{Base: assumedBase},
+		BodyBytes: int(max(0, x.request.Body.Length())),
 	}
 	prompt := x.request.Prompt
 	if prompt.Tokens == 0 {
 		return t
 	}
-	t.Tokens = prompt.Tokens
+	t.PromptTokens = prompt.Tokens
 	t.Prompt = prefix.NewChain(x.model(), prompt.Parts)
-	t.Assumed.Rate = assumedRate
+	t.Initial.Rate = assumedRate
 	if engine := x.engine(); engine != nil {
-		t.Capacity = engine.CacheTokens
-		t.Assumed.Rate *= pace(engine, x.model())
+		t.CacheCapacity = engine.CacheTokens
+		t.Initial.Rate *= pace(engine, x.model())
 	}
 	return t
 }
--- a/route/balancer.go
+++ b/route/balancer.go
@@ -39,27 +39,27 @@
 	// Kind groups requests whose answers take equally long to begin for the
 	// same size.
 	Kind string
-	// Assumed is how long such an answer takes while none has come yet.
-	Assumed Assumption
+	// Initial is how long such an answer takes while none has come yet.
+	Initial InitialEstimate
 	// Prompt is what engines keep of it, in order; nil for none.
 	Prompt prefix.Chain
-	// Tokens of the prompt, zero for none. Engines read one prompt at a time;
+	// PromptTokens of the prompt, zero for none. Engines read one prompt at a time;
 	// requests without one are served side by side.
-	Tokens int
-	// Bytes of the request's body, zero if not known.
-	Bytes int
-	// Capacity is what a server's cache holds, in tokens; zero if not known.
-	Capacity int
+	PromptTokens int
+	// BodyBytes of the request's body, zero if not known.
+	BodyBytes int
+	// CacheCapacity is what a server's cache holds, in tokens; zero if not known.
+	CacheCapacity int
 	// Exclude lists the servers that have been tried.
 	Exclude map[registry.Incarnation]bool
 }
 
 // hallPenalty is the wait in milliseconds that passing the task to another data
 // hall is worth avoiding.
-func (t Task) hallPenalty() float64 { return hallPenalty + hallPenaltyPerByte*float64(t.Bytes) }
+func (t Task) hallPenalty() float64 { return hallPenalty + hallPenaltyPerByte*float64(t.BodyBytes) }
 
-// Assumption is a first guess of how long an answer takes to begin.
-type Assumption struct {
+// InitialEstimate is a first guess of how long an answer takes to begin.
+type InitialEstimate struct {
 	// Base in milliseconds, and Rate in milliseconds for each token to be read.
 	Base, Rate float64
 }
@@ -75,7 +75,7 @@
 	mu sync.Mutex
 	// servers are by the hash of their incarnation, lines and waits by kind of request.
 	servers map[uint64]*known
-	lines   map[string]*estimate.Line
+	lines   map[string]*estimate.Regression
 	waits   waits
 }
 
@@ -97,7 +97,7 @@
 		opened:   opened,
 		announce: func(share.Send, float64) {},
 		servers:  make(map[uint64]*known),
-		lines:    make(map[string]*estimate.Line),
+		lines:    make(map[string]*estimate.Regression),
 		waits:    make(waits),
 	}
 	for _, option := range options {
@@ -124,11 +124,11 @@
 type Forecast struct {
 	// Wait is how long it waits until the server turns to it, Takes how long the
 	// answer takes to begin from then on.
-	Wait, Takes time.Duration
+	Wait, ServiceTime time.Duration
 }
 
-// Total is how long the answer takes to begin.
-func (f Forecast) Total() time.Duration { return f.Wait + f.Takes }
+// Latency is how long the answer takes to begin.
+func (f Forecast) Latency() time.Duration { return f.Wait + f.ServiceTime }
 
 // Forecast returns what a task would find at the server that Choose would
 // choose; nothing to wait for if there is no server.
@@ -139,11 +139,11 @@
 	if !ok {
 		return Forecast{}
 	}
-	return Forecast{Wait: milliseconds(best.wait), Takes: milliseconds(best.takes)}
+	return Forecast{Wait: milliseconds(best.wait), ServiceTime: milliseconds(best.takes)}
 }
 
 // Choose returns the server for one request.
-func (b *Balancer) Choose(t Task) (*Use, error) {
+func (b *Balancer) Choose(t Task) (*Assignment, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -161,7 +161,7 @@
 	bestCost := math.Inf(1)
 	for _, c := range b.shortlist(t, home, now) {
 		p := prospect{server: t.Servers[c.at], state: c.state, wait: c.state.wait(now), held: c.held}
-		p.takes = line.At(float64(t.Tokens - p.held))
+		p.takes = line.Predict(float64(t.PromptTokens - p.held))
 		cost := b.cost(p, t, line, now)
 		if p.server.ID == home {
 			cost -= homeWorth(t, line, p.held)
@@ -179,11 +179,11 @@
 	for i, s := range t.Servers {
 		incarnation := s.Incarnation()
 		state := b.state(incarnation.Hash())
-		state.cache.SetCapacity(t.Capacity)
+		state.cache.SetCapacity(t.CacheCapacity)
 		if t.Exclude[incarnation] || !state.breaker.allows(now) {
 			continue
 		}
-		c := candidate{at: i, state: state, held: min(state.cache.Held(t.Prompt), t.Tokens)}
+		c := candidate{at: i, state: state, held: min(state.cache.CachedTokens(t.Prompt), t.PromptTokens)}
 		l.offer(c, s.DataHall == b.dataHall, s.ID == home)
 	}
 	return l.all()
@@ -191,7 +191,7 @@
 
 // cost is what the choice of a server for a task costs, in milliseconds of
 // waiting.
-func (b *Balancer) cost(p prospect, t Task, line *estimate.Line, now time.Time) float64 {
+func (b *Balancer) cost(p prospect, t Task, line *estimate.Regression, now time.Time) float64 {
 	cost := p.expected() + occupancy*p.occupies(t, line) + jitter*rand.Float64()
 	cost += p.state.health.cost(now, p.expected())
 	if p.server.DataHall != b.dataHall {
@@ -206,22 +206,22 @@
 // that came to an idle engine within 12 ms, both took 58 ms (medians of 26 pairs).
 // Counted as if it kept the engine busy, it was nine tenths of a short prompt's
 // work for a quick model, and most waits were made up.
-func (p prospect) occupies(t Task, line *estimate.Line) float64 {
-	if t.Tokens > 0 {
-		return line.Rate() * float64(t.Tokens-p.held)
+func (p prospect) occupies(t Task, line *estimate.Regression) float64 {
+	if t.PromptTokens > 0 {
+		return line.Rate() * float64(t.PromptTokens-p.held)
 	}
 	return p.takes / float64(max(1, p.server.Slots))
 }
 
 // use counts one request at a server.
-func (b *Balancer) use(p prospect, t Task, now time.Time) *Use {
-	u := &Use{
+func (b *Balancer) use(p prospect, t Task, now time.Time) *Assignment {
+	u := &Assignment{
 		balancer: b,
 		server:   p.server,
 		state:    p.state,
 		kind:     t.Kind,
 		prompt:   t.Prompt,
-		tokens:   t.Tokens,
+		tokens:   t.PromptTokens,
 		held:     p.held,
 		wait:     p.wait,
 		takes:    p.takes,
@@ -241,7 +241,7 @@
 
 // homeWorth is the wait that the preferred server of a task may be behind, in
 // milliseconds, if it holds so many tokens of the prompt for sure.
-func homeWorth(t Task, line *estimate.Line, held int) float64 {
+func homeWorth(t Task, line *estimate.Regression, held int) float64 {
 	unknown := max(0, t.Prompt.Shared().Tokens()-held)
 	return homeShare * (1 + occupancy) * line.Rate() * float64(unknown)
 }
@@ -249,7 +249,7 @@
 // home returns the server that all nodes prefer for a prompt's shared parts: of
 // all servers where that is worth more than the bytes between data halls, and
 // otherwise of this data hall.
-func (b *Balancer) home(t Task, line *estimate.Line) string {
+func (b *Balancer) home(t Task, line *estimate.Regression) string {
 	shared := t.Prompt.Shared()
 	if len(shared) == 0 {
 		return ""
@@ -269,10 +269,10 @@
 }
 
 // line returns what is known of how long answers of a task's kind take.
-func (b *Balancer) line(t Task) *estimate.Line {
+func (b *Balancer) line(t Task) *estimate.Regression {
 	l := b.lines[t.Kind]
 	if l == nil {
-		l = estimate.New(t.Assumed.Base, t.Assumed.Rate)
+		l = estimate.New(t.Initial.Base, t.Initial.Rate)
 		b.lines[t.Kind] = l
 	}
 	return l
@@ -282,21 +282,21 @@
 func (b *Balancer) state(server uint64) *known {
 	s := b.servers[server]
 	if s == nil {
-		s = &known{cache: prefix.NewMemory()}
+		s = &known{cache: prefix.NewCacheTracker()}
 		b.servers[server] = s
 	}
 	return s
 }
 
-// Heard takes that another node has sent a prompt to a server.
-func (b *Balancer) Heard(s share.Send) {
+// ObserveSend takes that another node has sent a prompt to a server.
+func (b *Balancer) ObserveSend(s share.Send) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state(s.Server).heard(float64(s.Work), s.Prompt, time.Now().Add(-s.Age()))
 }
 
-// Keep forgets all servers but those listed and those in use.
-func (b *Balancer) Keep(incarnations map[registry.Incarnation]bool) {
+// Retain forgets all servers but those listed and those in use.
+func (b *Balancer) Retain(incarnations map[registry.Incarnation]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	kept := make(map[uint64]bool, len(incarnations))
--- a/route/balancer_test.go
+++ b/route/balancer_test.go
@@ -24,10 +24,10 @@
 // taking is a task of a prompt of one token that takes that many milliseconds to
 // read.
 func taking(servers []registry.Server, work float64) route.Task {
-	return route.Task{Servers: servers, Tokens: 1, Bytes: 4000, Kind: fmt.Sprint(work), Assumed: route.Assumption{Rate: work}}
+	return route.Task{Servers: servers, PromptTokens: 1, BodyBytes: 4000, Kind: fmt.Sprint(work), Initial: route.InitialEstimate{Rate: work}}
 }
 
-func choose(t *testing.T, b *route.Balancer, task route.Task) *route.Use {
+func choose(t *testing.T, b *route.Balancer, task route.Task) *route.Assignment {
 	use, err := b.Choose(task)
 	must.NoError(t, err)
 	return use
@@ -56,8 +56,8 @@
 	for range 10 {
 		must.NotEq(t, long.Server().ID, choose(t, b, taking(halls[:2], 10)).Server().ID)
 	}
-	long.Begin()
-	long.Begin()
+	long.RecordResponseStart()
+	long.RecordResponseStart()
 	for range 5 {
 		must.Eq(t, long.Server().ID, choose(t, b, taking(halls[:2], 10)).Server().ID)
 	}
@@ -68,7 +68,7 @@
 func TestBalancerHome(t *testing.T) {
 	task := func(own int) route.Task {
 		parts := []prefix.Part{{ID: "shared", Tokens: 5000}, {ID: fmt.Sprint(own), Tokens: 1500}}
-		return route.Task{Servers: halls, Tokens: 6500, Bytes: 6500, Prompt: prefix.NewChain("m", parts), Assumed: route.Assumption{Rate: 0.02}}
+		return route.Task{Servers: halls, PromptTokens: 6500, BodyBytes: 6500, Prompt: prefix.NewChain("m", parts), Initial: route.InitialEstimate{Rate: 0.02}}
 	}
 	first := choose(t, balancer(), task(0)).Server().ID
 	for i := range 20 {
@@ -88,7 +88,7 @@
 func TestBalancerTold(t *testing.T) {
 	b := balancer()
 	use := choose(t, b, taking(halls[:2], 1))
-	use.Tell(route.Load{Running: 5, Waiting: 4, Slots: 8})
+	use.RecordLoad(route.Load{Running: 5, Waiting: 4, Slots: 8})
 	use.End(route.OutcomeOK)
 	for range 10 {
 		next := choose(t, b, taking(halls[:2], 1))
@@ -118,7 +118,7 @@
 func TestBalancerKeep(t *testing.T) {
 	b := balancer()
 	use := choose(t, b, taking(halls[:1], 100))
-	b.Keep(map[registry.Incarnation]bool{})
+	b.Retain(map[registry.Incarnation]bool{})
 	must.Eq(t, "near-2", choose(t, b, taking(halls[:2], 1)).Server().ID)
 	use.End(route.OutcomeOK)
 }
@@ -131,22 +131,22 @@
 		b := balancer()
 		task := func(own string) route.Task {
 			parts := []prefix.Part{{ID: "shared", Tokens: 5000}, {ID: own, Tokens: 1500}}
-			return route.Task{Servers: halls[:2], Tokens: 6500, Prompt: prefix.NewChain("m", parts), Assumed: route.Assumption{Rate: 0.02}}
+			return route.Task{Servers: halls[:2], PromptTokens: 6500, Prompt: prefix.NewChain("m", parts), Initial: route.InitialEstimate{Rate: 0.02}}
 		}
 		for _, far := range []string{"near-1", "near-2"} {
-			b.Heard(share.Send{Server: registry.Incarnation{ID: far}.Hash(), Work: 1000})
+			b.ObserveSend(share.Send{Server: registry.Incarnation{ID: far}.Hash(), Work: 1000})
 		}
-		b.Heard(share.Send{Server: registry.Incarnation{ID: "near-2"}.Hash(), Work: 1000, Prompt: task("x").Prompt.Shared()})
+		b.ObserveSend(share.Send{Server: registry.Incarnation{ID: "near-2"}.Hash(), Work: 1000, Prompt: task("x").Prompt.Shared()})
 		first := choose(t, b, task("a"))
 		must.Eq(t, "near-1", first.Server().ID)
-		must.Between(t, time.Second, first.Waits(), 1100*time.Millisecond)
-		time.Sleep(first.Expected())
-		first.Begin()
+		must.Between(t, time.Second, first.ExpectedWait(), 1100*time.Millisecond)
+		time.Sleep(first.ExpectedLatency())
+		first.RecordResponseStart()
 		first.End(route.OutcomeOK)
 		time.Sleep(2 * time.Second)
 		second := choose(t, b, task("b"))
-		must.Eq(t, 5000, second.Held())
-		must.Less(t, 100*time.Millisecond, second.Expected())
+		must.Eq(t, 5000, second.CachedTokens())
+		must.Less(t, 100*time.Millisecond, second.ExpectedLatency())
 	})
 }
 
@@ -156,7 +156,7 @@
 	var told []share.Send
 	b := route.NewBalancer("near", func(string) {}, route.WithAnnouncer(func(s share.Send, _ float64) { told = append(told, s) }))
 	prompt := prefix.NewChain("m", []prefix.Part{{ID: "shared", Tokens: 500}, {ID: "own", Tokens: 100}})
-	choose(t, b, route.Task{Servers: halls[:1], Tokens: 600, Prompt: prompt, Assumed: route.Assumption{Rate: 0.1}})
+	choose(t, b, route.Task{Servers: halls[:1], PromptTokens: 600, Prompt: prompt, Initial: route.InitialEstimate{Rate: 0.1}})
 	choose(t, b, route.Task{Servers: halls[:1]})
 	must.Len(t, 1, told)
 	must.Eq(t, registry.Incarnation{ID: "near-1"}.Hash(), told[0].Server)
@@ -172,11 +172,11 @@
 		only := taking(halls[:1], 50)
 		choose(t, b, only) // never answered
 		next := choose(t, b, only)
-		time.Sleep(next.Expected())
-		next.Begin()
+		time.Sleep(next.ExpectedLatency())
+		next.RecordResponseStart()
 		next.End(route.OutcomeOK)
 		time.Sleep(2 * time.Second)
-		must.Less(t, 10*time.Millisecond, choose(t, b, only).Waits())
+		must.Less(t, 10*time.Millisecond, choose(t, b, only).ExpectedWait())
 	})
 }
 
@@ -186,16 +186,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := balancer()
 		task := func(tokens int) route.Task {
-			return route.Task{Servers: halls[:1], Tokens: tokens, Kind: "m", Assumed: route.Assumption{Base: 30, Rate: 0.001}}
+			return route.Task{Servers: halls[:1], PromptTokens: tokens, Kind: "m", Initial: route.InitialEstimate{Base: 30, Rate: 0.001}}
 		}
 		for i := range 60 {
 			tokens := 1000 * (1 + i%10)
 			use := choose(t, b, task(tokens))
 			time.Sleep(time.Duration(20+tokens/20) * time.Millisecond)
-			use.Begin()
+			use.RecordResponseStart()
 			use.End(route.OutcomeOK)
 			time.Sleep(time.Second)
 		}
-		must.Between(t, 450*time.Millisecond, choose(t, b, task(9000)).Expected(), 500*time.Millisecond)
+		must.Between(t, 450*time.Millisecond, choose(t, b, task(9000)).ExpectedLatency(), 500*time.Millisecond)
 	})
 }
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -62,13 +62,13 @@
 	for i := 0; b.Loop(); i++ {
 		parts := []prefix.Part{{ID: fmt.Sprint("top", i%4), Tokens: 2500}, {ID: fmt.Sprint("sub", i%40), Tokens: 3800}, {ID: fmt.Sprint(i), Tokens: 2900}}
 		use, err := balancer.Choose(route.Task{
-			Servers: servers, Kind: "m", Tokens: 9200, Prompt: prefix.NewChain("m", parts), Capacity: 460000,
-			Assumed: route.Assumption{Base: 30, Rate: 0.01},
+			Servers: servers, Kind: "m", PromptTokens: 9200, Prompt: prefix.NewChain("m", parts), CacheCapacity: 460000,
+			Initial: route.InitialEstimate{Base: 30, Rate: 0.01},
 		})
 		if err != nil {
 			b.Fatal(err)
 		}
-		use.Begin()
+		use.RecordResponseStart()
 		use.End(route.OutcomeOK)
 	}
 }
--- a/route/health_test.go
+++ b/route/health_test.go
@@ -14,7 +14,7 @@
 var twoServers = []registry.Server{{ID: "good", DataHall: "near"}, {ID: "bad", DataHall: "near"}}
 
 // briefTask is one whose answer takes 50 ms at an idle server.
-var briefTask = route.Task{Servers: twoServers, Tokens: 1, Kind: "brief/small", Assumed: route.Assumption{Base: 50}}
+var briefTask = route.Task{Servers: twoServers, PromptTokens: 1, Kind: "brief/small", Initial: route.InitialEstimate{Base: 50}}
 
 // serve lets each server answer after its own time, and returns how many of the
 // last requests went to each.
@@ -24,7 +24,7 @@
 		use := choose(t, b, briefTask)
 		counts[use.Server().ID]++
 		time.Sleep(takes[use.Server().ID])
-		use.Begin()
+		use.RecordResponseStart()
 		use.End(route.OutcomeOK)
 	}
 	return counts
@@ -61,8 +61,8 @@
 					bad++
 				}
 				time.Sleep(10 * time.Millisecond)
-				use.Begin()
-				use.Failed(failed)
+				use.RecordResponseStart()
+				use.RecordResult(failed)
 				use.End(route.OutcomeNeutral)
 			}
 			return bad
@@ -83,7 +83,7 @@
 		for range 20 {
 			use := choose(t, b, briefTask)
 			must.NotEq(t, stuck.Server().ID, use.Server().ID)
-			use.Begin()
+			use.RecordResponseStart()
 			use.End(route.OutcomeOK)
 		}
 	})
@@ -95,14 +95,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		var opened []string
 		b := route.NewBalancer("near", func(server string) { opened = append(opened, server) })
-		only := route.Task{Servers: twoServers[:1], Tokens: 1, Kind: "brief/small", Assumed: route.Assumption{Base: 50}}
+		only := route.Task{Servers: twoServers[:1], PromptTokens: 1, Kind: "brief/small", Initial: route.InitialEstimate{Base: 50}}
 		stall := func(others bool) {
 			late := choose(t, b, only)
 			time.Sleep(time.Second)
 			if others {
-				choose(t, b, only).Begin()
+				choose(t, b, only).RecordResponseStart()
 			}
-			late.Stall()
+			late.EndStalled()
 		}
 		for range 5 {
 			stall(true)
@@ -119,11 +119,11 @@
 func TestLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancer()
-		must.Eq(t, 0, choose(t, b, briefTask).Late(), must.Sprint("nothing is known yet"))
+		must.Eq(t, 0, choose(t, b, briefTask).LateAfter(), must.Sprint("nothing is known yet"))
 		b = balancer()
 		serve(t, b, map[string]time.Duration{"good": 100 * time.Millisecond, "bad": 100 * time.Millisecond}, 50)
 		use := choose(t, b, briefTask)
-		must.Between(t, 90*time.Millisecond, use.Expected(), 110*time.Millisecond)
-		must.Between(t, 100*time.Millisecond, use.Late(), 200*time.Millisecond)
+		must.Between(t, 90*time.Millisecond, use.ExpectedLatency(), 110*time.Millisecond)
+		must.Between(t, 100*time.Millisecond, use.LateAfter(), 200*time.Millisecond)
 	})
 }
--- a/route/herd_test.go
+++ b/route/herd_test.go
@@ -113,7 +113,7 @@
 		s.AgeMillis = uint32(time.Since(sent).Milliseconds())
 		for i, n := range h.nodes {
 			if i != from {
-				n.Heard(s)
+				n.ObserveSend(s)
 			}
 		}
 	})
@@ -127,8 +127,8 @@
 	rate := []float64{0.0065, 0.033}[rand.IntN(10)/7]
 	id := fmt.Sprint(rand.Uint64())
 	use, err := node.Choose(route.Task{
-		Servers: h.servers, Kind: fmt.Sprint(rate), Assumed: route.Assumption{Base: 10, Rate: rate},
-		Prompt: prefix.NewChain("m", []prefix.Part{{ID: id, Tokens: tokens}}), Tokens: tokens, Bytes: tokens,
+		Servers: h.servers, Kind: fmt.Sprint(rate), Initial: route.InitialEstimate{Base: 10, Rate: rate},
+		Prompt: prefix.NewChain("m", []prefix.Part{{ID: id, Tokens: tokens}}), PromptTokens: tokens, BodyBytes: tokens,
 	})
 	if err != nil {
 		panic(err)
@@ -144,8 +144,8 @@
 	e.waiting++
 	h.events.after(e.free.Sub(began), func() { e.waiting-- })
 	h.events.after(e.free.Sub(began)+besideReading, func() {
-		use.Tell(route.Load{Running: 4, Waiting: e.waiting, Slots: 16})
-		use.Begin()
+		use.RecordLoad(route.Load{Running: 4, Waiting: e.waiting, Slots: 16})
+		use.RecordResponseStart()
 		use.End(route.OutcomeOK)
 		if counts {
 			h.counted++
--- a/route/known.go
+++ b/route/known.go
@@ -40,7 +40,7 @@
 	// inflight are this node's own requests, waiting those of them whose answer
 	// has not begun, in the order in which they were sent.
 	inflight int
-	waiting  []*Use
+	waiting  []*Assignment
 	// free is when the server will be through with all that it is known to
 	// have got.
 	free time.Time
@@ -58,7 +58,7 @@
 	// a request was sent to a server that had none of this node waiting.
 	progress time.Time
 
-	cache   *prefix.Memory
+	cache   *prefix.CacheTracker
 	health  health
 	breaker breaker
 }
@@ -76,7 +76,7 @@
 		since := s.waiting[0].ready
 		if !s.waiting[0].serial() {
 			// One of those that are served side by side says little by itself.
-			since = later(since, s.progress.Add(usualSilence*s.waiting[0].Expected()))
+			since = later(since, s.progress.Add(usualSilence*s.waiting[0].ExpectedLatency()))
 		}
 		wait += math.Max(0, inMilliseconds(now.Sub(since)))
 	}
@@ -86,7 +86,7 @@
 }
 
 // send counts a request of this node.
-func (s *known) send(u *Use, now time.Time) {
+func (s *known) send(u *Assignment, now time.Time) {
 	if len(s.waiting) == 0 {
 		s.progress = now
 	}
@@ -96,22 +96,22 @@
 		blocks = u.occupies
 	}
 	s.typical += typicalMemory * (blocks - s.typical)
-	u.ready = now.Add(u.Expected())
+	u.ready = now.Add(u.ExpectedLatency())
 	s.inflight++
 	s.waiting = append(s.waiting, u)
-	s.cache.Read(u.prompt)
+	s.cache.Insert(u.prompt)
 }
 
 // heard counts a request of another node.
 func (s *known) heard(occupies float64, prompt prefix.Chain, sent time.Time) {
 	s.free = later(s.free, sent).Add(milliseconds(occupies))
-	s.cache.Read(prompt)
+	s.cache.Insert(prompt)
 }
 
 // begin takes a request off those that wait. Those that were sent after it are
 // ready as much later than expected as it was; one that has gone without an
 // answer leaves its time to them.
-func (s *known) begin(u *Use, answered bool, now time.Time) {
+func (s *known) begin(u *Assignment, answered bool, now time.Time) {
 	at := slices.Index(s.waiting, u)
 	if at < 0 {
 		return
--- a/route/restart_test.go
+++ b/route/restart_test.go
@@ -19,13 +19,13 @@
 	second.Born = 2000
 	parts := []prefix.Part{{ID: "shared", Tokens: 5000}, {ID: "own", Tokens: 1000}}
 	task := func(s registry.Server) route.Task {
-		return route.Task{Servers: []registry.Server{s}, Kind: "m", Tokens: 6000, Prompt: prefix.NewChain("m", parts), Assumed: route.Assumption{Base: 30, Rate: 0.05}}
+		return route.Task{Servers: []registry.Server{s}, Kind: "m", PromptTokens: 6000, Prompt: prefix.NewChain("m", parts), Initial: route.InitialEstimate{Base: 30, Rate: 0.05}}
 	}
 	for name, before := range map[string]func(t *testing.T, b *route.Balancer){
 		"nothing": func(*testing.T, *route.Balancer) {},
 		"a prompt that it has read": func(t *testing.T, b *route.Balancer) {
 			use := choose(t, b, task(first))
-			use.Begin()
+			use.RecordResponseStart()
 			use.End(route.OutcomeOK)
 		},
 		"a request under way": func(t *testing.T, b *route.Balancer) { choose(t, b, task(first)) },
@@ -36,28 +36,28 @@
 		},
 		"slow answers": func(t *testing.T, b *route.Balancer) {
 			for range 2 {
-				choose(t, b, task(first)).Stall()
+				choose(t, b, task(first)).EndStalled()
 			}
 		},
 		"a load that it told": func(t *testing.T, b *route.Balancer) {
 			use := choose(t, b, task(first))
-			use.Tell(route.Load{Running: 8, Waiting: 50, Slots: 8})
+			use.RecordLoad(route.Load{Running: 8, Waiting: 50, Slots: 8})
 			use.End(route.OutcomeNeutral)
 		},
 		"what another node has sent": func(_ *testing.T, b *route.Balancer) {
-			b.Heard(share.Send{Server: first.Incarnation().Hash(), Work: 5000, Prompt: task(first).Prompt.Shared()})
+			b.ObserveSend(share.Send{Server: first.Incarnation().Hash(), Work: 5000, Prompt: task(first).Prompt.Shared()})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := balancer()
 			before(t, b)
 			// What a kind of request takes is learned of all servers, and stays.
-			takes := b.Forecast(task(second)).Takes
-			b.Keep(map[registry.Incarnation]bool{second.Incarnation(): true})
+			takes := b.Forecast(task(second)).ServiceTime
+			b.Retain(map[registry.Incarnation]bool{second.Incarnation(): true})
 			use := choose(t, b, task(second))
-			must.Eq(t, 0, use.Held())
-			must.Eq(t, 0, use.Waits())
-			must.Eq(t, takes, use.Takes())
+			must.Eq(t, 0, use.CachedTokens())
+			must.Eq(t, 0, use.ExpectedWait())
+			must.Eq(t, takes, use.ExpectedServiceTime())
 		})
 	}
 }
--- a/route/use.go
+++ b/route/use.go
@@ -9,8 +9,8 @@
 	"github.com/violettally/violettally/registry"
 )
 
-// Use is one request at a server.
-type Use struct {
+// Assignment is one request at a server.
+type Assignment struct {
 	balancer *Balancer
 	server   registry.Server
 	state    *known
@@ -33,45 +33,45 @@
 }
 
 // Server returns the chosen server.
-func (u *Use) Server() registry.Server { return u.server }
+func (u *Assignment) Server() registry.Server { return u.server }
 
-// Tell takes the load that the server told on its answer.
-func (u *Use) Tell(l Load) { u.balancer.tell(u.state, l) }
+// RecordLoad takes the load that the server told on its answer.
+func (u *Assignment) RecordLoad(l Load) { u.balancer.tell(u.state, l) }
 
-// Late returns how long after it was sent a request's answer is later than
+// LateAfter returns how long after it was sent a request's answer is later than
 // almost all of its kind; zero while too little is known.
-func (u *Use) Late() time.Duration { return u.late }
+func (u *Assignment) LateAfter() time.Duration { return u.late }
 
-// Expected returns how long after it was sent the answer was expected to begin.
-func (u *Use) Expected() time.Duration { return milliseconds(u.wait + u.takes) }
+// ExpectedLatency returns how long after it was sent the answer was expected to begin.
+func (u *Assignment) ExpectedLatency() time.Duration { return milliseconds(u.wait + u.takes) }
 
-// Waits returns which part of Expected the request was expected to wait until
+// ExpectedWait returns which part of Expected the request was expected to wait until
 // the server turns to it.
-func (u *Use) Waits() time.Duration { return milliseconds(u.wait) }
+func (u *Assignment) ExpectedWait() time.Duration { return milliseconds(u.wait) }
 
-// Takes returns which part of Expected is left after that.
-func (u *Use) Takes() time.Duration { return milliseconds(u.takes) }
+// ExpectedServiceTime returns which part of Expected is left after that.
+func (u *Assignment) ExpectedServiceTime() time.Duration { return milliseconds(u.takes) }
 
-// Held returns how many tokens of the prompt the server was believed to have.
-func (u *Use) Held() int { return u.held }
+// CachedTokens returns how many tokens of the prompt the server was believed to have.
+func (u *Assignment) CachedTokens() int { return u.held }
 
 // serial reports whether the server turns to one such request after the other.
-func (u *Use) serial() bool { return u.tokens > 0 }
+func (u *Assignment) serial() bool { return u.tokens > 0 }
 
-// Begin tells that the server's answer has begun.
-func (u *Use) Begin() {
+// RecordResponseStart tells that the server's answer has begun.
+func (u *Assignment) RecordResponseStart() {
 	u.begin.Do(func() { u.balancer.begin(u, true) })
 }
 
-// Progress tells that the server has given a piece of some answer.
-func (u *Use) Progress() { u.balancer.progress(u.state) }
+// RecordProgress tells that the server has given a piece of some answer.
+func (u *Assignment) RecordProgress() { u.balancer.progress(u.state) }
 
-// Failed tells whether the server answered with a failure of its own.
-func (u *Use) Failed(failed bool) { u.balancer.failed(u.state, failed) }
+// RecordResult tells whether the server answered with a failure of its own.
+func (u *Assignment) RecordResult(failed bool) { u.balancer.failed(u.state, failed) }
 
-// Stall tells that the request was taken away since its answer, or the rest of
+// EndStalled tells that the request was taken away since its answer, or the rest of
 // it, was late. A server that has begun no other answer meanwhile has failed.
-func (u *Use) Stall() {
+func (u *Assignment) EndStalled() {
 	if u.balancer.stalled(u) {
 		u.End(OutcomeFailed)
 		return
@@ -80,7 +80,7 @@
 }
 
 // End tells how the request ended, as far as the server is concerned.
-func (u *Use) End(outcome Outcome) {
+func (u *Assignment) End(outcome Outcome) {
 	u.begin.Do(func() { u.balancer.begin(u, false) })
 	u.end.Do(func() { u.balancer.end(u, outcome) })
 }
@@ -94,7 +94,7 @@
 
 // begin takes a request off those that wait at a server, and learns from an
 // answer that has begun.
-func (b *Balancer) begin(u *Use, answered bool) {
+func (b *Balancer) begin(u *Assignment, answered bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
@@ -102,18 +102,18 @@
 		u.state.progress = now
 		u.state.health.learnWait(now, b.learn(u, now))
 	} else {
-		u.state.cache.Forget(u.prompt)
+		u.state.cache.Remove(u.prompt)
 	}
 	u.state.begin(u, answered, now)
 }
 
 // learn takes how long an answer has taken to begin. It returns how many times
 // longer than usual that is.
-func (b *Balancer) learn(u *Use, now time.Time) float64 {
+func (b *Balancer) learn(u *Assignment, now time.Time) float64 {
 	line := b.lines[u.kind]
 	took := math.Max(0, u.takes+inMilliseconds(now.Sub(u.ready)))
 	size := float64(u.tokens - u.held)
-	if whole := float64(u.tokens); u.held > 0 && math.Abs(took-line.At(whole)) < math.Abs(took-line.At(size)) {
+	if whole := float64(u.tokens); u.held > 0 && math.Abs(took-line.Predict(whole)) < math.Abs(took-line.Predict(size)) {
 		// It took as long as reading all of it: the server did not have it.
 		size = whole
 	}
@@ -121,7 +121,7 @@
 	// is larger than what is to be learned.
 	total := inMilliseconds(now.Sub(u.started))
 	share := u.takes / (u.takes + math.Max(u.wait, total-u.takes))
-	line.Learn(size, took, share*share)
+	line.AddSample(size, took, share*share)
 	return b.waits.learn(u.kind, total/math.Max(1, u.wait+u.takes))
 }
 
@@ -141,7 +141,7 @@
 
 // stalled counts a request whose answer was late against its server. It
 // reports whether the server has given no piece of an answer since it was sent.
-func (b *Balancer) stalled(u *Use) bool {
+func (b *Balancer) stalled(u *Assignment) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	u.state.health.learnWait(time.Now(), slowest)
@@ -149,7 +149,7 @@
 }
 
 // end takes a request off a server, and lets its breaker judge the outcome.
-func (b *Balancer) end(u *Use, outcome Outcome) {
+func (b *Balancer) end(u *Assignment, outcome Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := u.state
