--- a/estimate/estimate.go
+++ b/estimate/estimate.go
@@ -18,25 +18,25 @@
 import "math"
 
 const (
-	// memory is the number of samples after which an older one counts for 1/e.
+	// decaySamples is the number of samples after which an older one counts for 1/e.
 	// A node of a small deployment sees that many of one model in ten seconds.
-	memory = 40.0
+	decaySamples = 40.0
 	// priorWeight is what the assumed line counts for, in samples.
 	priorWeight = 0.5
 	// priorSize is the second point at which the assumed line is laid down,
 	// beside zero.
 	priorSize = 4000.0
-	// sizeScale is the size at which a sample counts for half of an empty one:
+	// halfWeightSize is the size at which a sample counts for half of an empty one:
 	// larger work is further off in absolute terms.
-	sizeScale = 1000.0
-	// outlier is how many mean deviations from the line a sample may lie;
+	halfWeightSize = 1000.0
+	// maxDeviations is how many mean deviations from the line a sample may lie;
 	// beyond, it is taken as if it lay there.
-	outlier = 4.0
-	// deviationMemory is the weight of one sample in the mean deviation, as in
+	maxDeviations = 4.0
+	// deviationSmoothing is the weight of one sample in the mean deviation, as in
 	// RFC 6298.
-	deviationMemory = 0.25
-	// sureSamples are needed before outliers are bounded.
-	sureSamples = 6
+	deviationSmoothing = 0.25
+	// minOutlierSamples are needed before outliers are bounded.
+	minOutlierSamples = 6
 )
 
 // Regression is a time in milliseconds as a linear function of a size. Its zero
@@ -78,14 +78,14 @@
 	}
 	expected := math.Max(1, l.Predict(size))
 	off := (took - expected) / expected
-	if l.samples >= sureSamples {
-		bound := outlier * l.deviation
+	if l.samples >= minOutlierSamples {
+		bound := maxDeviations * l.deviation
 		off = math.Max(-bound, math.Min(bound, off))
 		took = expected + off*expected
 	}
 	l.samples++
-	l.deviation += deviationMemory * weight * (math.Min(1, math.Abs(off)) - l.deviation)
-	decay := math.Exp(-weight / memory)
+	l.deviation += deviationSmoothing * weight * (math.Min(1, math.Abs(off)) - l.deviation)
+	decay := math.Exp(-weight / decaySamples)
 	for _, sum := range []*float64{&l.w, &l.x, &l.y, &l.xx, &l.xy} {
 		*sum *= decay
 	}
@@ -95,7 +95,7 @@
 
 // add counts one sample.
 func (l *Regression) add(size, took, weight float64) {
-	weight /= 1 + size/sizeScale
+	weight /= 1 + size/halfWeightSize
 	l.w += weight
 	l.x += weight * size
 	l.y += weight * took
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -85,9 +85,9 @@
 	order   *list.List
 }
 
-// entriesMax bounds the parts remembered of one engine: at some 150 bytes each,
+// maxEntries bounds the parts remembered of one engine: at some 150 bytes each,
 // those of 150 engines take 11 MB at most.
-const entriesMax = 500
+const maxEntries = 500
 
 // NewCacheTracker returns the memory of an engine that has read nothing.
 func NewCacheTracker() *CacheTracker {
@@ -113,10 +113,10 @@
 func (m *CacheTracker) Insert(c Chain) {
 	// The later parts come first, so that a beginning outlives what follows it.
 	for i := len(c) - 1; i >= 0; i-- {
-		m.use(c[i])
+		m.touch(c[i])
 	}
-	for m.order.Len() > entriesMax || (m.capacity > 0 && m.tokens > m.capacity && m.order.Len() > len(c)) {
-		m.drop(m.order.Back())
+	for m.order.Len() > maxEntries || (m.capacity > 0 && m.tokens > m.capacity && m.order.Len() > len(c)) {
+		m.evict(m.order.Back())
 	}
 }
 
@@ -125,12 +125,12 @@
 func (m *CacheTracker) Remove(c Chain) {
 	for _, mark := range c {
 		if e := m.entries[mark.Hash]; e != nil {
-			m.drop(e)
+			m.evict(e)
 		}
 	}
 }
 
-func (m *CacheTracker) use(mark Block) {
+func (m *CacheTracker) touch(mark Block) {
 	if e := m.entries[mark.Hash]; e != nil {
 		m.order.MoveToFront(e)
 		return
@@ -139,7 +139,7 @@
 	m.tokens += mark.Tokens
 }
 
-func (m *CacheTracker) drop(e *list.Element) {
+func (m *CacheTracker) evict(e *list.Element) {
 	mark := m.order.Remove(e).(Block)
 	delete(m.entries, mark.Hash)
 	m.tokens -= mark.Tokens
--- a/route/balancer.go
+++ b/route/balancer.go
@@ -16,20 +16,20 @@
 
 // The balancer weighs servers in milliseconds of waiting.
 const (
-	// hallPenalty is the wait that a server of this node's data hall may be
+	// crossHallPenaltyMS is the wait that a server of this node's data hall may be
 	// behind one elsewhere, and hallPenaltyPerByte that for each byte of the
 	// request: bytes between data halls are paid for.
-	hallPenalty        = 40.0
-	hallPenaltyPerByte = 0.02
-	// occupancy is the wait, for each millisecond that a server is kept busy,
+	crossHallPenaltyMS        = 40.0
+	crossHallPenaltyMSPerByte = 0.02
+	// blockingWeight is the wait, for each millisecond that a server is kept busy,
 	// that a choice is worth to those who come after: reading what another
 	// server has already holds up all that wait behind it.
-	occupancy = 1.0
-	// homeShare is the chance that the server which all nodes prefer for a
+	blockingWeight = 1.0
+	// homeHitProbability is the chance that the server which all nodes prefer for a
 	// prompt's shared parts has those that this node has not sent there.
-	homeShare = 0.5
-	// jitter parts servers that are equal otherwise.
-	jitter = 5.0
+	homeHitProbability = 0.5
+	// jitterMS parts servers that are equal otherwise.
+	jitterMS = 5.0
 )
 
 // Task is what the choice for one request depends on.
@@ -54,9 +54,11 @@
 	Exclude map[registry.Incarnation]bool
 }
 
-// hallPenalty is the wait in milliseconds that passing the task to another data
+// crossHallPenalty is the wait in milliseconds that passing the task to another data
 // hall is worth avoiding.
-func (t Task) hallPenalty() float64 { return hallPenalty + hallPenaltyPerByte*float64(t.BodyBytes) }
+func (t Task) crossHallPenalty() float64 {
+	return crossHallPenaltyMS + crossHallPenaltyMSPerByte*float64(t.BodyBytes)
+}
 
 // InitialEstimate is a first guess of how long an answer takes to begin.
 type InitialEstimate struct {
@@ -68,15 +70,15 @@
 // [Chooser] it looks at all servers of a service: what it knows of them costs
 // no calls. It is safe for concurrent use.
 type Balancer struct {
-	dataHall string
-	opened   func(server string)
-	announce func(s share.Send, news float64)
+	dataHall      string
+	onBreakerOpen func(server string)
+	announce      func(s share.Send, news float64)
 
 	mu sync.Mutex
 	// servers are by the hash of their incarnation, lines and waits by kind of request.
-	servers map[uint64]*known
-	lines   map[string]*estimate.Regression
-	waits   waits
+	servers       map[uint64]*balancerServer
+	regressions   map[string]*estimate.Regression
+	latencyRatios latencyRatios
 }
 
 // BalancerOption changes a Balancer as NewBalancer makes it.
@@ -93,12 +95,12 @@
 // called for each server that a breaker takes out.
 func NewBalancer(dataHall string, opened func(server string), options ...BalancerOption) *Balancer {
 	b := &Balancer{
-		dataHall: dataHall,
-		opened:   opened,
-		announce: func(share.Send, float64) {},
-		servers:  make(map[uint64]*known),
-		lines:    make(map[string]*estimate.Regression),
-		waits:    make(waits),
+		dataHall:      dataHall,
+		onBreakerOpen: opened,
+		announce:      func(share.Send, float64) {},
+		servers:       make(map[uint64]*balancerServer),
+		regressions:   make(map[string]*estimate.Regression),
+		latencyRatios: make(latencyRatios),
 	}
 	for _, option := range options {
 		option(b)
@@ -106,19 +108,19 @@
 	return b
 }
 
-// prospect is what a server would do with a task, in milliseconds.
-type prospect struct {
+// prediction is what a server would do with a task, in milliseconds.
+type prediction struct {
 	server registry.Server
-	state  *known
+	state  *balancerServer
 	// wait is how long the request waits until the server turns to it, takes
 	// how long the answer takes to begin from then on.
-	wait, takes float64
-	// held is how many tokens of the prompt the server is believed to have.
-	held int
+	wait, serviceTime float64
+	// cachedTokens is how many tokens of the prompt the server is believed to have.
+	cachedTokens int
 }
 
-// expected is how long the answer takes to begin, in milliseconds.
-func (p prospect) expected() float64 { return p.wait + p.takes }
+// latency is how long the answer takes to begin, in milliseconds.
+func (p prediction) latency() float64 { return p.wait + p.serviceTime }
 
 // Forecast is what a task would find.
 type Forecast struct {
@@ -139,7 +141,7 @@
 	if !ok {
 		return Forecast{}
 	}
-	return Forecast{Wait: milliseconds(best.wait), ServiceTime: milliseconds(best.takes)}
+	return Forecast{Wait: durationFromMS(best.wait), ServiceTime: durationFromMS(best.serviceTime)}
 }
 
 // Choose returns the server for one request.
@@ -151,20 +153,20 @@
 	if !ok {
 		return nil, errs.New(NoServer, "choose", "none of %d servers can take the request", len(t.Servers))
 	}
-	return b.use(best, t, now), nil
+	return b.assign(best, t, now), nil
 }
 
 // best returns the server whose choice costs least, of those that are drawn.
-func (b *Balancer) best(t Task, now time.Time) (best prospect, ok bool) {
-	line := b.line(t)
+func (b *Balancer) best(t Task, now time.Time) (best prediction, ok bool) {
+	line := b.regression(t)
 	home := b.home(t, line)
 	bestCost := math.Inf(1)
 	for _, c := range b.shortlist(t, home, now) {
-		p := prospect{server: t.Servers[c.at], state: c.state, wait: c.state.wait(now), held: c.held}
-		p.takes = line.Predict(float64(t.PromptTokens - p.held))
+		p := prediction{server: t.Servers[c.index], state: c.state, wait: c.state.queueWait(now), cachedTokens: c.cachedTokens}
+		p.serviceTime = line.Predict(float64(t.PromptTokens - p.cachedTokens))
 		cost := b.cost(p, t, line, now)
 		if p.server.ID == home {
-			cost -= homeWorth(t, line, p.held)
+			cost -= homeBonus(t, line, p.cachedTokens)
 		}
 		if cost < bestCost {
 			best, bestCost, ok = p, cost, true
@@ -183,67 +185,67 @@
 		if t.Exclude[incarnation] || !state.breaker.allows(now) {
 			continue
 		}
-		c := candidate{at: i, state: state, held: min(state.cache.CachedTokens(t.Prompt), t.PromptTokens)}
-		l.offer(c, s.DataHall == b.dataHall, s.ID == home)
+		c := candidate{index: i, state: state, cachedTokens: min(state.cache.CachedTokens(t.Prompt), t.PromptTokens)}
+		l.add(c, s.DataHall == b.dataHall, s.ID == home)
 	}
-	return l.all()
+	return l.candidates()
 }
 
 // cost is what the choice of a server for a task costs, in milliseconds of
 // waiting.
-func (b *Balancer) cost(p prospect, t Task, line *estimate.Regression, now time.Time) float64 {
-	cost := p.expected() + occupancy*p.occupies(t, line) + jitter*rand.Float64()
-	cost += p.state.health.cost(now, p.expected())
+func (b *Balancer) cost(p prediction, t Task, line *estimate.Regression, now time.Time) float64 {
+	cost := p.latency() + blockingWeight*p.blockingTime(t, line) + jitterMS*rand.Float64()
+	cost += p.state.health.penalty(now, p.latency())
 	if p.server.DataHall != b.dataHall {
-		cost += t.hallPenalty()
+		cost += t.crossHallPenalty()
 	}
 	return cost
 }
 
-// occupies is how long a task keeps others waiting, in milliseconds. An engine
+// blockingTime is how long a task keeps others waiting, in milliseconds. An engine
 // reads one prompt after the other, but what an answer takes whatever its prompt's
 // size (arriving, its first token, leaving) passes beside that: of two short prompts
 // that came to an idle engine within 12 ms, both took 58 ms (medians of 26 pairs).
 // Counted as if it kept the engine busy, it was nine tenths of a short prompt's
 // work for a quick model, and most waits were made up.
-func (p prospect) occupies(t Task, line *estimate.Regression) float64 {
+func (p prediction) blockingTime(t Task, line *estimate.Regression) float64 {
 	if t.PromptTokens > 0 {
-		return line.Rate() * float64(t.PromptTokens-p.held)
+		return line.Rate() * float64(t.PromptTokens-p.cachedTokens)
 	}
-	return p.takes / float64(max(1, p.server.Slots))
+	return p.serviceTime / float64(max(1, p.server.Slots))
 }
 
-// use counts one request at a server.
-func (b *Balancer) use(p prospect, t Task, now time.Time) *Assignment {
+// assign counts one request at a server.
+func (b *Balancer) assign(p prediction, t Task, now time.Time) *Assignment {
 	u := &Assignment{
-		balancer: b,
-		server:   p.server,
-		state:    p.state,
-		kind:     t.Kind,
-		prompt:   t.Prompt,
-		tokens:   t.PromptTokens,
-		held:     p.held,
-		wait:     p.wait,
-		takes:    p.takes,
-		occupies: p.occupies(t, b.line(t)),
-		late:     milliseconds(b.waits.late(t.Kind) * p.expected()),
-		started:  now,
+		balancer:     b,
+		server:       p.server,
+		state:        p.state,
+		kind:         t.Kind,
+		prompt:       t.Prompt,
+		promptTokens: t.PromptTokens,
+		cachedTokens: p.cachedTokens,
+		wait:         p.wait,
+		serviceTime:  p.serviceTime,
+		blockingTime: p.blockingTime(t, b.regression(t)),
+		lateAfter:    durationFromMS(b.latencyRatios.lateRatio(t.Kind) * p.latency()),
+		sentAt:       now,
 	}
-	p.state.send(u, now)
+	p.state.addRequest(u, now)
 	p.state.breaker.begin(now)
 	if u.serial() {
 		shared := t.Prompt.Shared()
-		news := b.line(t).Rate() * float64(max(0, shared.Tokens()-u.held))
-		b.announce(share.Send{Server: p.server.Incarnation().Hash(), Prompt: shared, Work: float32(u.occupies)}, news)
+		news := b.regression(t).Rate() * float64(max(0, shared.Tokens()-u.cachedTokens))
+		b.announce(share.Send{Server: p.server.Incarnation().Hash(), Prompt: shared, Work: float32(u.blockingTime)}, news)
 	}
 	return u
 }
 
-// homeWorth is the wait that the preferred server of a task may be behind, in
+// homeBonus is the wait that the preferred server of a task may be behind, in
 // milliseconds, if it holds so many tokens of the prompt for sure.
-func homeWorth(t Task, line *estimate.Regression, held int) float64 {
+func homeBonus(t Task, line *estimate.Regression, held int) float64 {
 	unknown := max(0, t.Prompt.Shared().Tokens()-held)
-	return homeShare * (1 + occupancy) * line.Rate() * float64(unknown)
+	return homeHitProbability * (1 + blockingWeight) * line.Rate() * float64(unknown)
 }
 
 // home returns the server that all nodes prefer for a prompt's shared parts: of
@@ -254,7 +256,7 @@
 	if len(shared) == 0 {
 		return ""
 	}
-	everywhere := homeWorth(t, line, 0) > t.hallPenalty()
+	everywhere := homeBonus(t, line, 0) > t.crossHallPenalty()
 	key := shared[len(shared)-1].Hash
 	best, bestScore := "", uint64(0)
 	for _, s := range t.Servers {
@@ -268,21 +270,21 @@
 	return best
 }
 
-// line returns what is known of how long answers of a task's kind take.
-func (b *Balancer) line(t Task) *estimate.Regression {
-	l := b.lines[t.Kind]
+// regression returns what is known of how long answers of a task's kind take.
+func (b *Balancer) regression(t Task) *estimate.Regression {
+	l := b.regressions[t.Kind]
 	if l == nil {
 		l = estimate.New(t.Initial.Base, t.Initial.Rate)
-		b.lines[t.Kind] = l
+		b.regressions[t.Kind] = l
 	}
 	return l
 }
 
 // state returns what is known of a server, which may be nothing yet.
-func (b *Balancer) state(server uint64) *known {
+func (b *Balancer) state(server uint64) *balancerServer {
 	s := b.servers[server]
 	if s == nil {
-		s = &known{cache: prefix.NewCacheTracker()}
+		s = &balancerServer{cache: prefix.NewCacheTracker()}
 		b.servers[server] = s
 	}
 	return s
@@ -292,7 +294,7 @@
 func (b *Balancer) ObserveSend(s share.Send) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.state(s.Server).heard(float64(s.Work), s.Prompt, time.Now().Add(-s.Age()))
+	b.state(s.Server).addRemoteRequest(float64(s.Work), s.Prompt, time.Now().Add(-s.Age()))
 }
 
 // Retain forgets all servers but those listed and those in use.
--- a/route/breaker.go
+++ b/route/breaker.go
@@ -3,31 +3,31 @@
 import "time"
 
 const (
-	// breakAfter is how many failures in a row take a server out.
-	breakAfter = 3
-	firstBreak = 500 * time.Millisecond
-	maxBreak   = 15 * time.Second
+	// failureThreshold is how many failures in a row take a server out.
+	failureThreshold = 3
+	minOpenDuration  = 500 * time.Millisecond
+	maxOpenDuration  = 15 * time.Second
 )
 
 // breaker takes a server out after failures in a row. After a pause it lets
 // one request through at a time; a success closes it, a failure doubles the
 // pause.
 type breaker struct {
-	failures int
-	pause    time.Duration
-	until    time.Time
-	probing  bool
+	failures     int
+	openDuration time.Duration
+	openUntil    time.Time
+	probing      bool
 }
 
-func (b *breaker) open() bool { return b.failures >= breakAfter }
+func (b *breaker) open() bool { return b.failures >= failureThreshold }
 
 func (b *breaker) allows(now time.Time) bool {
-	return !b.open() || (now.After(b.until) && !b.probing)
+	return !b.open() || (now.After(b.openUntil) && !b.probing)
 }
 
 // begin counts an attempt as the probe of an open breaker.
 func (b *breaker) begin(now time.Time) {
-	if b.open() && now.After(b.until) {
+	if b.open() && now.After(b.openUntil) {
 		b.probing = true
 	}
 }
@@ -43,7 +43,7 @@
 	if !b.open() {
 		return false
 	}
-	b.pause = min(maxBreak, max(firstBreak, 2*b.pause))
-	b.until = now.Add(b.pause)
-	return b.failures == breakAfter
+	b.openDuration = min(maxOpenDuration, max(minOpenDuration, 2*b.openDuration))
+	b.openUntil = now.Add(b.openDuration)
+	return b.failures == failureThreshold
 }
--- a/route/route.go
+++ b/route/route.go
@@ -70,20 +70,20 @@
 )
 
 const (
-	// candidates are drawn at random for each choice.
-	candidates = 3
-	// speedMemory is the weight of one answer in a server's observed speed.
-	speedMemory = 0.1
-	// startService is the assumed time of a request on an unknown server.
-	startService = 200 * time.Millisecond
-	// speedHalfLife is how soon an observed speed is forgotten.
-	speedHalfLife = 10 * time.Second
-	// cacheShare is the part of a request's time that a cached prefix saves.
-	cacheShare = 0.3
-	// crowdingShare is how much a full batch slows down each request in it.
-	crowdingShare = 0.3
-	// cacheEntries bounds the prefixes remembered per server.
-	cacheEntries = 512
+	// randomCandidates are drawn at random for each choice.
+	randomCandidates = 3
+	// serviceTimeSmoothing is the weight of one answer in a server's observed speed.
+	serviceTimeSmoothing = 0.1
+	// initialServiceTime is the assumed time of a request on an unknown server.
+	initialServiceTime = 200 * time.Millisecond
+	// serviceTimeHalfLife is how soon an observed speed is forgotten.
+	serviceTimeHalfLife = 10 * time.Second
+	// cacheHitSaving is the part of a request's time that a cached prefix saves.
+	cacheHitSaving = 0.3
+	// fullBatchSlowdown is how much a full batch slows down each request in it.
+	fullBatchSlowdown = 0.3
+	// maxCacheEntries bounds the prefixes remembered per server.
+	maxCacheEntries = 512
 )
 
 // Report is a server's load report.
@@ -122,44 +122,44 @@
 
 // WithBreakerCounter counts the servers taken out.
 func WithBreakerCounter(count func(server string)) Option {
-	return func(c *Chooser) { c.opened = count }
+	return func(c *Chooser) { c.onBreakerOpen = count }
 }
 
 // Chooser holds what one node knows of the backend servers. It is safe for
 // concurrent use.
 type Chooser struct {
-	node    string
-	leaving func(server string) bool
-	opened  func(server string)
-	nodes   Nodes
+	node          string
+	leaving       func(server string) bool
+	onBreakerOpen func(server string)
+	nodes         Nodes
 
 	mu      sync.Mutex
-	servers map[string]*server
+	servers map[string]*chooserServer
 	subsets map[string]*subset
 }
 
-// server is what this node knows of one backend server.
-type server struct {
+// chooserServer is what this node knows of one backend server.
+type chooserServer struct {
 	inflight int
 	report   Report
-	// ownAtReport is the part of the reported load that is this node's.
-	ownAtReport int
-	// speed is the time of a request on the idle server, as last observed.
-	speed   time.Duration
-	usedAt  time.Time
-	breaker breaker
-	cache   map[uint64]time.Time
+	// inflightAtReport is the part of the reported load that is this node's.
+	inflightAtReport int
+	// serviceTime is the time of a request on the idle server, as last observed.
+	serviceTime    time.Duration
+	lastUsed       time.Time
+	breaker        breaker
+	cachedPrefixes map[uint64]time.Time
 }
 
 // New returns a chooser that knows no server.
 func New(node string, options ...Option) *Chooser {
 	c := &Chooser{
-		node:    node,
-		leaving: func(string) bool { return false },
-		opened:  func(string) {},
-		nodes:   func() (int64, []string) { return 0, []string{node} },
-		servers: make(map[string]*server),
-		subsets: make(map[string]*subset),
+		node:          node,
+		leaving:       func(string) bool { return false },
+		onBreakerOpen: func(string) {},
+		nodes:         func() (int64, []string) { return 0, []string{node} },
+		servers:       make(map[string]*chooserServer),
+		subsets:       make(map[string]*subset),
 	}
 	for _, option := range options {
 		option(c)
@@ -171,12 +171,12 @@
 type Attempt struct {
 	chooser *Chooser
 	server  config.Server
-	state   *server
+	state   *chooserServer
 	prefix  uint64
-	// stretch is how much longer than on the idle server the request was
+	// slowdown is how much longer than on the idle server the request was
 	// expected to take.
-	stretch float64
-	once    sync.Once
+	slowdown float64
+	endOnce  sync.Once
 }
 
 // Server returns the chosen server.
@@ -184,7 +184,7 @@
 
 // End tells how the attempt ended and how long it took.
 func (a *Attempt) End(outcome Outcome, took time.Duration) {
-	a.once.Do(func() { a.chooser.end(a, outcome, took) })
+	a.endOnce.Do(func() { a.chooser.end(a, outcome, took) })
 }
 
 // Choose returns the server for one attempt.
@@ -197,31 +197,31 @@
 		return nil, errs.New(NoServer, "choose", "pool %s has no server for %s", r.Pool, r.EngineModel)
 	}
 	pool := averageOf(usable)
-	best, bestCost, bestStretch := choice{}, math.Inf(1), 1.0
-	for _, o := range draw(r, usable) {
-		stretch := o.state.stretch(o.server.Slots, r.Prefix, pool, now)
-		if cost := o.state.expected(pool, now) * stretch; cost < bestCost {
+	best, bestCost, bestStretch := usableServer{}, math.Inf(1), 1.0
+	for _, o := range drawCandidates(r, usable) {
+		stretch := o.state.slowdown(o.server.Slots, r.Prefix, pool, now)
+		if cost := o.state.expectedServiceTime(pool, now) * stretch; cost < bestCost {
 			best, bestCost, bestStretch = o, cost, stretch
 		}
 	}
 	best.state.inflight++
-	best.state.usedAt = now
+	best.state.lastUsed = now
 	best.state.breaker.begin(now)
-	return &Attempt{chooser: c, server: best.server, state: best.state, prefix: r.Prefix, stretch: bestStretch}, nil
+	return &Attempt{chooser: c, server: best.server, state: best.state, prefix: r.Prefix, slowdown: bestStretch}, nil
 }
 
-// choice is a server that may be chosen, with what is known of it.
-type choice struct {
+// usableServer is a server that may be chosen, with what is known of it.
+type usableServer struct {
 	server config.Server
-	state  *server
+	state  *chooserServer
 }
 
 func serverKey(pool, name string) string { return pool + "/" + name }
 
-func (c *Chooser) server(key string) *server {
+func (c *Chooser) server(key string) *chooserServer {
 	s := c.servers[key]
 	if s == nil {
-		s = &server{speed: startService, cache: make(map[uint64]time.Time)}
+		s = &chooserServer{serviceTime: initialServiceTime, cachedPrefixes: make(map[uint64]time.Time)}
 		c.servers[key] = s
 	}
 	return s
@@ -229,7 +229,7 @@
 
 // usable returns the servers of this node's subset that may take the request;
 // if there are none, those of the whole pool.
-func (c *Chooser) usable(r Request, now time.Time) []choice {
+func (c *Chooser) usable(r Request, now time.Time) []usableServer {
 	usable := c.filter(r, c.subset(r.Pool, r.Servers), now)
 	if len(usable) == 0 {
 		usable = c.filter(r, r.Servers, now)
@@ -237,39 +237,39 @@
 	return usable
 }
 
-func (c *Chooser) filter(r Request, servers []config.Server, now time.Time) []choice {
-	usable := make([]choice, 0, len(servers))
+func (c *Chooser) filter(r Request, servers []config.Server, now time.Time) []usableServer {
+	usable := make([]usableServer, 0, len(servers))
 	for _, candidate := range servers {
 		s := c.server(serverKey(r.Pool, candidate.Name))
 		switch {
 		case r.Exclude[candidate.Name], c.leaving(candidate.Name), s.report.Leaving:
-		case !holds(s.report.Models, r.EngineModel):
+		case !serves(s.report.Models, r.EngineModel):
 		case !s.breaker.allows(now):
 		default:
-			usable = append(usable, choice{candidate, s})
+			usable = append(usable, usableServer{candidate, s})
 		}
 	}
 	return usable
 }
 
-func holds(models []string, model string) bool {
+func serves(models []string, model string) bool {
 	return len(models) == 0 || model == "" || slices.Contains(models, model)
 }
 
-// draw returns a few random candidates, and the one that most lately had the
+// drawCandidates returns a few random candidates, and the one that most lately had the
 // prompt's prefix.
-func draw(r Request, usable []choice) []choice {
-	var drawn []choice
-	for _, i := range rand.Perm(len(usable))[:min(candidates, len(usable))] {
+func drawCandidates(r Request, usable []usableServer) []usableServer {
+	var drawn []usableServer
+	for _, i := range rand.Perm(len(usable))[:min(randomCandidates, len(usable))] {
 		drawn = append(drawn, usable[i])
 	}
 	if r.Prefix == 0 {
 		return drawn
 	}
-	var latest choice
+	var latest usableServer
 	var at time.Time
 	for _, o := range usable {
-		if seen := o.state.cache[r.Prefix]; seen.After(at) {
+		if seen := o.state.cachedPrefixes[r.Prefix]; seen.After(at) {
 			latest, at = o, seen
 		}
 	}
@@ -279,55 +279,55 @@
 	return drawn
 }
 
-// average is what is usual among the servers of a pool.
-type average struct {
-	// others is the load by other nodes per server, speed as in server, in
+// poolAverage is what is usual among the servers of a pool.
+type poolAverage struct {
+	// othersLoad is the load by other nodes per server, speed as in server, in
 	// seconds.
-	others, speed float64
+	othersLoad, serviceTime float64
 }
 
-func averageOf(options []choice) average {
-	var sum average
+func averageOf(options []usableServer) poolAverage {
+	var sum poolAverage
 	for _, o := range options {
-		sum.others += o.state.others()
-		sum.speed += o.state.speed.Seconds()
+		sum.othersLoad += o.state.othersLoad()
+		sum.serviceTime += o.state.serviceTime.Seconds()
 	}
 	n := float64(len(options))
-	return average{others: sum.others / n, speed: sum.speed / n}
+	return poolAverage{othersLoad: sum.othersLoad / n, serviceTime: sum.serviceTime / n}
 }
 
-// others returns the load that other nodes put on the server when it last
+// othersLoad returns the load that other nodes put on the server when it last
 // reported.
-func (s *server) others() float64 {
-	return math.Max(0, float64(s.report.Running+s.report.Waiting-s.ownAtReport))
+func (s *chooserServer) othersLoad() float64 {
+	return math.Max(0, float64(s.report.Running+s.report.Waiting-s.inflightAtReport))
 }
 
-// expected returns the time of a request on the idle server, in seconds. What
+// expectedServiceTime returns the time of a request on the idle server, in seconds. What
 // was observed long ago gives way to what is usual in the pool, so that a
 // server that was slow once is tried again.
-func (s *server) expected(pool average, now time.Time) float64 {
-	return pool.speed + (s.speed.Seconds()-pool.speed)*fresh(now.Sub(s.usedAt), speedHalfLife)
+func (s *chooserServer) expectedServiceTime(pool poolAverage, now time.Time) float64 {
+	return pool.serviceTime + (s.serviceTime.Seconds()-pool.serviceTime)*decayWeight(now.Sub(s.lastUsed), serviceTimeHalfLife)
 }
 
-// stretch returns how much longer a request takes than on the idle server. The
+// slowdown returns how much longer a request takes than on the idle server. The
 // node's own work there is known; what others put there gives way, as the
 // report ages, to what is usual in the pool. Were it to give way to zero, a
 // loaded server would look idle to every node at once.
-func (s *server) stretch(slots int, prefix uint64, pool average, now time.Time) float64 {
-	weight := fresh(now.Sub(s.report.At), time.Duration(pool.speed*float64(time.Second)))
-	ahead := float64(s.inflight) + weight*s.others() + (1-weight)*pool.others
+func (s *chooserServer) slowdown(slots int, prefix uint64, pool poolAverage, now time.Time) float64 {
+	weight := decayWeight(now.Sub(s.report.At), time.Duration(pool.serviceTime*float64(time.Second)))
+	ahead := float64(s.inflight) + weight*s.othersLoad() + (1-weight)*pool.othersLoad
 	queued := math.Max(0, ahead+1-float64(slots)) / float64(slots)
 	// Below its slots a batching engine still slows down with its load.
-	crowding := math.Min(1, ahead/float64(slots)) * crowdingShare
+	crowding := math.Min(1, ahead/float64(slots)) * fullBatchSlowdown
 	stretch := 1 + queued + crowding
-	if _, cached := s.cache[prefix]; cached && prefix != 0 {
-		stretch -= cacheShare
+	if _, cached := s.cachedPrefixes[prefix]; cached && prefix != 0 {
+		stretch -= cacheHitSaving
 	}
 	return stretch
 }
 
-// fresh is the weight of what is known since age, from 1 to 0.
-func fresh(age, halfLife time.Duration) float64 {
+// decayWeight is the weight of what is known since age, from 1 to 0.
+func decayWeight(age, halfLife time.Duration) float64 {
 	return math.Exp2(-age.Seconds() / halfLife.Seconds())
 }
 
@@ -339,13 +339,13 @@
 	now := time.Now()
 	switch outcome {
 	case OutcomeOK:
-		idle := time.Duration(float64(took) / a.stretch)
-		s.speed += time.Duration(speedMemory * float64(idle-s.speed))
+		idle := time.Duration(float64(took) / a.slowdown)
+		s.serviceTime += time.Duration(serviceTimeSmoothing * float64(idle-s.serviceTime))
 		s.breaker.succeed()
-		s.remember(a.prefix, now)
+		s.rememberPrefix(a.prefix, now)
 	case OutcomeFailed:
 		if s.breaker.fail(now) {
-			c.opened(a.server.Name)
+			c.onBreakerOpen(a.server.Name)
 		}
 	case OutcomeDeclined:
 		s.breaker.neutral()
@@ -355,20 +355,20 @@
 	}
 }
 
-func (s *server) remember(prefix uint64, now time.Time) {
+func (s *chooserServer) rememberPrefix(prefix uint64, now time.Time) {
 	if prefix == 0 {
 		return
 	}
-	if len(s.cache) >= cacheEntries {
+	if len(s.cachedPrefixes) >= maxCacheEntries {
 		oldest, at := uint64(0), now
-		for p, seen := range s.cache {
+		for p, seen := range s.cachedPrefixes {
 			if seen.Before(at) {
 				oldest, at = p, seen
 			}
 		}
-		delete(s.cache, oldest)
+		delete(s.cachedPrefixes, oldest)
 	}
-	s.cache[prefix] = now
+	s.cachedPrefixes[prefix] = now
 }
 
 // Observe takes a server's load report.
@@ -376,7 +376,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.server(serverKey(pool, name))
-	s.report, s.ownAtReport = report, s.inflight
+	s.report, s.inflightAtReport = report, s.inflight
 }
 
 // Available reports whether some server of a pool may hold a model, as far as
@@ -385,7 +385,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.subset(pool, servers) {
-		if holds(c.server(serverKey(pool, s.Name)).report.Models, model) {
+		if serves(c.server(serverKey(pool, s.Name)).report.Models, model) {
 			return true
 		}
 	}
--- a/route/subset.go
+++ b/route/subset.go
@@ -8,8 +8,8 @@
 const (
 	// subsetSize is how many servers of a pool a node uses on average.
 	subsetSize = 20
-	// minUsers is by how many nodes each server is used at least.
-	minUsers = 3
+	// minNodesPerServer is by how many nodes each server is used at least.
+	minNodesPerServer = 3
 )
 
 // Nodes returns the nodes that share the servers, and a number that changes
@@ -40,15 +40,15 @@
 	epoch, ids := c.nodes()
 	known := c.subsets[pool]
 	if known == nil || known.epoch != epoch || known.first != &servers[0] || known.length != len(servers) {
-		known = &subset{epoch: epoch, first: &servers[0], length: len(servers), servers: used(c.node, ids, servers)}
+		known = &subset{epoch: epoch, first: &servers[0], length: len(servers), servers: assignedServers(c.node, ids, servers)}
 		c.subsets[pool] = known
 	}
 	return known.servers
 }
 
-// used returns the servers that have a node among their first few.
-func used(node string, ids []string, servers []config.Server) []config.Server {
-	users := max(minUsers, (subsetSize*len(ids)+len(servers)-1)/len(servers))
+// assignedServers returns the servers that have a node among their first few.
+func assignedServers(node string, ids []string, servers []config.Server) []config.Server {
+	users := max(minNodesPerServer, (subsetSize*len(ids)+len(servers)-1)/len(servers))
 	own := rendezvous.Hash(node)
 	hashes := make([]uint64, 0, len(ids))
 	for _, id := range ids {
