--- a/route/assignment.go
+++ b/route/assignment.go
@@ -9,157 +9,166 @@
 	"github.com/violettally/violettally/registry"
 )
 
-// Assignment is one request at a server.
+// Assignment is one request sent to a server that a Balancer chose.
 type Assignment struct {
 	balancer *Balancer
 	server   registry.Server
 	state    *balancerServer
 	kind     string
 	prompt   prefix.Chain
-	// promptTokens of the prompt, of which the server is believed to hold some.
+	// promptTokens is the size of the prompt; cachedTokens of them were expected
+	// in the server's cache.
 	promptTokens, cachedTokens int
-	// wait is how long the request was expected to wait until the server turns
-	// to it, takes how long the answer takes to begin from then on, occupies
-	// how long it keeps others waiting, in milliseconds.
+	// wait is the expected time in the server's queue, serviceTime the expected
+	// time from then until the response starts, blockingTime the time for which
+	// the request delays those behind it, all in milliseconds.
 	wait, serviceTime, blockingTime float64
-	// lateAfter is when the answer is later than almost all of its kind; zero while
-	// too little is known.
+	// lateAfter is the latency beyond which the response is late; zero while too
+	// few responses have been observed.
 	lateAfter time.Duration
 	sentAt    time.Time
-	// expectedStart is when the answer is expected to begin, by all that is known since.
+	// expectedStart is when the response is expected to start, updated as earlier
+	// requests leave the queue.
 	expectedStart time.Time
 	startOnce     sync.Once
 	endOnce       sync.Once
 }
 
 // Server returns the chosen server.
-func (u *Assignment) Server() registry.Server { return u.server }
+func (a *Assignment) Server() registry.Server { return a.server }
 
-// RecordLoad takes the load that the server told on its answer.
-func (u *Assignment) RecordLoad(l Load) { u.balancer.recordLoad(u.state, l) }
+// RecordLoad records the load that the server reported with its response.
+func (a *Assignment) RecordLoad(l Load) { a.balancer.recordLoad(a.state, l) }
 
-// LateAfter returns how long after it was sent a request's answer is later than
-// almost all of its kind; zero while too little is known.
-func (u *Assignment) LateAfter() time.Duration { return u.lateAfter }
+// LateAfter returns the latency beyond which the response is later than almost
+// all of its kind; zero while too few responses have been observed.
+func (a *Assignment) LateAfter() time.Duration { return a.lateAfter }
 
-// ExpectedLatency returns how long after it was sent the answer was expected to begin.
-func (u *Assignment) ExpectedLatency() time.Duration { return durationFromMS(u.wait + u.serviceTime) }
+// ExpectedLatency returns the expected time from sending the request until the
+// response starts: the sum of ExpectedWait and ExpectedServiceTime.
+func (a *Assignment) ExpectedLatency() time.Duration { return durationFromMS(a.wait + a.serviceTime) }
 
-// ExpectedWait returns which part of Expected the request was expected to wait until
-// the server turns to it.
-func (u *Assignment) ExpectedWait() time.Duration { return durationFromMS(u.wait) }
+// ExpectedWait returns the expected time in the server's queue.
+func (a *Assignment) ExpectedWait() time.Duration { return durationFromMS(a.wait) }
 
-// ExpectedServiceTime returns which part of Expected is left after that.
-func (u *Assignment) ExpectedServiceTime() time.Duration { return durationFromMS(u.serviceTime) }
+// ExpectedServiceTime returns the expected time from leaving the server's queue
+// until the response starts.
+func (a *Assignment) ExpectedServiceTime() time.Duration { return durationFromMS(a.serviceTime) }
 
-// CachedTokens returns how many tokens of the prompt the server was believed to have.
-func (u *Assignment) CachedTokens() int { return u.cachedTokens }
+// CachedTokens returns the number of prompt tokens that were expected in the
+// server's cache.
+func (a *Assignment) CachedTokens() int { return a.cachedTokens }
 
-// serial reports whether the server turns to one such request after the other.
-func (u *Assignment) serial() bool { return u.promptTokens > 0 }
+// serial reports whether the server handles such requests one at a time, as
+// engines prefill prompts.
+func (a *Assignment) serial() bool { return a.promptTokens > 0 }
 
-// RecordResponseStart tells that the server's answer has begun.
-func (u *Assignment) RecordResponseStart() {
-	u.startOnce.Do(func() { u.balancer.recordResponseStart(u, true) })
+// RecordResponseStart records that the server's response has started. Only the
+// first call counts.
+func (a *Assignment) RecordResponseStart() {
+	a.startOnce.Do(func() { a.balancer.recordResponseStart(a, true) })
 }
 
-// RecordProgress tells that the server has given a piece of some answer.
-func (u *Assignment) RecordProgress() { u.balancer.recordProgress(u.state) }
+// RecordProgress records that the server has sent part of a response.
+func (a *Assignment) RecordProgress() { a.balancer.recordProgress(a.state) }
 
-// RecordResult tells whether the server answered with a failure of its own.
-func (u *Assignment) RecordResult(failed bool) { u.balancer.recordResult(u.state, failed) }
+// RecordResult records whether the response was a failure of the server.
+func (a *Assignment) RecordResult(failed bool) { a.balancer.recordResult(a.state, failed) }
 
-// EndStalled tells that the request was taken away since its answer, or the rest of
-// it, was late. A server that has begun no other answer meanwhile has failed.
-func (u *Assignment) EndStalled() {
-	if u.balancer.recordStall(u) {
-		u.End(OutcomeFailed)
+// EndStalled ends a request that was cancelled because its response, or the rest
+// of it, was late. It counts as a failure of the server if that has sent no part
+// of any response since the request was sent.
+func (a *Assignment) EndStalled() {
+	if a.balancer.recordStall(a) {
+		a.End(OutcomeFailed)
 		return
 	}
-	u.End(OutcomeNeutral)
+	a.End(OutcomeNeutral)
 }
 
-// End tells how the request ended, as far as the server is concerned.
-func (u *Assignment) End(outcome Outcome) {
-	u.startOnce.Do(func() { u.balancer.recordResponseStart(u, false) })
-	u.endOnce.Do(func() { u.balancer.end(u, outcome) })
+// End records the outcome of the request. Only the first call counts.
+func (a *Assignment) End(outcome Outcome) {
+	a.startOnce.Do(func() { a.balancer.recordResponseStart(a, false) })
+	a.endOnce.Do(func() { a.balancer.end(a, outcome) })
 }
 
-// recordLoad takes a server's word on its load.
+// recordLoad records the load that a server reported.
 func (b *Balancer) recordLoad(s *balancerServer, l Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s.updateLoad(l, time.Now())
 }
 
-// recordResponseStart takes a request off those that wait at a server, and learns from an
-// answer that has begun.
-func (b *Balancer) recordResponseStart(u *Assignment, answered bool) {
+// recordResponseStart removes a request from its server's queue. If its response
+// has started, the latency is recorded; otherwise the prompt is no longer expected
+// in the server's cache.
+func (b *Balancer) recordResponseStart(a *Assignment, responded bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := time.Now()
-	if answered {
-		u.state.lastProgress = now
-		u.state.health.recordLatency(now, b.recordLatency(u, now))
+	if responded {
+		a.state.lastProgress = now
+		a.state.health.recordLatency(now, b.recordLatency(a, now))
 	} else {
-		u.state.cache.Remove(u.prompt)
+		a.state.cache.Remove(a.prompt)
 	}
-	u.state.removeWaiting(u, answered, now)
+	a.state.removeWaiting(a, responded, now)
 }
 
-// recordLatency takes how long an answer has taken to begin. It returns how many times
-// longer than usual that is.
-func (b *Balancer) recordLatency(u *Assignment, now time.Time) float64 {
-	line := b.regressions[u.kind]
-	took := math.Max(0, u.serviceTime+durationToMS(now.Sub(u.expectedStart)))
-	size := float64(u.promptTokens - u.cachedTokens)
-	if whole := float64(u.promptTokens); u.cachedTokens > 0 && math.Abs(took-line.Predict(whole)) < math.Abs(took-line.Predict(size)) {
-		// It took as long as reading all of it: the server did not have it.
+// recordLatency adds the time until a response started to the estimates for its
+// kind. It returns the ratio of the latency to what is usual for the kind.
+func (b *Balancer) recordLatency(a *Assignment, now time.Time) float64 {
+	regression := b.regressions[a.kind]
+	took := math.Max(0, a.serviceTime+durationToMS(now.Sub(a.expectedStart)))
+	size := float64(a.promptTokens - a.cachedTokens)
+	if whole := float64(a.promptTokens); a.cachedTokens > 0 && math.Abs(took-regression.Predict(whole)) < math.Abs(took-regression.Predict(size)) {
+		// It took as long as a prefill of the whole prompt: nothing was cached.
 		size = whole
 	}
-	// Of a long wait little can be told about what came after it: its error
-	// is larger than what is to be learned.
-	total := durationToMS(now.Sub(u.sentAt))
-	share := u.serviceTime / (u.serviceTime + math.Max(u.wait, total-u.serviceTime))
-	line.AddSample(size, took, share*share)
-	return b.latencyRatios.record(u.kind, total/math.Max(1, u.wait+u.serviceTime))
+	// After a long wait the sample counts for little: the error in the wait is
+	// larger than the service time to be estimated.
+	total := durationToMS(now.Sub(a.sentAt))
+	share := a.serviceTime / (a.serviceTime + math.Max(a.wait, total-a.serviceTime))
+	regression.AddSample(size, took, share*share)
+	return b.latencyRatios.record(a.kind, total/math.Max(1, a.wait+a.serviceTime))
 }
 
-// recordProgress takes a sign of life of a server.
+// recordProgress records that a server has sent part of a response.
 func (b *Balancer) recordProgress(s *balancerServer) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s.lastProgress = time.Now()
 }
 
-// recordResult takes whether an answer was a failure of the server's own.
+// recordResult records whether a response was a failure of the server.
 func (b *Balancer) recordResult(s *balancerServer, failed bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s.health.recordResult(time.Now(), failed)
 }
 
-// recordStall counts a request whose answer was late against its server. It
-// reports whether the server has given no piece of an answer since it was sent.
-func (b *Balancer) recordStall(u *Assignment) bool {
+// recordStall records a late response in its server's health. It reports whether
+// the server has sent no part of any response since the request was sent.
+func (b *Balancer) recordStall(a *Assignment) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	u.state.health.recordLatency(time.Now(), maxLatencyRatio)
-	return !u.state.lastProgress.After(u.sentAt)
+	a.state.health.recordLatency(time.Now(), maxLatencyRatio)
+	return !a.state.lastProgress.After(a.sentAt)
 }
 
-// end takes a request off a server, and lets its breaker judge the outcome.
-func (b *Balancer) end(u *Assignment, outcome Outcome) {
+// end removes a request from those in flight and passes its outcome to the
+// server's circuit breaker.
+func (b *Balancer) end(a *Assignment, outcome Outcome) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := u.state
+	s := a.state
 	s.inflight--
 	switch outcome {
 	case OutcomeOK:
 		s.breaker.succeed()
 	case OutcomeFailed:
 		if s.breaker.fail(time.Now()) {
-			b.onBreakerOpen(u.server.ID)
+			b.onBreakerOpen(a.server.ID)
 		}
 	default:
 		s.breaker.neutral()
--- a/route/balancer.go
+++ b/route/balancer.go
@@ -14,89 +14,91 @@
 	"github.com/violettally/violettally/share"
 )
 
-// The balancer weighs servers in milliseconds of waiting.
+// Costs are in milliseconds of waiting.
 const (
-	// crossHallPenaltyMS is the wait that a server of this node's data hall may be
-	// behind one elsewhere, and hallPenaltyPerByte that for each byte of the
-	// request: bytes between data halls are paid for.
+	// crossHallPenaltyMS and, for each byte of the request's body,
+	// crossHallPenaltyMSPerByte are added to the cost of a server in another data
+	// hall: traffic between data halls is paid for.
 	crossHallPenaltyMS        = 40.0
 	crossHallPenaltyMSPerByte = 0.02
-	// blockingWeight is the wait, for each millisecond that a server is kept busy,
-	// that a choice is worth to those who come after: reading what another
-	// server has already holds up all that wait behind it.
+	// blockingWeight is the cost of each millisecond for which the request blocks
+	// the requests behind it: a prefill that another server could take from its
+	// cache delays all of them.
 	blockingWeight = 1.0
-	// homeHitProbability is the chance that the server which all nodes prefer for a
-	// prompt's shared parts has those that this node has not sent there.
+	// homeHitProbability is the probability that a prompt's home server has cached
+	// those shared parts that this node has not sent there.
 	homeHitProbability = 0.5
-	// jitterMS parts servers that are equal otherwise.
+	// jitterMS is the range of a random cost that breaks ties.
 	jitterMS = 5.0
 )
 
-// Task is what the choice for one request depends on.
+// Task describes one request for which a Balancer picks a server.
 type Task struct {
-	// Servers may get the request.
+	// Servers are the servers to choose from.
 	Servers []registry.Server
-	// Kind groups requests whose answers take equally long to begin for the
-	// same size.
+	// Kind groups requests for which the time until the response starts depends
+	// on the prompt's size in the same way.
 	Kind string
-	// Initial is how long such an answer takes while none has come yet.
+	// Initial is used until a response of this kind has been observed.
 	Initial InitialEstimate
-	// Prompt is what engines keep of it, in order; nil for none.
+	// Prompt is the chain of the prompt's cacheable parts; nil for none.
 	Prompt prefix.Chain
-	// PromptTokens of the prompt, zero for none. Engines read one prompt at a time;
-	// requests without one are served side by side.
+	// PromptTokens is the size of the prompt; zero for none. Engines prefill one
+	// prompt at a time; requests without a prompt are served concurrently.
 	PromptTokens int
-	// BodyBytes of the request's body, zero if not known.
+	// BodyBytes is the size of the request's body; zero if not known.
 	BodyBytes int
-	// CacheCapacity is what a server's cache holds, in tokens; zero if not known.
+	// CacheCapacity is the size of a server's prefix cache in tokens; zero if not
+	// known.
 	CacheCapacity int
-	// Exclude lists the servers that have been tried.
+	// Exclude holds the servers that have been tried.
 	Exclude map[registry.Incarnation]bool
 }
 
-// crossHallPenalty is the wait in milliseconds that passing the task to another data
-// hall is worth avoiding.
+// crossHallPenalty returns the cost of sending the task to another data hall, in
+// milliseconds.
 func (t Task) crossHallPenalty() float64 {
 	return crossHallPenaltyMS + crossHallPenaltyMSPerByte*float64(t.BodyBytes)
 }
 
-// InitialEstimate is a first guess of how long an answer takes to begin.
+// InitialEstimate is the assumed time until an idle server starts to respond.
 type InitialEstimate struct {
-	// Base in milliseconds, and Rate in milliseconds for each token to be read.
+	// Base is in milliseconds, Rate in milliseconds for each token to prefill.
 	Base, Rate float64
 }
 
-// Balancer chooses among servers that tell their load on each answer. Unlike
-// [Chooser] it looks at all servers of a service: what it knows of them costs
-// no calls. It is safe for concurrent use.
+// Balancer chooses among servers that report their load with each response.
+// Unlike a [Chooser] it is not limited to a subset of the servers, since it needs
+// no polling. It is safe for concurrent use.
 type Balancer struct {
 	dataHall      string
 	onBreakerOpen func(server string)
-	announce      func(s share.Send, news float64)
+	announce      func(s share.Send, newWork float64)
 
 	mu sync.Mutex
-	// servers are by the hash of their incarnation, lines and waits by kind of request.
+	// servers is keyed by the hash of the incarnation, regressions and
+	// latencyRatios by the kind of request.
 	servers       map[uint64]*balancerServer
 	regressions   map[string]*estimate.Regression
 	latencyRatios latencyRatios
 }
 
-// BalancerOption changes a Balancer as NewBalancer makes it.
+// BalancerOption configures a Balancer.
 type BalancerOption func(*Balancer)
 
-// WithAnnouncer names who is told of each prompt that is sent to a server, so that
-// other nodes hear of it. News is for how long the server reads what it did not
-// have of the shared prompt, in milliseconds.
-func WithAnnouncer(announce func(s share.Send, news float64)) BalancerOption {
+// WithAnnouncer sets the function that announces each prompt sent to a server to
+// the other nodes. NewWork is the time for which the server prefills the uncached
+// tokens of the prompt's shared parts, in milliseconds.
+func WithAnnouncer(announce func(s share.Send, newWork float64)) BalancerOption {
 	return func(b *Balancer) { b.announce = announce }
 }
 
-// NewBalancer returns a balancer of a node in the given data hall. Opened is
-// called for each server that a breaker takes out.
-func NewBalancer(dataHall string, opened func(server string), options ...BalancerOption) *Balancer {
+// NewBalancer returns a balancer for a node in the given data hall. OnBreakerOpen
+// is called with the ID of each server whose circuit breaker opens.
+func NewBalancer(dataHall string, onBreakerOpen func(server string), options ...BalancerOption) *Balancer {
 	b := &Balancer{
 		dataHall:      dataHall,
-		onBreakerOpen: opened,
+		onBreakerOpen: onBreakerOpen,
 		announce:      func(share.Send, float64) {},
 		servers:       make(map[uint64]*balancerServer),
 		regressions:   make(map[string]*estimate.Regression),
@@ -108,32 +110,32 @@
 	return b
 }
 
-// prediction is what a server would do with a task, in milliseconds.
+// prediction is the expected handling of a task by one server.
 type prediction struct {
 	server registry.Server
 	state  *balancerServer
-	// wait is how long the request waits until the server turns to it, takes
-	// how long the answer takes to begin from then on.
+	// wait is the time in the server's queue, serviceTime the time from then until
+	// the response starts, both in milliseconds.
 	wait, serviceTime float64
-	// cachedTokens is how many tokens of the prompt the server is believed to have.
+	// cachedTokens is the number of prompt tokens expected in the server's cache.
 	cachedTokens int
 }
 
-// latency is how long the answer takes to begin, in milliseconds.
+// latency returns the time until the response starts, in milliseconds.
 func (p prediction) latency() float64 { return p.wait + p.serviceTime }
 
-// Forecast is what a task would find.
+// Forecast is the expected latency of a task.
 type Forecast struct {
-	// Wait is how long it waits until the server turns to it, Takes how long the
-	// answer takes to begin from then on.
+	// Wait is the time in the server's queue, ServiceTime the time from then until
+	// the response starts.
 	Wait, ServiceTime time.Duration
 }
 
-// Latency is how long the answer takes to begin.
+// Latency returns the time until the response starts.
 func (f Forecast) Latency() time.Duration { return f.Wait + f.ServiceTime }
 
-// Forecast returns what a task would find at the server that Choose would
-// choose; nothing to wait for if there is no server.
+// Forecast returns the expected latency of a task at the server that Choose would
+// pick, without sending it there; zero if no server can take it.
 func (b *Balancer) Forecast(t Task) Forecast {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -144,7 +146,8 @@
 	return Forecast{Wait: durationFromMS(best.wait), ServiceTime: durationFromMS(best.serviceTime)}
 }
 
-// Choose returns the server for one request.
+// Choose picks a server for one request, which counts as in flight until
+// [Assignment.End]. It returns a [NoServer] error if no server can take it.
 func (b *Balancer) Choose(t Task) (*Assignment, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -156,17 +159,17 @@
 	return b.assign(best, t, now), nil
 }
 
-// best returns the server whose choice costs least, of those that are drawn.
+// best returns the server of the shortlist with the lowest cost.
 func (b *Balancer) best(t Task, now time.Time) (best prediction, ok bool) {
-	line := b.regression(t)
-	home := b.home(t, line)
+	regression := b.regression(t)
+	home := b.home(t, regression)
 	bestCost := math.Inf(1)
 	for _, c := range b.shortlist(t, home, now) {
 		p := prediction{server: t.Servers[c.index], state: c.state, wait: c.state.queueWait(now), cachedTokens: c.cachedTokens}
-		p.serviceTime = line.Predict(float64(t.PromptTokens - p.cachedTokens))
-		cost := b.cost(p, t, line, now)
+		p.serviceTime = regression.Predict(float64(t.PromptTokens - p.cachedTokens))
+		cost := b.cost(p, t, regression, now)
 		if p.server.ID == home {
-			cost -= homeBonus(t, line, p.cachedTokens)
+			cost -= homeBonus(t, regression, p.cachedTokens)
 		}
 		if cost < bestCost {
 			best, bestCost, ok = p, cost, true
@@ -175,7 +178,7 @@
 	return best, ok
 }
 
-// shortlist returns the servers that the choice for a task looks at.
+// shortlist returns the servers that are compared for a task.
 func (b *Balancer) shortlist(t Task, home string, now time.Time) []candidate {
 	var l shortlist
 	for i, s := range t.Servers {
@@ -191,10 +194,9 @@
 	return l.candidates()
 }
 
-// cost is what the choice of a server for a task costs, in milliseconds of
-// waiting.
-func (b *Balancer) cost(p prediction, t Task, line *estimate.Regression, now time.Time) float64 {
-	cost := p.latency() + blockingWeight*p.blockingTime(t, line) + jitterMS*rand.Float64()
+// cost returns the cost of sending a task to a server, in milliseconds of waiting.
+func (b *Balancer) cost(p prediction, t Task, regression *estimate.Regression, now time.Time) float64 {
+	cost := p.latency() + blockingWeight*p.blockingTime(t, regression) + jitterMS*rand.Float64()
 	cost += p.state.health.penalty(now, p.latency())
 	if p.server.DataHall != b.dataHall {
 		cost += t.crossHallPenalty()
@@ -202,22 +204,23 @@
 	return cost
 }
 
-// blockingTime is how long a task keeps others waiting, in milliseconds. An engine
-// reads one prompt after the other, but what an answer takes whatever its prompt's
-// size (arriving, its first token, leaving) passes beside that: of two short prompts
-// that came to an idle engine within 12 ms, both took 58 ms (medians of 26 pairs).
-// Counted as if it kept the engine busy, it was nine tenths of a short prompt's
-// work for a quick model, and most waits were made up.
-func (p prediction) blockingTime(t Task, line *estimate.Regression) float64 {
+// blockingTime returns for how long a task delays the requests behind it, in
+// milliseconds. An engine prefills one prompt at a time, but the part of the
+// latency that does not depend on the prompt's size (receiving the request, the
+// first token, sending the response) does not block others: of two short prompts
+// that reached an idle engine within 12 ms, both took 58 ms (medians of 26
+// pairs). Counted as blocking, that part was nine tenths of a short prompt's work
+// for a fast model, and most predicted waits did not occur.
+func (p prediction) blockingTime(t Task, regression *estimate.Regression) float64 {
 	if t.PromptTokens > 0 {
-		return line.Rate() * float64(t.PromptTokens-p.cachedTokens)
+		return regression.Rate() * float64(t.PromptTokens-p.cachedTokens)
 	}
 	return p.serviceTime / float64(max(1, p.server.Slots))
 }
 
-// assign counts one request at a server.
+// assign records one request as sent to a server and announces its prompt.
 func (b *Balancer) assign(p prediction, t Task, now time.Time) *Assignment {
-	u := &Assignment{
+	a := &Assignment{
 		balancer:     b,
 		server:       p.server,
 		state:        p.state,
@@ -231,36 +234,38 @@
 		lateAfter:    durationFromMS(b.latencyRatios.lateRatio(t.Kind) * p.latency()),
 		sentAt:       now,
 	}
-	p.state.addRequest(u, now)
+	p.state.addRequest(a, now)
 	p.state.breaker.begin(now)
-	if u.serial() {
+	if a.serial() {
 		shared := t.Prompt.Shared()
-		news := b.regression(t).Rate() * float64(max(0, shared.Tokens()-u.cachedTokens))
-		b.announce(share.Send{Server: p.server.Incarnation().Hash(), Prompt: shared, Work: float32(u.blockingTime)}, news)
+		newWork := b.regression(t).Rate() * float64(max(0, shared.Tokens()-a.cachedTokens))
+		b.announce(share.Send{Server: p.server.Incarnation().Hash(), Prompt: shared, Work: float32(a.blockingTime)}, newWork)
 	}
-	return u
+	return a
 }
 
-// homeBonus is the wait that the preferred server of a task may be behind, in
-// milliseconds, if it holds so many tokens of the prompt for sure.
-func homeBonus(t Task, line *estimate.Regression, held int) float64 {
-	unknown := max(0, t.Prompt.Shared().Tokens()-held)
-	return homeHitProbability * (1 + blockingWeight) * line.Rate() * float64(unknown)
+// homeBonus returns the discount on the cost of a task's home server, in
+// milliseconds, where the given number of prompt tokens is already expected in
+// its cache.
+func homeBonus(t Task, regression *estimate.Regression, cachedTokens int) float64 {
+	unknown := max(0, t.Prompt.Shared().Tokens()-cachedTokens)
+	return homeHitProbability * (1 + blockingWeight) * regression.Rate() * float64(unknown)
 }
 
-// home returns the server that all nodes prefer for a prompt's shared parts: of
-// all servers where that is worth more than the bytes between data halls, and
-// otherwise of this data hall.
-func (b *Balancer) home(t Task, line *estimate.Regression) string {
+// home returns the ID of a prompt's home server: the one that all nodes prefer
+// for its shared parts, by rendezvous hashing. It is taken from all servers if
+// the bonus exceeds the cost of another data hall, otherwise from the servers of
+// this data hall.
+func (b *Balancer) home(t Task, regression *estimate.Regression) string {
 	shared := t.Prompt.Shared()
 	if len(shared) == 0 {
 		return ""
 	}
-	everywhere := homeBonus(t, line, 0) > t.crossHallPenalty()
+	allHalls := homeBonus(t, regression, 0) > t.crossHallPenalty()
 	key := shared[len(shared)-1].Hash
 	best, bestScore := "", uint64(0)
 	for _, s := range t.Servers {
-		if s.DataHall != b.dataHall && !everywhere {
+		if s.DataHall != b.dataHall && !allHalls {
 			continue
 		}
 		if score := rendezvous.Score(key, rendezvous.Hash(s.ID)); score >= bestScore {
@@ -270,17 +275,17 @@
 	return best
 }
 
-// regression returns what is known of how long answers of a task's kind take.
+// regression returns the estimate of the service time for a task's kind.
 func (b *Balancer) regression(t Task) *estimate.Regression {
-	l := b.regressions[t.Kind]
-	if l == nil {
-		l = estimate.New(t.Initial.Base, t.Initial.Rate)
-		b.regressions[t.Kind] = l
+	r := b.regressions[t.Kind]
+	if r == nil {
+		r = estimate.New(t.Initial.Base, t.Initial.Rate)
+		b.regressions[t.Kind] = r
 	}
-	return l
+	return r
 }
 
-// state returns what is known of a server, which may be nothing yet.
+// state returns the state of a server, creating it if needed.
 func (b *Balancer) state(server uint64) *balancerServer {
 	s := b.servers[server]
 	if s == nil {
@@ -290,14 +295,15 @@
 	return s
 }
 
-// ObserveSend takes that another node has sent a prompt to a server.
+// ObserveSend records that another node has sent a prompt to a server.
 func (b *Balancer) ObserveSend(s share.Send) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.state(s.Server).addRemoteRequest(float64(s.Work), s.Prompt, time.Now().Add(-s.Age()))
 }
 
-// Retain forgets all servers but those listed and those in use.
+// Retain drops the state of all servers but the given ones and those with
+// requests in flight.
 func (b *Balancer) Retain(incarnations map[registry.Incarnation]bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/route/balancer_server.go
+++ b/route/balancer_server.go
@@ -9,53 +9,52 @@
 )
 
 const (
-	// runningRequestDelayMS is what each request under way adds to the wait, in
-	// milliseconds: an engine makes a token for each of them between two pieces
-	// of a prompt.
+	// runningRequestDelayMS is added to the wait for each running request: between
+	// two chunks of a prefill the engine decodes one token for each of them.
 	runningRequestDelayMS = 2.0
-	// loadHalfLife is how soon a load that a server told is forgotten.
+	// loadHalfLife is the half-life of a reported load.
 	loadHalfLife = 500 * time.Millisecond
-	// silenceTolerance is how many times longer than expected a server that serves
-	// requests side by side may be silent by chance.
+	// silenceTolerance is for how many times the expected latency a server that
+	// serves requests concurrently may send nothing before its requests count as
+	// overdue.
 	silenceTolerance = 5
-	// blockingTimeSmoothing is the weight of one request in what requests at a server
-	// typically take.
+	// blockingTimeSmoothing is the weight of one request in typicalBlockingTime.
 	blockingTimeSmoothing = 0.1
 )
 
-// Load is what a server told of itself on an answer. The fields are exported
-// for the adapter that reads it.
+// Load is the load that a server reported with a response. The fields are
+// exported for the adapter that decodes it.
 type Load struct {
-	// Running and Waiting are requests, of all nodes. The prompt that is being
-	// read counts as running.
+	// Running and Waiting are numbers of requests of all nodes. The request in
+	// prefill counts as running.
 	Running int
 	Waiting int
 	// Slots is the number of requests that the server runs at once.
 	Slots int
 }
 
-// balancerServer is what this node knows of one server. The server is taken to turn to
-// one request after the other, in the order in which they were sent.
+// balancerServer is a Balancer's state of one server. The server is modelled as a
+// FIFO queue that handles one request at a time.
 type balancerServer struct {
-	// inflight are this node's own requests, waiting those of them whose answer
-	// has not begun, in the order in which they were sent.
+	// inflight is the number of this node's requests, waiting are those of them
+	// whose response has not started, in the order in which they were sent.
 	inflight int
 	waiting  []*Assignment
-	// freeAt is when the server will be through with all that it is known to
-	// have got.
+	// freeAt is when the server is expected to have finished all requests that
+	// this node knows of.
 	freeAt time.Time
-	// typicalBlockingTime is for how long a request that waits keeps those behind it waiting, in
-	// milliseconds. Where requests are served side by side, each that waits counts
-	// with all that its answer takes to begin: others that this node does not hear
-	// of follow it.
+	// typicalBlockingTime is the moving average of the time for which a waiting
+	// request delays those behind it, in milliseconds. Where requests are served
+	// concurrently, the whole service time counts: other requests follow that this
+	// node is not told of.
 	typicalBlockingTime float64
-	// othersRunning and othersWaiting are the requests of other nodes that ran
-	// and waited when the server last told its load.
+	// othersRunning and othersWaiting are the numbers of other nodes' requests
+	// that ran and waited when the server last reported its load.
 	othersRunning float64
 	othersWaiting float64
 	reportedAt    time.Time
-	// lastProgress is when the server last gave this node a piece of an answer, or
-	// a request was sent to a server that had none of this node waiting.
+	// lastProgress is when the server last sent this node part of any response, or
+	// when this node sent a request while it had none waiting there.
 	lastProgress time.Time
 
 	cache   *prefix.CacheTracker
@@ -63,9 +62,8 @@
 	breaker breaker
 }
 
-// queueWait estimates how long a request waits until the server turns to it, in
-// milliseconds. Where an answer of the server is overdue, all that follow it
-// are, by as much.
+// queueWait estimates how long a new request waits in the server's queue, in
+// milliseconds. If a response is overdue, the wait grows by as much.
 func (s *balancerServer) queueWait(now time.Time) float64 {
 	weight := 0.0
 	if s.othersRunning+s.othersWaiting > 0 {
@@ -75,62 +73,64 @@
 	if len(s.waiting) > 0 {
 		since := s.waiting[0].expectedStart
 		if !s.waiting[0].serial() {
-			// One of those that are served side by side says little by itself.
+			// One overdue response says little where requests are served concurrently.
 			since = later(since, s.lastProgress.Add(silenceTolerance*s.waiting[0].ExpectedLatency()))
 		}
 		wait += math.Max(0, durationToMS(now.Sub(since)))
 	}
-	// Where others wait, more follow them that this node does not hear of.
-	told := weight * s.othersWaiting * s.typicalBlockingTime
-	return wait + math.Max(told, durationToMS(s.freeAt.Sub(now)))
+	// Where other nodes' requests wait, more follow that this node is not told of.
+	reported := weight * s.othersWaiting * s.typicalBlockingTime
+	return wait + math.Max(reported, durationToMS(s.freeAt.Sub(now)))
 }
 
-// addRequest counts a request of this node.
-func (s *balancerServer) addRequest(u *Assignment, now time.Time) {
+// addRequest adds a request of this node to the queue.
+func (s *balancerServer) addRequest(a *Assignment, now time.Time) {
 	if len(s.waiting) == 0 {
 		s.lastProgress = now
 	}
-	s.freeAt = later(s.freeAt, now).Add(durationFromMS(u.blockingTime))
-	blocks := u.serviceTime
-	if u.serial() {
-		blocks = u.blockingTime
+	s.freeAt = later(s.freeAt, now).Add(durationFromMS(a.blockingTime))
+	blockingTime := a.serviceTime
+	if a.serial() {
+		blockingTime = a.blockingTime
 	}
-	s.typicalBlockingTime += blockingTimeSmoothing * (blocks - s.typicalBlockingTime)
-	u.expectedStart = now.Add(u.ExpectedLatency())
+	s.typicalBlockingTime += blockingTimeSmoothing * (blockingTime - s.typicalBlockingTime)
+	a.expectedStart = now.Add(a.ExpectedLatency())
 	s.inflight++
-	s.waiting = append(s.waiting, u)
-	s.cache.Insert(u.prompt)
+	s.waiting = append(s.waiting, a)
+	s.cache.Insert(a.prompt)
 }
 
-// addRemoteRequest counts a request of another node.
-func (s *balancerServer) addRemoteRequest(occupies float64, prompt prefix.Chain, sent time.Time) {
-	s.freeAt = later(s.freeAt, sent).Add(durationFromMS(occupies))
+// addRemoteRequest adds a request of another node to the queue; blockingTime is in
+// milliseconds.
+func (s *balancerServer) addRemoteRequest(blockingTime float64, prompt prefix.Chain, sent time.Time) {
+	s.freeAt = later(s.freeAt, sent).Add(durationFromMS(blockingTime))
 	s.cache.Insert(prompt)
 }
 
-// removeWaiting takes a request off those that wait. Those that were sent after it are
-// ready as much later than expected as it was; one that has gone without an
-// answer leaves its time to them.
-func (s *balancerServer) removeWaiting(u *Assignment, answered bool, now time.Time) {
-	at := slices.Index(s.waiting, u)
+// removeWaiting removes a request from the queue, because its response started or
+// because it ended without one. In the first case the requests behind it are
+// expected to be as late as it was; in the second they move up by its blocking
+// time.
+func (s *balancerServer) removeWaiting(a *Assignment, responded bool, now time.Time) {
+	at := slices.Index(s.waiting, a)
 	if at < 0 {
 		return
 	}
-	if !u.serial() {
+	if !a.serial() {
 		s.waiting = slices.Delete(s.waiting, at, at+1)
 		return
 	}
-	if answered {
-		// Whatever came before it has been passed over: its answer is lost, and
-		// it holds up nobody.
+	if responded {
+		// The requests before it have been passed over: their responses are lost,
+		// and they block nothing.
 		s.waiting = slices.Delete(s.waiting, 0, at+1)
 		at = 0
 	} else {
 		s.waiting = slices.Delete(s.waiting, at, at+1)
 	}
-	shift := now.Sub(u.expectedStart)
-	if !answered {
-		shift = -durationFromMS(u.blockingTime)
+	shift := now.Sub(a.expectedStart)
+	if !responded {
+		shift = -durationFromMS(a.blockingTime)
 	}
 	for _, w := range s.waiting[at:] {
 		w.expectedStart = later(w.expectedStart.Add(shift), now)
@@ -138,15 +138,16 @@
 	s.freeAt = later(s.freeAt.Add(shift), now)
 }
 
-// updateLoad takes a server's word on its load, less this node's own part of it.
+// updateLoad stores the load that a server reported, less this node's part, and
+// corrects freeAt by it.
 func (s *balancerServer) updateLoad(l Load, now time.Time) {
 	s.othersRunning = math.Max(0, float64(l.Running-(s.inflight-len(s.waiting))))
 	s.reportedAt = now
 	own := 0.0
-	for _, u := range s.waiting {
-		own += u.blockingTime
+	for _, a := range s.waiting {
+		own += a.blockingTime
 	}
-	// One more than those that wait may be being read.
+	// One more request than those that wait may be in prefill.
 	s.othersWaiting = math.Max(0, float64(l.Waiting-len(s.waiting)))
 	least, most := own+s.othersWaiting*s.typicalBlockingTime, own+(s.othersWaiting+1)*s.typicalBlockingTime
 	wait := math.Max(least, math.Min(most, durationToMS(s.freeAt.Sub(now))))
@@ -161,8 +162,8 @@
 	return b
 }
 
-// durationFromMS makes a duration of a number of them, inMilliseconds a number of
-// a duration.
+// durationFromMS converts a number of milliseconds to a duration.
 func durationFromMS(n float64) time.Duration { return time.Duration(n * float64(time.Millisecond)) }
 
+// durationToMS converts a duration to a number of milliseconds.
 func durationToMS(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/route/breaker.go
+++ b/route/breaker.go
@@ -3,15 +3,15 @@
 import "time"
 
 const (
-	// failureThreshold is how many failures in a row take a server out.
+	// failureThreshold is how many consecutive failures open the breaker.
 	failureThreshold = 3
 	minOpenDuration  = 500 * time.Millisecond
 	maxOpenDuration  = 15 * time.Second
 )
 
-// breaker takes a server out after failures in a row. After a pause it lets
-// one request through at a time; a success closes it, a failure doubles the
-// pause.
+// breaker is a circuit breaker for one server. It opens after consecutive
+// failures. After openDuration it admits one probe request at a time; a success
+// closes it, a failure doubles openDuration up to maxOpenDuration.
 type breaker struct {
 	failures     int
 	openDuration time.Duration
@@ -25,7 +25,7 @@
 	return !b.open() || (now.After(b.openUntil) && !b.probing)
 }
 
-// begin counts an attempt as the probe of an open breaker.
+// begin marks an attempt as the probe if the breaker is open.
 func (b *breaker) begin(now time.Time) {
 	if b.open() && now.After(b.openUntil) {
 		b.probing = true
@@ -36,7 +36,7 @@
 
 func (b *breaker) neutral() { b.probing = false }
 
-// fail counts a failure. It returns true when it takes the server out.
+// fail records a failure. It reports whether that opened a closed breaker.
 func (b *breaker) fail(now time.Time) bool {
 	b.failures++
 	b.probing = false
--- a/route/health.go
+++ b/route/health.go
@@ -6,35 +6,36 @@
 )
 
 const (
-	// latencySmoothing is the weight of one answer in what is known of a server's
-	// speed: slow ones are seen after a few answers. Failures are rarer, and
-	// some lie in the requests, so failureMemory is longer.
+	// latencySmoothing is the weight of one response in a server's latency ratio,
+	// so that a slow server is detected after a few responses. Failures are rarer,
+	// and some are caused by the requests, so failureSmoothing is lower.
 	latencySmoothing = 0.2
 	failureSmoothing = 0.05
-	// latencyRatioTolerance is how much slower than usual a server may look by chance.
+	// latencyRatioTolerance is the latency ratio up to which there is no penalty,
+	// since it can occur by chance.
 	latencyRatioTolerance = 1.5
-	// failureRateTolerance is the share of failures that may lie in the requests; the
-	// sheets have 14 in 100 for one kind.
+	// failureRateTolerance is the failure rate up to which there is no penalty,
+	// since the requests may cause it: the deployments' sheets state 14 in 100 for
+	// one kind.
 	failureRateTolerance = 0.25
-	// healthHalfLife is how soon what is known of a server that is not used is
-	// forgotten, so that one that has recovered is tried again.
+	// healthHalfLife is the half-life of the statistics of an unused server, so
+	// that one that has recovered is tried again.
 	healthHalfLife = 4 * time.Second
-	// failurePenaltyMS is the wait that a server which fails every request is put
-	// behind, in milliseconds.
+	// failurePenaltyMS is multiplied by the failure rate above the tolerance.
 	failurePenaltyMS = 800.0
 )
 
-// health is how a server has done lately against all servers.
+// health holds moving averages of one server's recent performance.
 type health struct {
-	// latencyRatio is how many times as long as usual its answers take to begin,
+	// latencyRatio is the ratio of its latency to what is usual for all servers;
 	// one if nothing is known.
 	latencyRatio float64
-	// failureRate is the share of its answers that were failures.
+	// failureRate is the share of its responses that were failures.
 	failureRate float64
 	updatedAt   time.Time
 }
 
-// decayed returns the health as it counts now.
+// decayed returns the health with the averages decayed until now.
 func (h health) decayed(now time.Time) health {
 	if h.updatedAt.IsZero() {
 		return health{latencyRatio: 1, updatedAt: now}
@@ -47,29 +48,29 @@
 	}
 }
 
-// recordLatency takes how many times as long as usual an answer took to begin.
-func (h *health) recordLatency(now time.Time, relative float64) {
+// recordLatency adds the ratio of one response's latency to the usual latency.
+func (h *health) recordLatency(now time.Time, ratio float64) {
 	*h = h.decayed(now)
-	h.latencyRatio += latencySmoothing * (math.Min(maxLatencyRatio, relative) - h.latencyRatio)
+	h.latencyRatio += latencySmoothing * (math.Min(maxLatencyRatio, ratio) - h.latencyRatio)
 }
 
-// penalty is what a request pays at the server beside its queue, in milliseconds:
-// for being slow, as a multiple of what the request takes otherwise, and for
-// failing.
-func (h health) penalty(now time.Time, takes float64) float64 {
+// penalty returns the cost of the server's slowness and failures for a request of
+// the given expected latency, in milliseconds. Slowness costs a multiple of the
+// latency.
+func (h health) penalty(now time.Time, latency float64) float64 {
 	if h.latencyRatio <= latencyRatioTolerance && h.failureRate <= failureRateTolerance {
-		return 0 // and what is forgotten of it makes it no worse
+		return 0 // decaying would only improve it
 	}
 	h = h.decayed(now)
-	return math.Max(0, h.latencyRatio-latencyRatioTolerance)*takes + failurePenaltyMS*math.Max(0, h.failureRate-failureRateTolerance)
+	return math.Max(0, h.latencyRatio-latencyRatioTolerance)*latency + failurePenaltyMS*math.Max(0, h.failureRate-failureRateTolerance)
 }
 
-// recordResult takes whether an answer was a failure.
+// recordResult adds whether one response was a failure.
 func (h *health) recordResult(now time.Time, failed bool) {
 	*h = h.decayed(now)
-	share := 0.0
+	failure := 0.0
 	if failed {
-		share = 1
+		failure = 1
 	}
-	h.failureRate += failureSmoothing * (share - h.failureRate)
+	h.failureRate += failureSmoothing * (failure - h.failureRate)
 }
--- a/route/latency_ratio.go
+++ b/route/latency_ratio.go
@@ -2,55 +2,57 @@
 
 import "math"
 
-// How quickly servers begin their answers is measured against what they were
-// expected to take, in the manner of TCP's retransmission timer (RFC 6298): a
-// running mean and a running deviation.
+// The ratio of observed to expected latency is tracked as TCP's retransmission
+// timer tracks the round-trip time (RFC 6298): by a moving mean and a moving mean
+// deviation.
 const (
-	// meanSmoothing is the weight of one answer in the mean of its kind, and
-	// deviationMemory in the deviation, as in RFC 6298.
+	// meanSmoothing is the weight of one response in the mean, deviationSmoothing
+	// its weight in the deviation (RFC 6298, alpha and beta).
 	meanSmoothing      = 1.0 / 8
 	deviationSmoothing = 1.0 / 4
-	// lateDeviations above the mean an answer is called late (RFC 6298, K).
+	// lateDeviations is how many deviations above the mean a response counts as
+	// late (RFC 6298, K).
 	lateDeviations = 4
-	// minLateSamples are needed before an answer is called late.
+	// minLateSamples is the number of samples before a response can count as late.
 	minLateSamples = 10
-	// maxLatencyRatio bounds how many times slower than usual one answer counts.
+	// maxLatencyRatio bounds the effect of one response.
 	maxLatencyRatio = 12.0
 )
 
-// latencyRatios are by kind of request; the balancer's lock guards them.
+// latencyRatios is keyed by the kind of request and guarded by Balancer.mu.
 type latencyRatios map[string]*ratioStats
 
-// ratioStats is how long answers of one kind take to begin, as a multiple of
-// what was expected of an idle server of the usual speed.
+// ratioStats holds statistics of the ratio of observed to expected latency for one
+// kind of request.
 type ratioStats struct {
 	mean      float64
 	deviation float64
 	samples   int
 }
 
-// record takes one answer's multiple and returns it against the mean before.
-func (w latencyRatios) record(kind string, multiple float64) float64 {
-	k := w[kind]
-	if k == nil {
-		w[kind] = &ratioStats{mean: multiple, deviation: multiple / 2, samples: 1}
+// record adds the ratio of one response and returns it relative to the mean
+// before.
+func (l latencyRatios) record(kind string, ratio float64) float64 {
+	s := l[kind]
+	if s == nil {
+		l[kind] = &ratioStats{mean: ratio, deviation: ratio / 2, samples: 1}
 		return 1
 	}
-	relative := multiple / math.Max(k.mean, math.SmallestNonzeroFloat64)
-	// One answer of a dead server must not make all others look quick.
-	multiple = math.Min(multiple, maxLatencyRatio*k.mean)
-	k.deviation += deviationSmoothing * (math.Abs(multiple-k.mean) - k.deviation)
-	k.mean += meanSmoothing * (multiple - k.mean)
-	k.samples++
+	relative := ratio / math.Max(s.mean, math.SmallestNonzeroFloat64)
+	// One response of a hung server must not make all others look fast.
+	ratio = math.Min(ratio, maxLatencyRatio*s.mean)
+	s.deviation += deviationSmoothing * (math.Abs(ratio-s.mean) - s.deviation)
+	s.mean += meanSmoothing * (ratio - s.mean)
+	s.samples++
 	return relative
 }
 
-// lateRatio returns the multiple beyond which an answer of a kind is late; zero
-// while too little is known.
-func (w latencyRatios) lateRatio(kind string) float64 {
-	k := w[kind]
-	if k == nil || k.samples < minLateSamples {
+// lateRatio returns the ratio beyond which a response of a kind is late; zero
+// before minLateSamples.
+func (l latencyRatios) lateRatio(kind string) float64 {
+	s := l[kind]
+	if s == nil || s.samples < minLateSamples {
 		return 0
 	}
-	return k.mean + lateDeviations*k.deviation
+	return s.mean + lateDeviations*s.deviation
 }
--- a/route/route.go
+++ b/route/route.go
@@ -1,20 +1,23 @@
 // Package route chooses the backend server for one attempt of a request.
 //
-// Load reports lag, and nodes that all follow the same stale report send a
-// herd to one server. So a node compares only a few candidates out of a stable
-// subset of the pool, by the expected time to finish: the node's own work
-// there, which it knows exactly; the reported load, discounted by its age; the
-// server's lately observed speed; and what its prefix cache is likely to hold.
-// A breaker takes out a server that fails and probes it again later.
+// There are two load balancers. A [Chooser] polls its servers for load reports.
+// The reports lag, so nodes that all follow the same stale report would overload
+// the server that it shows as idle. A node therefore compares only a few
+// candidates from a stable subset of the pool, by the expected time to complete
+// the request. The estimate uses the node's own requests in flight, which it
+// knows exactly; the reported load, discounted by its age; the recently observed
+// service time; and whether the server's prefix cache is likely to hold the
+// prompt. A circuit breaker takes out a server that fails and probes it later.
 //
-// A [Chooser] does so for servers whose reports are asked for. A [Balancer] is
-// for servers that tell their load on each answer, and looks at all of them by
-// how soon each would answer: after what waits there, which it knows of itself
-// and hears of from other nodes (package share), and after reading what the
-// server does not have of the prompt (package prefix), at the pace at which it
-// has lately read (package estimate). It follows how long requests of each kind
-// wait against what was expected: one that waits longer than almost all is late,
-// and a server whose answers are late, or often failures, gets fewer requests.
+// A [Balancer] is for servers that report their load with each response. It
+// draws a shortlist from all servers of a service and compares how soon each
+// would start to respond: the queue there, known from the node's own requests
+// and from the sends of other nodes (package share), plus the prefill of the
+// prompt tokens that are not cached there (package prefix), at the recent
+// prefill rate (package estimate). It tracks the ratio of observed to expected
+// latency per kind of request. A response that takes longer than almost all
+// others of its kind is late, and a server with late or often failing responses
+// gets fewer requests.
 //
 // # Usage
 //
@@ -23,16 +26,16 @@
 //		return err
 //	}
 //	… run on attempt.Server() …
-//	attempt.End(route.OutcomeOK, firstToken, total)
+//	attempt.End(route.OutcomeOK, total)
 //
-//	use, err := balancer.Choose(route.Task{Servers: servers, Kind: kind, Prompt: chain, Tokens: tokens})
+//	assignment, err := balancer.Choose(route.Task{Servers: servers, Kind: kind, Prompt: chain, PromptTokens: tokens})
 //	if err != nil {
 //		return err
 //	}
-//	… send to use.Server() …
-//	use.Tell(load) // and Begin once its answer has begun
-//	use.Failed(failed)
-//	use.End(route.OutcomeOK) // or Stall, if the request was taken away as late
+//	… send to assignment.Server() …
+//	assignment.RecordLoad(load) // and RecordResponseStart once the response has started
+//	assignment.RecordResult(failed)
+//	assignment.End(route.OutcomeOK) // or EndStalled, if the request was cancelled as late
 package route
 
 import (
@@ -51,11 +54,11 @@
 var (
 	namespace = errs.Namespace("route")
 
-	// NoServer says that no server of the pool can take the request now.
+	// NoServer is the error type for a request that no server can take now.
 	NoServer = namespace.NewType("no_server")
 )
 
-// Outcome tells how an attempt ended, as far as the server is concerned.
+// Outcome is the result of a request as it counts for the server.
 type Outcome int
 
 // The outcomes.
@@ -63,24 +66,28 @@
 	OutcomeOK Outcome = iota
 	// OutcomeFailed counts against the server.
 	OutcomeFailed
-	// OutcomeNeutral says nothing about the server, such as a caller's leave.
+	// OutcomeNeutral says nothing about the server, as when the client
+	// disconnects.
 	OutcomeNeutral
-	// OutcomeDeclined is a server's own word that it did not run the request.
+	// OutcomeDeclined means that the server said it did not run the request.
 	OutcomeDeclined
 )
 
 const (
-	// randomCandidates are drawn at random for each choice.
+	// randomCandidates is how many servers are drawn at random for each choice.
 	randomCandidates = 3
-	// serviceTimeSmoothing is the weight of one answer in a server's observed speed.
+	// serviceTimeSmoothing is the weight of one response in the moving average
+	// of a server's service time.
 	serviceTimeSmoothing = 0.1
-	// initialServiceTime is the assumed time of a request on an unknown server.
+	// initialServiceTime is assumed for a server with no observations.
 	initialServiceTime = 200 * time.Millisecond
-	// serviceTimeHalfLife is how soon an observed speed is forgotten.
+	// serviceTimeHalfLife is the half-life of an observed service time while the
+	// server is unused.
 	serviceTimeHalfLife = 10 * time.Second
-	// cacheHitSaving is the part of a request's time that a cached prefix saves.
+	// cacheHitSaving is the share of the service time that a cached prefix saves.
 	cacheHitSaving = 0.3
-	// fullBatchSlowdown is how much a full batch slows down each request in it.
+	// fullBatchSlowdown is the share by which a full batch slows down each
+	// request in it.
 	fullBatchSlowdown = 0.3
 	// maxCacheEntries bounds the prefixes remembered per server.
 	maxCacheEntries = 512
@@ -91,42 +98,44 @@
 	Running int
 	Waiting int
 	Leaving bool
-	// Models the server holds; nil if it did not say.
+	// Models are those that the server has loaded; empty if it did not say.
 	Models []string
-	// At is when the load was as reported.
+	// At is when the load was measured.
 	At time.Time
 }
 
-// Request is what the choice depends on.
+// Request describes one attempt for which a Chooser picks a server.
 type Request struct {
 	Pool    string
 	Servers []config.Server
-	// EngineModel must be held by the server, if it says what it holds.
+	// EngineModel must be loaded on the server, if it reports its models.
 	EngineModel string
-	// Prefix hashes the start of the prompt; zero for none.
+	// Prefix is a hash of the start of the prompt; zero for none.
 	Prefix uint64
-	// Exclude lists servers that have been tried.
+	// Exclude holds the names of the servers that have been tried.
 	Exclude map[string]bool
 }
 
-// Option changes a Chooser as New makes it.
+// Option configures a Chooser.
 type Option func(*Chooser)
 
-// WithLeaving names the test for servers that the VM list shows as leaving.
+// WithLeaving sets the function that reports whether the VM list shows a server
+// as leaving. Such servers are not chosen.
 func WithLeaving(leaving func(server string) bool) Option {
 	return func(c *Chooser) { c.leaving = leaving }
 }
 
-// WithNodes names the source of the nodes that share the servers.
+// WithNodes sets the source of the nodes that share the servers.
 func WithNodes(nodes Nodes) Option { return func(c *Chooser) { c.nodes = nodes } }
 
-// WithBreakerCounter counts the servers taken out.
+// WithBreakerCounter sets a function that is called with the name of each server
+// whose circuit breaker opens.
 func WithBreakerCounter(count func(server string)) Option {
 	return func(c *Chooser) { c.onBreakerOpen = count }
 }
 
-// Chooser holds what one node knows of the backend servers. It is safe for
-// concurrent use.
+// Chooser balances the requests of one node by load reports that it is given
+// through [Chooser.Observe]. It is safe for concurrent use.
 type Chooser struct {
 	node          string
 	leaving       func(server string) bool
@@ -138,20 +147,22 @@
 	subsets map[string]*subset
 }
 
-// chooserServer is what this node knows of one backend server.
+// chooserServer is a Chooser's state of one backend server.
 type chooserServer struct {
 	inflight int
 	report   Report
-	// inflightAtReport is the part of the reported load that is this node's.
+	// inflightAtReport is this node's part of the reported load.
 	inflightAtReport int
-	// serviceTime is the time of a request on the idle server, as last observed.
-	serviceTime    time.Duration
-	lastUsed       time.Time
-	breaker        breaker
+	// serviceTime is the moving average of a request's time, scaled to an idle
+	// server.
+	serviceTime time.Duration
+	lastUsed    time.Time
+	breaker     breaker
+	// cachedPrefixes maps a prefix hash to its last use on the server.
 	cachedPrefixes map[uint64]time.Time
 }
 
-// New returns a chooser that knows no server.
+// New returns a Chooser for the node of the given ID.
 func New(node string, options ...Option) *Chooser {
 	c := &Chooser{
 		node:          node,
@@ -167,14 +178,14 @@
 	return c
 }
 
-// Attempt is one use of a server.
+// Attempt is one request assigned to a server by a Chooser.
 type Attempt struct {
 	chooser *Chooser
 	server  config.Server
 	state   *chooserServer
 	prefix  uint64
-	// slowdown is how much longer than on the idle server the request was
-	// expected to take.
+	// slowdown is the expected ratio of the request's time to its time on an
+	// idle server.
 	slowdown float64
 	endOnce  sync.Once
 }
@@ -182,12 +193,14 @@
 // Server returns the chosen server.
 func (a *Attempt) Server() config.Server { return a.server }
 
-// End tells how the attempt ended and how long it took.
+// End records the attempt's outcome and its duration. Only the first call
+// counts.
 func (a *Attempt) End(outcome Outcome, took time.Duration) {
 	a.endOnce.Do(func() { a.chooser.end(a, outcome, took) })
 }
 
-// Choose returns the server for one attempt.
+// Choose picks a server for one attempt, which counts as in flight until its
+// [Attempt.End]. It returns a [NoServer] error if no server can take the request.
 func (c *Chooser) Choose(r Request) (*Attempt, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,20 +210,20 @@
 		return nil, errs.New(NoServer, "choose", "pool %s has no server for %s", r.Pool, r.EngineModel)
 	}
 	pool := averageOf(usable)
-	best, bestCost, bestStretch := usableServer{}, math.Inf(1), 1.0
+	best, bestCost, bestSlowdown := usableServer{}, math.Inf(1), 1.0
 	for _, o := range drawCandidates(r, usable) {
-		stretch := o.state.slowdown(o.server.Slots, r.Prefix, pool, now)
-		if cost := o.state.expectedServiceTime(pool, now) * stretch; cost < bestCost {
-			best, bestCost, bestStretch = o, cost, stretch
+		slowdown := o.state.slowdown(o.server.Slots, r.Prefix, pool, now)
+		if cost := o.state.expectedServiceTime(pool, now) * slowdown; cost < bestCost {
+			best, bestCost, bestSlowdown = o, cost, slowdown
 		}
 	}
 	best.state.inflight++
 	best.state.lastUsed = now
 	best.state.breaker.begin(now)
-	return &Attempt{chooser: c, server: best.server, state: best.state, prefix: r.Prefix, slowdown: bestStretch}, nil
+	return &Attempt{chooser: c, server: best.server, state: best.state, prefix: r.Prefix, slowdown: bestSlowdown}, nil
 }
 
-// usableServer is a server that may be chosen, with what is known of it.
+// usableServer is a server that may be chosen, with its state.
 type usableServer struct {
 	server config.Server
 	state  *chooserServer
@@ -227,8 +240,8 @@
 	return s
 }
 
-// usable returns the servers of this node's subset that may take the request;
-// if there are none, those of the whole pool.
+// usable returns the servers of this node's subset that can take the request, or
+// those of the whole pool if the subset has none.
 func (c *Chooser) usable(r Request, now time.Time) []usableServer {
 	usable := c.filter(r, c.subset(r.Pool, r.Servers), now)
 	if len(usable) == 0 {
@@ -256,8 +269,8 @@
 	return len(models) == 0 || model == "" || slices.Contains(models, model)
 }
 
-// drawCandidates returns a few random candidates, and the one that most lately had the
-// prompt's prefix.
+// drawCandidates returns a few random servers and, if there is one, the server
+// that most recently ran a request with the prompt's prefix.
 func drawCandidates(r Request, usable []usableServer) []usableServer {
 	var drawn []usableServer
 	for _, i := range rand.Perm(len(usable))[:min(randomCandidates, len(usable))] {
@@ -279,10 +292,10 @@
 	return drawn
 }
 
-// poolAverage is what is usual among the servers of a pool.
+// poolAverage holds averages over the usable servers of a pool.
 type poolAverage struct {
-	// othersLoad is the load by other nodes per server, speed as in server, in
-	// seconds.
+	// othersLoad is the number of requests of other nodes per server;
+	// serviceTime is in seconds.
 	othersLoad, serviceTime float64
 }
 
@@ -296,37 +309,37 @@
 	return poolAverage{othersLoad: sum.othersLoad / n, serviceTime: sum.serviceTime / n}
 }
 
-// othersLoad returns the load that other nodes put on the server when it last
-// reported.
+// othersLoad returns the number of other nodes' requests at the last report.
 func (s *chooserServer) othersLoad() float64 {
 	return math.Max(0, float64(s.report.Running+s.report.Waiting-s.inflightAtReport))
 }
 
-// expectedServiceTime returns the time of a request on the idle server, in seconds. What
-// was observed long ago gives way to what is usual in the pool, so that a
-// server that was slow once is tried again.
+// expectedServiceTime returns the time of a request on an idle server, in
+// seconds. While the server is unused, the estimate decays to the pool's
+// average, so that a server that was slow once is tried again.
 func (s *chooserServer) expectedServiceTime(pool poolAverage, now time.Time) float64 {
 	return pool.serviceTime + (s.serviceTime.Seconds()-pool.serviceTime)*decayWeight(now.Sub(s.lastUsed), serviceTimeHalfLife)
 }
 
-// slowdown returns how much longer a request takes than on the idle server. The
-// node's own work there is known; what others put there gives way, as the
-// report ages, to what is usual in the pool. Were it to give way to zero, a
-// loaded server would look idle to every node at once.
+// slowdown returns the expected ratio of a request's time to its time on an idle
+// server. The node's own requests are known exactly; the load of other nodes
+// decays to the pool's average as the report ages. Decaying to zero would make a
+// loaded server look idle to all nodes at the same time.
 func (s *chooserServer) slowdown(slots int, prefix uint64, pool poolAverage, now time.Time) float64 {
 	weight := decayWeight(now.Sub(s.report.At), time.Duration(pool.serviceTime*float64(time.Second)))
 	ahead := float64(s.inflight) + weight*s.othersLoad() + (1-weight)*pool.othersLoad
 	queued := math.Max(0, ahead+1-float64(slots)) / float64(slots)
-	// Below its slots a batching engine still slows down with its load.
-	crowding := math.Min(1, ahead/float64(slots)) * fullBatchSlowdown
-	stretch := 1 + queued + crowding
+	// A batching engine slows down with its load even while it has free slots.
+	batching := math.Min(1, ahead/float64(slots)) * fullBatchSlowdown
+	slowdown := 1 + queued + batching
 	if _, cached := s.cachedPrefixes[prefix]; cached && prefix != 0 {
-		stretch -= cacheHitSaving
+		slowdown -= cacheHitSaving
 	}
-	return stretch
+	return slowdown
 }
 
-// decayWeight is the weight of what is known since age, from 1 to 0.
+// decayWeight returns the weight of an observation of the given age, from 1 down
+// to 0.
 func decayWeight(age, halfLife time.Duration) float64 {
 	return math.Exp2(-age.Seconds() / halfLife.Seconds())
 }
@@ -371,7 +384,7 @@
 	s.cachedPrefixes[prefix] = now
 }
 
-// Observe takes a server's load report.
+// Observe stores a server's load report.
 func (c *Chooser) Observe(pool, name string, report Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -379,8 +392,8 @@
 	s.report, s.inflightAtReport = report, s.inflight
 }
 
-// Available reports whether some server of a pool may hold a model, as far as
-// they have reported what they hold.
+// Available reports whether some server of this node's subset of a pool may have
+// a model loaded. A server that has not reported its models counts as having it.
 func (c *Chooser) Available(pool string, servers []config.Server, model string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/route/shortlist.go
+++ b/route/shortlist.go
@@ -5,56 +5,60 @@
 	"slices"
 )
 
-// sampleSize of its own data hall, and as many of the others, are what a choice
-// looks at. All nodes of a large deployment hear the same news, some 100 ms after
-// it: were each to look at all servers, all would send to the one that looks best
-// until they hear of each other. With news of 125 ms and 105 servers, 26 in 100
-// requests came to a server as the sixth within 100 ms, and waited for 210 ms; of
-// three drawn 3 in 100, for 98 ms, of six 10 in 100, for 115 ms (TestHerd). With
-// six nodes and 15 servers it makes no difference.
+// sampleSize is how many random servers of the node's own data hall, and how many
+// of all others, are compared for a request. In a large deployment all nodes
+// receive the same updates, some 100 ms late: if each compared all servers, all
+// would send to the best one until they hear of each other's sends. With updates
+// 125 ms old and 105 servers, 26% of the requests were at least the sixth to reach
+// their server within 100 ms, and requests waited for 210 ms; with samples of
+// three it was 3% and 98 ms, with six 10% and 115 ms (TestHerd). With six nodes
+// and 15 servers it makes no difference.
 const sampleSize = 3
 
-// candidate is a server that can take a task, by its place among the task's.
+// candidate is a server that can take a task.
 type candidate struct {
+	// index is the server's index in Task.Servers.
 	index int
 	state *balancerServer
-	// cachedTokens is how many tokens of the prompt the server is believed to have.
+	// cachedTokens is the number of prompt tokens expected in the server's cache.
 	cachedTokens int
 }
 
-// reservoir is a few of those that are offered, each as likely as any other.
+// reservoir is a uniform random sample of the candidates added to it (reservoir
+// sampling).
 type reservoir struct {
 	seen  int
 	items [sampleSize]candidate
 }
 
-func (s *reservoir) add(c candidate) {
-	s.seen++
-	if s.seen <= sampleSize {
-		s.items[s.seen-1] = c
+func (r *reservoir) add(c candidate) {
+	r.seen++
+	if r.seen <= sampleSize {
+		r.items[r.seen-1] = c
 		return
 	}
-	if at := rand.IntN(s.seen); at < sampleSize {
-		s.items[at] = c
+	if i := rand.IntN(r.seen); i < sampleSize {
+		r.items[i] = c
 	}
 }
 
-func (s *reservoir) sampled() []candidate { return s.items[:min(s.seen, sampleSize)] }
+func (r *reservoir) sampled() []candidate { return r.items[:min(r.seen, sampleSize)] }
 
-// shortlist is what a choice looks at: a few servers at random, the one that all nodes
-// prefer for the prompt, and one of those that hold the most of it, since there are
-// few of these where they hold much.
+// shortlist collects the candidates that are compared for a task: a few random
+// servers, the prompt's home server, and one of those with the most cached tokens,
+// which the samples would rarely include.
 type shortlist struct {
 	local, remote reservoir
 	home          candidate
 	hasHome       bool
-	// bestCached is one of holders, which hold equally much.
+	// bestCached is drawn at random from the bestCachedCount candidates that share
+	// the highest number of cached tokens.
 	bestCached      candidate
 	bestCachedCount int
 }
 
-func (l *shortlist) add(c candidate, near, home bool) {
-	if near {
+func (l *shortlist) add(c candidate, local, home bool) {
+	if local {
 		l.local.add(c)
 	} else {
 		l.remote.add(c)
@@ -74,7 +78,7 @@
 	}
 }
 
-// candidates returns what was drawn, some of it twice.
+// candidates returns the collected candidates; some may occur twice.
 func (l *shortlist) candidates() []candidate {
 	chosen := slices.Concat(l.local.sampled(), l.remote.sampled())
 	if l.hasHome {
--- a/route/subset.go
+++ b/route/subset.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// subsetSize is how many servers of a pool a node uses on average.
+	// subsetSize is the average number of a pool's servers that a node uses.
 	subsetSize = 20
-	// minNodesPerServer is by how many nodes each server is used at least.
+	// minNodesPerServer is the least number of nodes that use each server.
 	minNodesPerServer = 3
 )
 
-// Nodes returns the nodes that share the servers, and a number that changes
-// with them.
+// Nodes returns the IDs of the nodes that share the servers, and an epoch that
+// changes whenever they do.
 type Nodes func() (epoch int64, ids []string)
 
-// subset is the part of a pool's servers that this node uses.
+// subset caches the part of a pool's servers that this node uses, with what it was
+// computed from.
 type subset struct {
 	epoch   int64
 	first   *config.Server
@@ -24,9 +25,9 @@
 	servers []config.Server
 }
 
-// Subset returns the servers of a pool that this node uses. Each server has a
-// few nodes by rendezvous hashing, so none is left out, and the choice is
-// stable while nodes and servers come and go.
+// Subset returns the servers of a pool that this node uses. Rendezvous hashing
+// assigns each server to a few nodes, so that no server is left out and few
+// assignments change when nodes or servers come and go.
 func (c *Chooser) Subset(pool string, servers []config.Server) []config.Server {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -38,39 +39,40 @@
 		return servers
 	}
 	epoch, ids := c.nodes()
-	known := c.subsets[pool]
-	if known == nil || known.epoch != epoch || known.first != &servers[0] || known.length != len(servers) {
-		known = &subset{epoch: epoch, first: &servers[0], length: len(servers), servers: assignedServers(c.node, ids, servers)}
-		c.subsets[pool] = known
+	cached := c.subsets[pool]
+	if cached == nil || cached.epoch != epoch || cached.first != &servers[0] || cached.length != len(servers) {
+		cached = &subset{epoch: epoch, first: &servers[0], length: len(servers), servers: assignedServers(c.node, ids, servers)}
+		c.subsets[pool] = cached
 	}
-	return known.servers
+	return cached.servers
 }
 
-// assignedServers returns the servers that have a node among their first few.
+// assignedServers returns the servers for which the node is among the few with the
+// highest rendezvous score.
 func assignedServers(node string, ids []string, servers []config.Server) []config.Server {
-	users := max(minNodesPerServer, (subsetSize*len(ids)+len(servers)-1)/len(servers))
-	own := rendezvous.Hash(node)
+	nodesPerServer := max(minNodesPerServer, (subsetSize*len(ids)+len(servers)-1)/len(servers))
+	nodeHash := rendezvous.Hash(node)
 	hashes := make([]uint64, 0, len(ids))
 	for _, id := range ids {
 		if id != node {
 			hashes = append(hashes, rendezvous.Hash(id))
 		}
 	}
-	var mine []config.Server
+	var assigned []config.Server
 	for _, s := range servers {
 		key := rendezvous.Hash(s.Name)
-		score, before := rendezvous.Score(key, own), 0
+		score, higher := rendezvous.Score(key, nodeHash), 0
 		for _, other := range hashes {
 			if rendezvous.Score(key, other) > score {
-				before++
+				higher++
 			}
-			if before == users {
+			if higher == nodesPerServer {
 				break
 			}
 		}
-		if before < users {
-			mine = append(mine, s)
+		if higher < nodesPerServer {
+			assigned = append(assigned, s)
 		}
 	}
-	return mine
+	return assigned
 }
