--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -1,16 +1,17 @@
-// Package prefix believes which beginnings of prompts the engines' caches hold.
+// Package prefix estimates which prompt prefixes the engines' caches hold.
 //
-// A prompt comes in parts, most of them shared with other prompts. An engine
-// keeps what it has read by model: a part that it still has is not read again,
-// provided that it has every part before it as well. When its memory runs out,
-// the parts unused longest give way. A [CacheTracker] follows one engine by the
-// prompts that were sent there, in the same order and with the same bound.
+// A prompt consists of parts, most of them shared with other prompts. An engine
+// caches the parts that it has prefilled, by model. A cached part need not be
+// prefilled again if all parts before it are cached as well. When the cache is
+// full, the engine evicts the least recently used parts. A [CacheTracker] simulates
+// the cache of one engine from the prompts that were sent to it, with the same
+// eviction order and capacity.
 //
 // # Usage
 //
 //	chain := prefix.NewChain("large", parts) // each part with its ID and size
-//	saved := memory.Held(chain)              // tokens that need not be read
-//	memory.Read(chain)                       // once it is sent there
+//	cached := tracker.CachedTokens(chain)    // tokens that need no prefill
+//	tracker.Insert(chain)                    // when the prompt is sent to the engine
 package prefix
 
 import (
@@ -20,27 +21,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Part is one part of a prompt.
+// Part is one part of a prompt, such as a system prompt that many requests share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Block stands for a prompt's beginning up to the end of one of its parts. The
+// Block identifies one part of a prompt together with all parts before it. The
 // fields are exported for the codecs.
 type Block struct {
 	_ struct{} `cbor:",toarray"`
-	// Hash is of the model and of all parts so far.
+	// Hash covers the model, the part and all parts before it.
 	Hash uint64
-	// Tokens are those of the last of these parts.
+	// Tokens is the size of the part alone.
 	Tokens int
 }
 
-// Chain is a whole prompt as its beginnings, the shortest first.
+// Chain is a whole prompt as a hash chain, with one block for each part.
 type Chain []Block
 
-// NewChain returns the chain of a prompt for a model: engines keep what they
-// read by model.
+// NewChain returns the chain of a prompt for a model. Equal prompts for different
+// models have different chains, since engines cache by model.
 func NewChain(model string, parts []Part) Chain {
 	chain := make(Chain, 0, len(parts))
 	hash := xxhash.Sum64String(model)
@@ -48,7 +49,7 @@
 	for _, p := range parts {
 		binary.LittleEndian.PutUint64(buffer[:], hash)
 		digest := xxhash.New()
-		// Writing to a digest never fails.
+		// Writes to a digest never fail.
 		_, _ = digest.Write(buffer[:])
 		_, _ = digest.WriteString(p.ID)
 		hash = digest.Sum64()
@@ -57,7 +58,8 @@
 	return chain
 }
 
-// Shared returns the chain without its last part, which is the request's own.
+// Shared returns the chain without its last block, the part that is specific to
+// the request.
 func (c Chain) Shared() Chain {
 	if len(c) == 0 {
 		return nil
@@ -65,82 +67,85 @@
 	return c[:len(c)-1]
 }
 
-// Tokens returns the size of the whole chain.
+// Tokens returns the size of the whole prompt.
 func (c Chain) Tokens() int {
 	sum := 0
-	for _, m := range c {
-		sum += m.Tokens
+	for _, b := range c {
+		sum += b.Tokens
 	}
 	return sum
 }
 
-// CacheTracker is what one engine is believed to hold. It is not safe for concurrent
-// use.
+// CacheTracker simulates the LRU prefix cache of one engine. It is not safe for
+// concurrent use.
 type CacheTracker struct {
-	// capacity in tokens; zero or less for no bound but entriesMax.
+	// capacity is in tokens; if zero or less, only maxEntries applies.
 	capacity int
 	tokens   int
-	// entries are by the marks' hashes, order has those used latest first.
+	// entries is keyed by Block.Hash; order has the most recently used first.
 	entries map[uint64]*list.Element
 	order   *list.List
 }
 
-// maxEntries bounds the parts remembered of one engine: at some 150 bytes each,
+// maxEntries bounds the blocks tracked for one engine: at some 150 bytes each,
 // those of 150 engines take 11 MB at most.
 const maxEntries = 500
 
-// NewCacheTracker returns the memory of an engine that has read nothing.
+// NewCacheTracker returns a tracker for an engine whose cache is empty.
 func NewCacheTracker() *CacheTracker {
 	return &CacheTracker{entries: make(map[uint64]*list.Element), order: list.New()}
 }
 
-// SetCapacity says how many tokens the engine holds; zero if it is not known.
-func (m *CacheTracker) SetCapacity(tokens int) { m.capacity = tokens }
+// SetCapacity sets the size of the engine's cache in tokens; zero if not known.
+func (t *CacheTracker) SetCapacity(tokens int) { t.capacity = tokens }
 
-// CachedTokens returns how many tokens of a prompt need not be read.
-func (m *CacheTracker) CachedTokens(c Chain) int {
-	held := 0
-	for _, mark := range c {
-		if m.entries[mark.Hash] == nil {
+// CachedTokens returns how many tokens of a prompt are expected in the cache, so
+// that they need no prefill.
+func (t *CacheTracker) CachedTokens(c Chain) int {
+	cached := 0
+	for _, block := range c {
+		if t.entries[block.Hash] == nil {
 			break
 		}
-		held += mark.Tokens
+		cached += block.Tokens
 	}
-	return held
+	return cached
 }
 
-// Insert takes that the engine reads a prompt, or uses what it has of it.
-func (m *CacheTracker) Insert(c Chain) {
-	// The later parts come first, so that a beginning outlives what follows it.
+// Insert records that a prompt is sent to the engine: its blocks are added or
+// marked as recently used, and others are evicted if the cache is full.
+func (t *CacheTracker) Insert(c Chain) {
+	// Touch the last block first, so that a block is evicted before those that
+	// precede it in the chain.
 	for i := len(c) - 1; i >= 0; i-- {
-		m.touch(c[i])
+		t.touch(c[i])
 	}
-	for m.order.Len() > maxEntries || (m.capacity > 0 && m.tokens > m.capacity && m.order.Len() > len(c)) {
-		m.evict(m.order.Back())
+	for t.order.Len() > maxEntries || (t.capacity > 0 && t.tokens > t.capacity && t.order.Len() > len(c)) {
+		t.evict(t.order.Back())
 	}
 }
 
-// Remove takes that the engine does not hold a prompt's parts after all, from
-// the first one on.
-func (m *CacheTracker) Remove(c Chain) {
-	for _, mark := range c {
-		if e := m.entries[mark.Hash]; e != nil {
-			m.evict(e)
+// Remove drops all blocks of a prompt that the engine turned out not to have
+// cached.
+func (t *CacheTracker) Remove(c Chain) {
+	for _, block := range c {
+		if e := t.entries[block.Hash]; e != nil {
+			t.evict(e)
 		}
 	}
 }
 
-func (m *CacheTracker) touch(mark Block) {
-	if e := m.entries[mark.Hash]; e != nil {
-		m.order.MoveToFront(e)
+func (t *CacheTracker) touch(block Block) {
+	if e := t.entries[block.Hash]; e != nil {
+		t.order.MoveToFront(e)
 		return
 	}
-	m.entries[mark.Hash] = m.order.PushFront(mark)
-	m.tokens += mark.Tokens
+	t.entries[block.Hash] = t.order.PushFront(block)
+	t.tokens += block.Tokens
 }
 
-func (m *CacheTracker) evict(e *list.Element) {
-	mark := m.order.Remove(e).(Block)
-	delete(m.entries, mark.Hash)
-	m.tokens -= mark.Tokens
+func (t *CacheTracker) evict(e *list.Element) {
+	block := t.order.Remove(e).(Block)
+	delete(t.entries, block.Hash)
+	t.tokens -= block.Tokens
 }
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -12,18 +12,19 @@
 
 func chain(model string, parts ...prefix.Part) prefix.Chain { return prefix.NewChain(model, parts) }
 
-// TestHeld: parts count by model and only with all parts before them.
-func TestHeld(t *testing.T) {
-	shared, mid := prefix.Part{ID: "a", Tokens: 100}, prefix.Part{ID: "b", Tokens: 20}
-	m := prefix.NewCacheTracker()
-	must.Zero(t, m.CachedTokens(chain("m", shared)))
-	m.Insert(chain("m", shared, mid, prefix.Part{ID: "own", Tokens: 3}))
-	must.Eq(t, 120, m.CachedTokens(chain("m", shared, mid, prefix.Part{ID: "other", Tokens: 9})))
-	must.Eq(t, 100, m.CachedTokens(chain("m", shared, prefix.Part{ID: "c", Tokens: 20})))
-	must.Zero(t, m.CachedTokens(chain("m", mid)), must.Sprint("a part that does not follow its beginning"))
-	must.Zero(t, m.CachedTokens(chain("n", shared)), must.Sprint("another model"))
-	m.Remove(chain("m", shared))
-	must.Zero(t, m.CachedTokens(chain("m", shared, mid)))
+// TestCachedTokens checks that parts are cached by model and count only if all
+// parts before them are cached.
+func TestCachedTokens(t *testing.T) {
+	shared, middle := prefix.Part{ID: "a", Tokens: 100}, prefix.Part{ID: "b", Tokens: 20}
+	tracker := prefix.NewCacheTracker()
+	must.Zero(t, tracker.CachedTokens(chain("m", shared)))
+	tracker.Insert(chain("m", shared, middle, prefix.Part{ID: "own", Tokens: 3}))
+	must.Eq(t, 120, tracker.CachedTokens(chain("m", shared, middle, prefix.Part{ID: "other", Tokens: 9})))
+	must.Eq(t, 100, tracker.CachedTokens(chain("m", shared, prefix.Part{ID: "c", Tokens: 20})))
+	must.Zero(t, tracker.CachedTokens(chain("m", middle)), must.Sprint("a part without the parts before it"))
+	must.Zero(t, tracker.CachedTokens(chain("n", shared)), must.Sprint("another model"))
+	tracker.Remove(chain("m", shared))
+	must.Zero(t, tracker.CachedTokens(chain("m", shared, middle)))
 }
 
 func TestChain(t *testing.T) {
@@ -33,55 +34,56 @@
 	must.Zero(t, chain("m").Shared().Tokens())
 }
 
-// engine is a plain model of an engine's memory: the parts in order of their
-// last use.
-type engine struct {
+// lruCache is a naive implementation of an engine's prefix cache, with the blocks
+// in order of their last use.
+type lruCache struct {
 	capacity int
-	parts    []prefix.Block
+	blocks   []prefix.Block
 }
 
-func (e *engine) read(c prefix.Chain) {
+func (l *lruCache) insert(c prefix.Chain) {
 	for i := len(c) - 1; i >= 0; i-- {
-		kept := []prefix.Block{c[i]}
-		for _, p := range e.parts {
-			if p.Hash != c[i].Hash {
-				kept = append(kept, p)
+		blocks := []prefix.Block{c[i]}
+		for _, b := range l.blocks {
+			if b.Hash != c[i].Hash {
+				blocks = append(blocks, b)
 			}
 		}
-		e.parts = kept
+		l.blocks = blocks
 	}
-	for sum := e.tokens(); sum > e.capacity && len(e.parts) > len(c); sum = e.tokens() {
-		e.parts = e.parts[:len(e.parts)-1]
+	for sum := l.tokens(); sum > l.capacity && len(l.blocks) > len(c); sum = l.tokens() {
+		l.blocks = l.blocks[:len(l.blocks)-1]
 	}
 }
 
-func (e *engine) tokens() (sum int) {
-	for _, p := range e.parts {
-		sum += p.Tokens
+func (l *lruCache) tokens() (sum int) {
+	for _, b := range l.blocks {
+		sum += b.Tokens
 	}
 	return sum
 }
 
-func (e *engine) held(c prefix.Chain) (held int) {
-	for _, mark := range c {
+func (l *lruCache) cachedTokens(c prefix.Chain) (cached int) {
+	for _, block := range c {
 		found := false
-		for _, p := range e.parts {
-			found = found || p.Hash == mark.Hash
+		for _, b := range l.blocks {
+			found = found || b.Hash == block.Hash
 		}
 		if !found {
 			break
 		}
-		held += mark.Tokens
+		cached += block.Tokens
 	}
-	return held
+	return cached
 }
 
-// TestAgainstEngine: the belief follows a plain model of an engine's memory.
-func TestAgainstEngine(t *testing.T) {
+// TestMatchesNaiveCache checks a CacheTracker against a naive implementation of an
+// engine's cache.
+func TestMatchesNaiveCache(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(50, 2000).Draw(t, "capacity")
-		m, e := prefix.NewCacheTracker(), engine{capacity: capacity}
-		m.SetCapacity(capacity)
+		tracker, cache := prefix.NewCacheTracker(), lruCache{capacity: capacity}
+		tracker.SetCapacity(capacity)
 		for range rapid.IntRange(1, 80).Draw(t, "prompts") {
 			top := rapid.IntRange(0, 5).Draw(t, "top")
 			sub := rapid.IntRange(0, 3).Draw(t, "sub")
@@ -89,9 +91,9 @@
 				prefix.Part{ID: fmt.Sprint("top", top), Tokens: 30 + 10*top},
 				prefix.Part{ID: fmt.Sprint("sub", sub), Tokens: 10},
 				prefix.Part{ID: fmt.Sprint(rapid.IntRange(0, 1000).Draw(t, "own")), Tokens: 15})
-			must.Eq(t, e.held(c), m.CachedTokens(c))
-			m.Insert(c)
-			e.read(c)
+			must.Eq(t, cache.cachedTokens(c), tracker.CachedTokens(c))
+			tracker.Insert(c)
+			cache.insert(c)
 		}
 	})
 }
