--- a/route/balancer_test.go
+++ b/route/balancer_test.go
@@ -21,53 +21,54 @@
 
 func balancer() *route.Balancer { return route.NewBalancer("near", func(string) {}) }
 
-// taking is a task of a prompt of one token that takes that many milliseconds to
-// read.
-func taking(servers []registry.Server, work float64) route.Task {
-	return route.Task{Servers: servers, PromptTokens: 1, BodyBytes: 4000, Kind: fmt.Sprint(work), Initial: route.InitialEstimate{Rate: work}}
+// prefillTask returns a task with a prompt whose prefill takes the given number of
+// milliseconds.
+func prefillTask(servers []registry.Server, milliseconds float64) route.Task {
+	return route.Task{Servers: servers, PromptTokens: 1, BodyBytes: 4000, Kind: fmt.Sprint(milliseconds), Initial: route.InitialEstimate{Rate: milliseconds}}
 }
 
 func choose(t *testing.T, b *route.Balancer, task route.Task) *route.Assignment {
-	use, err := b.Choose(task)
+	assignment, err := b.Choose(task)
 	must.NoError(t, err)
-	return use
+	return assignment
 }
 
-// TestBalancerHall: the own data hall comes first, until the work that waits
-// there outweighs the bytes between data halls.
-func TestBalancerHall(t *testing.T) {
+// TestBalancerPrefersOwnHall checks that requests stay in the node's data hall
+// until the queues there outweigh the cost of traffic between data halls.
+func TestBalancerPrefersOwnHall(t *testing.T) {
 	b := balancer()
 	counts := make(map[string]int)
 	for range 20 {
-		counts[choose(t, b, taking(halls, 1)).Server().DataHall]++
+		counts[choose(t, b, prefillTask(halls, 1)).Server().DataHall]++
 	}
 	must.Eq(t, 20, counts["near"])
 	for range 20 {
-		counts[choose(t, b, taking(halls, 100)).Server().DataHall]++
+		counts[choose(t, b, prefillTask(halls, 100)).Server().DataHall]++
 	}
 	must.Between(t, 7, counts["far"], 12)
 }
 
-// TestBalancerPending: a long prompt that is not read yet keeps others away;
-// once its answer has begun it hardly counts.
-func TestBalancerPending(t *testing.T) {
+// TestBalancerAvoidsPendingPrefill checks that a server with a long prompt in its
+// queue gets no requests until the response to that prompt has started.
+func TestBalancerAvoidsPendingPrefill(t *testing.T) {
 	b := balancer()
-	long := choose(t, b, taking(halls[:2], 1000))
+	long := choose(t, b, prefillTask(halls[:2], 1000))
 	for range 10 {
-		must.NotEq(t, long.Server().ID, choose(t, b, taking(halls[:2], 10)).Server().ID)
+		must.NotEq(t, long.Server().ID, choose(t, b, prefillTask(halls[:2], 10)).Server().ID)
 	}
 	long.RecordResponseStart()
 	long.RecordResponseStart()
 	for range 5 {
-		must.Eq(t, long.Server().ID, choose(t, b, taking(halls[:2], 10)).Server().ID)
+		must.Eq(t, long.Server().ID, choose(t, b, prefillTask(halls[:2], 10)).Server().ID)
 	}
 }
 
-// TestBalancerHome: prompts with the same shared parts go to one server of
-// the data hall, whichever node asks, unless it has much to read.
-func TestBalancerHome(t *testing.T) {
-	task := func(own int) route.Task {
-		parts := []prefix.Part{{ID: "shared", Tokens: 5000}, {ID: fmt.Sprint(own), Tokens: 1500}}
+// TestBalancerHomeServer checks that all nodes send prompts with the same shared
+// parts to one server of the data hall, and that the others take over some of them
+// when its queue is long.
+func TestBalancerHomeServer(t *testing.T) {
+	task := func(lastPart int) route.Task {
+		parts := []prefix.Part{{ID: "shared", Tokens: 5000}, {ID: fmt.Sprint(lastPart), Tokens: 1500}}
 		return route.Task{Servers: halls, PromptTokens: 6500, BodyBytes: 6500, Prompt: prefix.NewChain("m", parts), Initial: route.InitialEstimate{Rate: 0.02}}
 	}
 	first := choose(t, balancer(), task(0)).Server().ID
@@ -84,21 +85,22 @@
 	must.Between(t, 5, others, 15)
 }
 
-// TestBalancerTold: what a server tells of others' requests counts.
-func TestBalancerTold(t *testing.T) {
+// TestBalancerReportedLoad checks that a server that reports requests of other
+// nodes is avoided.
+func TestBalancerReportedLoad(t *testing.T) {
 	b := balancer()
-	use := choose(t, b, taking(halls[:2], 1))
-	use.RecordLoad(route.Load{Running: 5, Waiting: 4, Slots: 8})
-	use.End(route.OutcomeOK)
+	assignment := choose(t, b, prefillTask(halls[:2], 1))
+	assignment.RecordLoad(route.Load{Running: 5, Waiting: 4, Slots: 8})
+	assignment.End(route.OutcomeOK)
 	for range 10 {
-		next := choose(t, b, taking(halls[:2], 1))
-		must.NotEq(t, use.Server().ID, next.Server().ID)
+		next := choose(t, b, prefillTask(halls[:2], 1))
+		must.NotEq(t, assignment.Server().ID, next.Server().ID)
 		next.End(route.OutcomeOK)
 	}
 }
 
-// TestBalancerBreaker: a server that fails three times in a row is left out,
-// and one that was excluded never comes.
+// TestBalancerBreaker checks that a server that fails three times in a row is not
+// chosen, nor one that the task excludes.
 func TestBalancerBreaker(t *testing.T) {
 	var opened []string
 	b := route.NewBalancer("near", func(server string) { opened = append(opened, server) })
@@ -114,27 +116,28 @@
 	must.True(t, errorx.IsOfType(err, route.NoServer))
 }
 
-// TestBalancerKeep forgets servers that are gone, but none in use.
-func TestBalancerKeep(t *testing.T) {
+// TestBalancerRetain checks that a server that is gone keeps its state while a
+// request is in flight there.
+func TestBalancerRetain(t *testing.T) {
 	b := balancer()
-	use := choose(t, b, taking(halls[:1], 100))
+	assignment := choose(t, b, prefillTask(halls[:1], 100))
 	b.Retain(map[registry.Incarnation]bool{})
-	must.Eq(t, "near-2", choose(t, b, taking(halls[:2], 1)).Server().ID)
-	use.End(route.OutcomeOK)
+	must.Eq(t, "near-2", choose(t, b, prefillTask(halls[:2], 1)).Server().ID)
+	assignment.End(route.OutcomeOK)
 }
 
-// TestBalancerHeard: what other nodes send to a server keeps this node's
-// requests away while it is being read, and draws those of the same prompt
-// once it is.
-func TestBalancerHeard(t *testing.T) {
+// TestBalancerObservesSends checks that a server to which another node has sent a
+// prompt is avoided during the prefill, and preferred afterwards for prompts with
+// the same shared parts.
+func TestBalancerObservesSends(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancer()
-		task := func(own string) route.Task {
-			parts := []prefix.Part{{ID: "shared", Tokens: 5000}, {ID: own, Tokens: 1500}}
+		task := func(lastPart string) route.Task {
+			parts := []prefix.Part{{ID: "shared", Tokens: 5000}, {ID: lastPart, Tokens: 1500}}
 			return route.Task{Servers: halls[:2], PromptTokens: 6500, Prompt: prefix.NewChain("m", parts), Initial: route.InitialEstimate{Rate: 0.02}}
 		}
-		for _, far := range []string{"near-1", "near-2"} {
-			b.ObserveSend(share.Send{Server: registry.Incarnation{ID: far}.Hash(), Work: 1000})
+		for _, id := range []string{"near-1", "near-2"} {
+			b.ObserveSend(share.Send{Server: registry.Incarnation{ID: id}.Hash(), Work: 1000})
 		}
 		b.ObserveSend(share.Send{Server: registry.Incarnation{ID: "near-2"}.Hash(), Work: 1000, Prompt: task("x").Prompt.Shared()})
 		first := choose(t, b, task("a"))
@@ -150,27 +153,27 @@
 	})
 }
 
-// TestBalancerAnnounces: every prompt that is sent is told to the others, and
-// only what they could share of it.
+// TestBalancerAnnounces checks that each prompt sent to a server is announced to
+// the other nodes, with its shared parts only.
 func TestBalancerAnnounces(t *testing.T) {
-	var told []share.Send
-	b := route.NewBalancer("near", func(string) {}, route.WithAnnouncer(func(s share.Send, _ float64) { told = append(told, s) }))
+	var announced []share.Send
+	b := route.NewBalancer("near", func(string) {}, route.WithAnnouncer(func(s share.Send, _ float64) { announced = append(announced, s) }))
 	prompt := prefix.NewChain("m", []prefix.Part{{ID: "shared", Tokens: 500}, {ID: "own", Tokens: 100}})
 	choose(t, b, route.Task{Servers: halls[:1], PromptTokens: 600, Prompt: prompt, Initial: route.InitialEstimate{Rate: 0.1}})
 	choose(t, b, route.Task{Servers: halls[:1]})
-	must.Len(t, 1, told)
-	must.Eq(t, registry.Incarnation{ID: "near-1"}.Hash(), told[0].Server)
-	must.Eq(t, prompt.Shared(), told[0].Prompt)
-	must.Eq(t, 60, told[0].Work)
+	must.Len(t, 1, announced)
+	must.Eq(t, registry.Incarnation{ID: "near-1"}.Hash(), announced[0].Server)
+	must.Eq(t, prompt.Shared(), announced[0].Prompt)
+	must.Eq(t, 60, announced[0].Work)
 }
 
-// TestBalancerLostAnswer: a request whose answer is lost holds up nobody once the
-// server answers what was sent after it.
-func TestBalancerLostAnswer(t *testing.T) {
+// TestBalancerLostResponse checks that a request whose response was lost no longer
+// counts as waiting once the server responds to a later request.
+func TestBalancerLostResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancer()
-		only := taking(halls[:1], 50)
-		choose(t, b, only) // never answered
+		only := prefillTask(halls[:1], 50)
+		choose(t, b, only) // gets no response
 		next := choose(t, b, only)
 		time.Sleep(next.ExpectedLatency())
 		next.RecordResponseStart()
@@ -180,9 +183,9 @@
 	})
 }
 
-// TestBalancerLearns: the time to read a prompt is learned, whatever was assumed,
-// but not from answers that waited for others.
-func TestBalancerLearns(t *testing.T) {
+// TestBalancerLearnsServiceTime checks that the expected latency converges to the
+// observed one from a wrong initial estimate.
+func TestBalancerLearnsServiceTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancer()
 		task := func(tokens int) route.Task {
@@ -190,10 +193,10 @@
 		}
 		for i := range 60 {
 			tokens := 1000 * (1 + i%10)
-			use := choose(t, b, task(tokens))
+			assignment := choose(t, b, task(tokens))
 			time.Sleep(time.Duration(20+tokens/20) * time.Millisecond)
-			use.RecordResponseStart()
-			use.End(route.OutcomeOK)
+			assignment.RecordResponseStart()
+			assignment.End(route.OutcomeOK)
 			time.Sleep(time.Second)
 		}
 		must.Between(t, 450*time.Millisecond, choose(t, b, task(9000)).ExpectedLatency(), 500*time.Millisecond)
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/violettally/violettally/route"
 )
 
-// BenchmarkChoose chooses among 2,800 servers as one of 480 nodes.
+// BenchmarkChoose measures a choice among 2,800 servers, on one of 480 nodes.
 func BenchmarkChoose(b *testing.B) {
 	var servers []config.Server
 	var nodes []string
@@ -31,7 +31,8 @@
 	}
 }
 
-// BenchmarkSubset shares the servers out anew, as each change of the view does.
+// BenchmarkSubset measures the computation of the subset, which each change of the
+// membership view causes.
 func BenchmarkSubset(b *testing.B) {
 	var servers []config.Server
 	var nodes []string
@@ -51,8 +52,8 @@
 	}
 }
 
-// BenchmarkBalancerChoose chooses among 150 engines for prompts of three parts,
-// as a node of a large deployment does for each attempt.
+// BenchmarkBalancerChoose measures a choice among 150 engines for a prompt of three
+// parts, as in a large deployment.
 func BenchmarkBalancerChoose(b *testing.B) {
 	var servers []registry.Server
 	for i := range 150 {
@@ -61,14 +62,14 @@
 	balancer := route.NewBalancer("hall-0", func(string) {})
 	for i := 0; b.Loop(); i++ {
 		parts := []prefix.Part{{ID: fmt.Sprint("top", i%4), Tokens: 2500}, {ID: fmt.Sprint("sub", i%40), Tokens: 3800}, {ID: fmt.Sprint(i), Tokens: 2900}}
-		use, err := balancer.Choose(route.Task{
+		assignment, err := balancer.Choose(route.Task{
 			Servers: servers, Kind: "m", PromptTokens: 9200, Prompt: prefix.NewChain("m", parts), CacheCapacity: 460000,
 			Initial: route.InitialEstimate{Base: 30, Rate: 0.01},
 		})
 		if err != nil {
 			b.Fatal(err)
 		}
-		use.RecordResponseStart()
-		use.End(route.OutcomeOK)
+		assignment.RecordResponseStart()
+		assignment.End(route.OutcomeOK)
 	}
 }
--- a/route/health_test.go
+++ b/route/health_test.go
@@ -13,25 +13,25 @@
 
 var twoServers = []registry.Server{{ID: "good", DataHall: "near"}, {ID: "bad", DataHall: "near"}}
 
-// briefTask is one whose answer takes 50 ms at an idle server.
-var briefTask = route.Task{Servers: twoServers, PromptTokens: 1, Kind: "brief/small", Initial: route.InitialEstimate{Base: 50}}
+// shortTask is a task with an initial estimate of 50 ms.
+var shortTask = route.Task{Servers: twoServers, PromptTokens: 1, Kind: "brief/small", Initial: route.InitialEstimate{Base: 50}}
 
-// serve lets each server answer after its own time, and returns how many of the
-// last requests went to each.
-func serve(t *testing.T, b *route.Balancer, takes map[string]time.Duration, n int) map[string]int {
+// serve sends n requests one after the other, each of which takes the latency of
+// its server, and returns the number of requests by server.
+func serve(t *testing.T, b *route.Balancer, latencies map[string]time.Duration, n int) map[string]int {
 	counts := make(map[string]int)
 	for range n {
-		use := choose(t, b, briefTask)
-		counts[use.Server().ID]++
-		time.Sleep(takes[use.Server().ID])
-		use.RecordResponseStart()
-		use.End(route.OutcomeOK)
+		assignment := choose(t, b, shortTask)
+		counts[assignment.Server().ID]++
+		time.Sleep(latencies[assignment.Server().ID])
+		assignment.RecordResponseStart()
+		assignment.End(route.OutcomeOK)
 	}
 	return counts
 }
 
-// TestSlowServer: a server that takes several times as long as others gets few
-// requests, and its part again once it has recovered.
+// TestSlowServer checks that a server with several times the latency of others gets
+// few requests, and its share again once it has recovered.
 func TestSlowServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancer()
@@ -47,59 +47,59 @@
 	})
 }
 
-// TestFailingServer: a server that answers most requests with failures of its
-// own is avoided, though it answers.
+// TestFailingServer checks that a server that responds fast but with failures is
+// avoided.
 func TestFailingServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancer()
-		ask := func(n int) int {
+		send := func(n int) int {
 			bad := 0
 			for range n {
-				use := choose(t, b, briefTask)
-				failed := use.Server().ID == "bad"
+				assignment := choose(t, b, shortTask)
+				failed := assignment.Server().ID == "bad"
 				if failed {
 					bad++
 				}
 				time.Sleep(10 * time.Millisecond)
-				use.RecordResponseStart()
-				use.RecordResult(failed)
-				use.End(route.OutcomeNeutral)
+				assignment.RecordResponseStart()
+				assignment.RecordResult(failed)
+				assignment.End(route.OutcomeNeutral)
 			}
 			return bad
 		}
-		ask(50)
-		must.Between(t, 0, ask(50), 10)
+		send(50)
+		must.Between(t, 0, send(50), 10)
 	})
 }
 
-// TestSilentServer: requests that wait at a server which answers nothing keep
-// others away, before any of them has ended.
+// TestSilentServer checks that a server that does not respond is avoided before the
+// first request there has ended.
 func TestSilentServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancer()
 		serve(t, b, map[string]time.Duration{}, 20)
-		stuck := choose(t, b, briefTask)
+		stalled := choose(t, b, shortTask)
 		time.Sleep(2 * time.Second)
 		for range 20 {
-			use := choose(t, b, briefTask)
-			must.NotEq(t, stuck.Server().ID, use.Server().ID)
-			use.RecordResponseStart()
-			use.End(route.OutcomeOK)
+			assignment := choose(t, b, shortTask)
+			must.NotEq(t, stalled.Server().ID, assignment.Server().ID)
+			assignment.RecordResponseStart()
+			assignment.End(route.OutcomeOK)
 		}
 	})
 }
 
-// TestStall: a request that was taken away from a silent server counts as its
-// failure; from one that has answered others since, it does not.
-func TestStall(t *testing.T) {
+// TestEndStalled checks that a stalled request counts as a failure of its server
+// only if the server has responded to no other request since.
+func TestEndStalled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var opened []string
 		b := route.NewBalancer("near", func(server string) { opened = append(opened, server) })
 		only := route.Task{Servers: twoServers[:1], PromptTokens: 1, Kind: "brief/small", Initial: route.InitialEstimate{Base: 50}}
-		stall := func(others bool) {
+		stall := func(respondToOther bool) {
 			late := choose(t, b, only)
 			time.Sleep(time.Second)
-			if others {
+			if respondToOther {
 				choose(t, b, only).RecordResponseStart()
 			}
 			late.EndStalled()
@@ -115,15 +115,16 @@
 	})
 }
 
-// TestLate: how late an answer is judged by what its kind usually takes.
-func TestLate(t *testing.T) {
+// TestLateAfter checks that the latency beyond which a response is late follows the
+// observed latencies of its kind.
+func TestLateAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := balancer()
-		must.Eq(t, 0, choose(t, b, briefTask).LateAfter(), must.Sprint("nothing is known yet"))
+		must.Eq(t, 0, choose(t, b, shortTask).LateAfter(), must.Sprint("before the first response"))
 		b = balancer()
 		serve(t, b, map[string]time.Duration{"good": 100 * time.Millisecond, "bad": 100 * time.Millisecond}, 50)
-		use := choose(t, b, briefTask)
-		must.Between(t, 90*time.Millisecond, use.ExpectedLatency(), 110*time.Millisecond)
-		must.Between(t, 100*time.Millisecond, use.LateAfter(), 200*time.Millisecond)
+		assignment := choose(t, b, shortTask)
+		must.Between(t, 90*time.Millisecond, assignment.ExpectedLatency(), 110*time.Millisecond)
+		must.Between(t, 100*time.Millisecond, assignment.LateAfter(), 200*time.Millisecond)
 	})
 }
--- a/route/herd_test.go
+++ b/route/herd_test.go
@@ -16,35 +16,36 @@
 	"github.com/violettally/violettally/share"
 )
 
-// A large deployment: hundreds of nodes, each with two or three requests a second,
-// place on servers that read one prompt at a time, and hear of others' sends late
-// and not of all.
+// The simulated deployment: hundreds of nodes, each with a few requests per second,
+// share servers that prefill one prompt at a time, and receive each other's
+// announcements with a delay.
 const (
 	herdHalls   = 5
 	herdNodes   = 295
 	herdServers = 105
-	// herdTime is how long requests come, of which the first second is not
-	// counted, and herdRate how many a second.
+	// herdTime is how long requests arrive; the first second is not measured.
+	// herdRate is the number of requests per second.
 	herdTime = 6 * time.Second
 	herdRate = 1000
-	// heardShare of the sends are heard of by other nodes, heardLate at most
-	// after they were made.
-	heardShare = 1.0
-	heardLate  = 250 * time.Millisecond
-	// besideReading is the part of an answer's time in which its engine reads
+	// announcedShare is the share of the sends that are announced to other nodes,
+	// each delayed by up to maxAnnounceDelay.
+	announcedShare   = 1.0
+	maxAnnounceDelay = 250 * time.Millisecond
+	// nonblockingTime is the part of the latency in which the engine can prefill
 	// other prompts.
-	besideReading = 47 * time.Millisecond
-	// clumpTime is the time in which arrivals at one server count as a clump.
-	clumpTime = 100 * time.Millisecond
+	nonblockingTime = 47 * time.Millisecond
+	// burstWindow is the time in which the sixth and later arrivals at one server
+	// count as a burst.
+	burstWindow = 100 * time.Millisecond
 )
 
-// event is something that happens at a time.
+// event is a function to be called at a simulated time.
 type event struct {
 	at time.Time
 	do func()
 }
 
-// events are in the order of their times.
+// events is a heap of events by time.
 type events []event
 
 func (e events) Len() int           { return len(e) }
@@ -57,10 +58,10 @@
 	return last
 }
 
-// after lets something happen.
+// after schedules a function.
 func (e *events) after(d time.Duration, do func()) { heap.Push(e, event{time.Now().Add(d), do}) }
 
-// run lets time pass until nothing is left to happen.
+// run executes events in order until none is left.
 func (e *events) run() {
 	for e.Len() > 0 {
 		next := heap.Pop(e).(event)
@@ -69,47 +70,47 @@
 	}
 }
 
-// prompts is a server that reads one prompt after the other.
-type prompts struct {
-	free     time.Time
+// engine simulates a server that prefills one prompt at a time.
+type engine struct {
+	freeAt   time.Time
 	waiting  int
 	arrivals []time.Time
 }
 
-// herd is the deployment while it is played.
+// herd is the simulated deployment.
 type herd struct {
 	events  events
 	nodes   []*route.Balancer
 	servers []registry.Server
-	engines map[string]*prompts
-	// waited is how long requests waited for others' prompts to be read, of those
-	// that counted.
-	waited  time.Duration
-	counted int
+	engines map[string]*engine
+	// waited is the total time for which the measured requests waited in queues,
+	// measured their number.
+	waited   time.Duration
+	measured int
 }
 
-// newHerd returns a deployment whose nodes tell each other what they send.
+// newHerd returns a deployment whose nodes announce their sends to each other.
 func newHerd() *herd {
-	h := &herd{engines: make(map[string]*prompts)}
+	h := &herd{engines: make(map[string]*engine)}
 	for i := range herdServers {
 		s := registry.Server{ID: fmt.Sprint("i-", i), DataHall: fmt.Sprint("hall-", i%herdHalls), Slots: 16}
 		h.servers = append(h.servers, s)
-		h.engines[s.ID] = &prompts{}
+		h.engines[s.ID] = &engine{}
 	}
 	for i := range herdNodes {
-		tell := func(s share.Send, _ float64) { h.tell(i, s) }
-		h.nodes = append(h.nodes, route.NewBalancer(fmt.Sprint("hall-", i%herdHalls), func(string) {}, route.WithAnnouncer(tell)))
+		announce := func(s share.Send, _ float64) { h.announce(i, s) }
+		h.nodes = append(h.nodes, route.NewBalancer(fmt.Sprint("hall-", i%herdHalls), func(string) {}, route.WithAnnouncer(announce)))
 	}
 	return h
 }
 
-// tell lets the other nodes hear of a send.
-func (h *herd) tell(from int, s share.Send) {
-	if rand.Float64() > heardShare {
+// announce delivers a send to the other nodes after a random delay.
+func (h *herd) announce(from int, s share.Send) {
+	if rand.Float64() > announcedShare {
 		return
 	}
 	sent := time.Now()
-	h.events.after(rand.N(heardLate), func() {
+	h.events.after(rand.N(maxAnnounceDelay), func() {
 		s.AgeMillis = uint32(time.Since(sent).Milliseconds())
 		for i, n := range h.nodes {
 			if i != from {
@@ -119,47 +120,48 @@
 	})
 }
 
-// ask lets one node place a request: a short prompt or a long one, for a quick model
-// or one that takes ten times as long. It counts if told to.
-func (h *herd) ask(counts bool) {
+// request sends a request from a random node, with a short or a long prompt, for a
+// fast or a slow model.
+func (h *herd) request(measure bool) {
 	node := h.nodes[rand.IntN(len(h.nodes))]
 	tokens := []int{800, 2400, 12000}[rand.IntN(3)]
 	rate := []float64{0.0065, 0.033}[rand.IntN(10)/7]
 	id := fmt.Sprint(rand.Uint64())
-	use, err := node.Choose(route.Task{
+	assignment, err := node.Choose(route.Task{
 		Servers: h.servers, Kind: fmt.Sprint(rate), Initial: route.InitialEstimate{Base: 10, Rate: rate},
 		Prompt: prefix.NewChain("m", []prefix.Part{{ID: id, Tokens: tokens}}), PromptTokens: tokens, BodyBytes: tokens,
 	})
 	if err != nil {
 		panic(err)
 	}
-	began := time.Now()
-	e := h.engines[use.Server().ID]
-	e.arrivals = append(e.arrivals, began)
-	if e.free.Before(began) {
-		e.free = began
+	sent := time.Now()
+	e := h.engines[assignment.Server().ID]
+	e.arrivals = append(e.arrivals, sent)
+	if e.freeAt.Before(sent) {
+		e.freeAt = sent
 	}
-	wait := e.free.Sub(began)
-	e.free = e.free.Add(time.Duration(rate * float64(tokens) * float64(time.Millisecond)))
+	wait := e.freeAt.Sub(sent)
+	e.freeAt = e.freeAt.Add(time.Duration(rate * float64(tokens) * float64(time.Millisecond)))
 	e.waiting++
-	h.events.after(e.free.Sub(began), func() { e.waiting-- })
-	h.events.after(e.free.Sub(began)+besideReading, func() {
-		use.RecordLoad(route.Load{Running: 4, Waiting: e.waiting, Slots: 16})
-		use.RecordResponseStart()
-		use.End(route.OutcomeOK)
-		if counts {
-			h.counted++
+	h.events.after(e.freeAt.Sub(sent), func() { e.waiting-- })
+	h.events.after(e.freeAt.Sub(sent)+nonblockingTime, func() {
+		assignment.RecordLoad(route.Load{Running: 4, Waiting: e.waiting, Slots: 16})
+		assignment.RecordResponseStart()
+		assignment.End(route.OutcomeOK)
+		if measure {
+			h.measured++
 			h.waited += wait
 		}
 	})
 }
 
-// play lets requests come, and returns how long they waited on average, and which
-// share came to a server as the sixth within clumpTime or later.
-func (h *herd) play() (wait time.Duration, clumped float64) {
+// run simulates the deployment. It returns the average time that requests waited,
+// and the share of them that were at least the sixth to reach their server within
+// burstWindow.
+func (h *herd) run() (wait time.Duration, burstShare float64) {
 	start := time.Now()
 	for at := time.Duration(0); at < herdTime; at += time.Duration(rand.ExpFloat64() / herdRate * float64(time.Second)) {
-		h.events.after(at, func() { h.ask(at > time.Second) })
+		h.events.after(at, func() { h.request(at > time.Second) })
 	}
 	h.events.run()
 	arrived, sixth := 0, 0
@@ -169,21 +171,21 @@
 				continue
 			}
 			arrived++
-			if i >= 5 && at.Sub(e.arrivals[i-5]) < clumpTime {
+			if i >= 5 && at.Sub(e.arrivals[i-5]) < burstWindow {
 				sixth++
 			}
 		}
 	}
-	return h.waited / time.Duration(h.counted), float64(sixth) / float64(arrived)
+	return h.waited / time.Duration(h.measured), float64(sixth) / float64(arrived)
 }
 
-// TestHerd: nodes that see the same late news do not all send to the server that
-// looks best in it.
+// TestHerd checks that nodes with the same delayed information do not all send to
+// the server that looks best by it.
 func TestHerd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		wait, clumped := newHerd().play()
-		t.Logf("wait %v, in clumps %.4f", wait, clumped)
-		must.Less(t, 0.1, clumped)
+		wait, burstShare := newHerd().run()
+		t.Logf("average wait %v, share of requests in bursts %.4f", wait, burstShare)
+		must.Less(t, 0.1, burstShare)
 		must.Less(t, 150*time.Millisecond, wait)
 	})
 }
--- a/route/policy_test.go
+++ b/route/policy_test.go
@@ -20,25 +20,27 @@
 	serverCount = 10
 	nodeCount   = 6
 	slots       = 4
-	// reportEvery and reportLag make load reports stale; a node asks some 20
-	// servers in turn, four a second.
-	reportEvery = 5 * time.Second
-	reportLag   = 5250 * time.Millisecond
-	prefixes    = 40
-	cacheSize   = 8
+	// reportInterval and reportLag make load reports stale: a node polls some 20
+	// servers in turn, four each second.
+	reportInterval = 5 * time.Second
+	reportLag      = 5250 * time.Millisecond
+	prefixes       = 40
+	cacheSize      = 8
 )
 
-// backend is a server of the simulation: a few slots, a queue, and a prefix
-// cache that halves the time of a hit.
+// backend simulates a server with a few slots, a queue, and a prefix cache in which
+// a hit halves the time of a request.
 type backend struct {
 	mu    sync.Mutex
 	slots chan struct{}
 	load  int
-	slow  float64
-	lies  bool
-	cache []uint64
-	hits  int
-	runs  int
+	// slowdown multiplies the time of each request.
+	slowdown float64
+	// hidesLoad makes the server report no load.
+	hidesLoad bool
+	cache     []uint64
+	hits      int
+	runs      int
 }
 
 func (b *backend) run(prefix uint64) {
@@ -47,17 +49,18 @@
 	b.runs++
 	b.mu.Unlock()
 	b.slots <- struct{}{}
-	work := 100 * time.Millisecond
+	serviceTime := 100 * time.Millisecond
 	if b.hit(prefix) {
-		work /= 2
+		serviceTime /= 2
 	}
-	time.Sleep(time.Duration(float64(work) * b.slow))
+	time.Sleep(time.Duration(float64(serviceTime) * b.slowdown))
 	<-b.slots
 	b.mu.Lock()
 	b.load--
 	b.mu.Unlock()
 }
 
+// hit reports whether a prefix is cached, and adds it to the cache.
 func (b *backend) hit(prefix uint64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,14 +76,16 @@
 	return false
 }
 
-// chooser picks a server's index for a request; done is called at its end.
-type chooser interface {
-	choose(prefix uint64) (server int, done func(time.Duration))
+// picker is a load balancing policy on one node.
+type picker interface {
+	// pick returns the index of the server for a request, and a function that is
+	// called with the request's duration at its end.
+	pick(prefix uint64) (server int, done func(time.Duration))
 	observe(server int, report route.Report)
 }
 
-// plain are the policies to compare with.
-type plain struct {
+// baseline implements the policies to compare with.
+type baseline struct {
 	mu      sync.Mutex
 	random  *rand.Rand
 	next    int
@@ -88,17 +93,17 @@
 	policy  string
 }
 
-func (p *plain) choose(uint64) (int, func(time.Duration)) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	at := p.random.IntN(serverCount)
-	switch p.policy {
+func (b *baseline) pick(uint64) (int, func(time.Duration)) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	at := b.random.IntN(serverCount)
+	switch b.policy {
 	case "round robin":
-		p.next++
-		at = p.next % serverCount
+		b.next++
+		at = b.next % serverCount
 	case "least reported":
-		for i, r := range p.reports {
-			if r.Running+r.Waiting < p.reports[at].Running+p.reports[at].Waiting {
+		for i, r := range b.reports {
+			if r.Running+r.Waiting < b.reports[at].Running+b.reports[at].Waiting {
 				at = i
 			}
 		}
@@ -106,25 +111,25 @@
 	return at, func(time.Duration) {}
 }
 
-func (p *plain) observe(server int, r route.Report) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.reports[server] = r
+func (b *baseline) observe(server int, r route.Report) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.reports[server] = r
 }
 
-// ours is the package under test.
-type ours struct {
-	c       *route.Chooser
+// chooser implements picker by a route.Chooser.
+type chooser struct {
+	chooser *route.Chooser
 	servers []config.Server
 }
 
-func (o *ours) choose(prefix uint64) (int, func(time.Duration)) {
-	a, err := o.c.Choose(route.Request{Pool: "p", Servers: o.servers, Prefix: prefix})
+func (c *chooser) pick(prefix uint64) (int, func(time.Duration)) {
+	a, err := c.chooser.Choose(route.Request{Pool: "p", Servers: c.servers, Prefix: prefix})
 	if err != nil {
 		panic(err)
 	}
 	at := 0
-	for i, s := range o.servers {
+	for i, s := range c.servers {
 		if s.Name == a.Server().Name {
 			at = i
 		}
@@ -132,11 +137,12 @@
 	return at, func(took time.Duration) { a.End(route.OutcomeOK, took) }
 }
 
-func (o *ours) observe(server int, r route.Report) {
-	o.c.Observe("p", o.servers[server].Name, r)
+func (c *chooser) observe(server int, r route.Report) {
+	c.chooser.Observe("p", c.servers[server].Name, r)
 }
 
-func declared() []config.Server {
+// testServers returns the declared servers of the simulation.
+func testServers() []config.Server {
 	servers := make([]config.Server, serverCount)
 	for i := range servers {
 		servers[i] = config.Server{Name: fmt.Sprintf("s%d", i), Slots: slots}
@@ -144,30 +150,33 @@
 	return servers
 }
 
-// scene is what is wrong with the servers, and the load offered, as a share
-// of what the servers can do without cache hits.
-type scene struct {
-	name  string
-	load  float64
+// scenario is one case of the simulation.
+type scenario struct {
+	name string
+	// load is the offered load as a share of the servers' capacity without cache
+	// hits.
+	load float64
+	// setup changes the servers before the start; nil for no change.
 	setup func([]*backend)
 }
 
-// simulate sends 20 s of requests through the nodes' choosers.
-func simulate(policy string, seed uint64, s scene) (p50, p95, p99 float64, hits float64) {
+// simulate sends requests through the nodes' policies for 20 s and returns
+// percentiles of their latency in milliseconds and the cache hit rate.
+func simulate(policy string, seed uint64, s scenario) (p50, p95, p99 float64, hits float64) {
 	h := hdrhistogram.New(1, 600_000, 3)
 	backends := make([]*backend, serverCount)
 	for i := range backends {
-		backends[i] = &backend{slots: make(chan struct{}, slots), slow: 1}
+		backends[i] = &backend{slots: make(chan struct{}, slots), slowdown: 1}
 	}
 	if s.setup != nil {
 		s.setup(backends)
 	}
-	nodes := make([]chooser, nodeCount)
+	nodes := make([]picker, nodeCount)
 	for i := range nodes {
-		if policy == "ours" {
-			nodes[i] = &ours{c: route.New(fmt.Sprint("n", i)), servers: declared()}
+		if policy == "chooser" {
+			nodes[i] = &chooser{chooser: route.New(fmt.Sprint("n", i)), servers: testServers()}
 		} else {
-			nodes[i] = &plain{random: rand.New(rand.NewPCG(seed, uint64(i))), policy: policy}
+			nodes[i] = &baseline{random: rand.New(rand.NewPCG(seed, uint64(i))), policy: policy}
 		}
 	}
 	stop := make(chan struct{})
@@ -182,7 +191,7 @@
 		node, prefix := nodes[random.IntN(nodeCount)], uint64(1+random.IntN(prefixes))
 		requests.Go(func() {
 			begin := time.Now()
-			at, done := node.choose(prefix)
+			at, done := node.pick(prefix)
 			backends[at].run(prefix)
 			done(time.Since(begin))
 			mu.Lock()
@@ -203,14 +212,15 @@
 	return q(50), q(95), q(99), float64(hit) / float64(all)
 }
 
-// report tells every node a server's load as it was a while ago.
-func report(server int, b *backend, nodes []chooser, stop <-chan struct{}) {
-	var late sync.WaitGroup
-	defer late.Wait()
+// report sends a server's load to all nodes repeatedly, each time delayed by
+// reportLag.
+func report(server int, b *backend, nodes []picker, stop <-chan struct{}) {
+	var pending sync.WaitGroup
+	defer pending.Wait()
 	for {
 		b.mu.Lock()
 		load := b.load
-		if b.lies {
+		if b.hidesLoad {
 			load = 0
 		}
 		b.mu.Unlock()
@@ -218,10 +228,10 @@
 		select {
 		case <-stop:
 			return
-		case <-time.After(reportEvery):
+		case <-time.After(reportInterval):
 		}
-		late.Go(func() {
-			time.Sleep(reportLag - reportEvery)
+		pending.Go(func() {
+			time.Sleep(reportLag - reportInterval)
 			for _, n := range nodes {
 				n.observe(server, route.Report{Running: load, At: at})
 			}
@@ -229,18 +239,19 @@
 	}
 }
 
-// TestPolicies compares server choice with plain policies on the same work.
+// TestPolicies compares the Chooser's latency with that of simple policies under
+// the same load.
 func TestPolicies(t *testing.T) {
-	scenes := []scene{
-		{"half load", 0.5, nil},
-		{"nine tenths", 0.9, nil},
-		{"a slow server", 0.7, func(b []*backend) { b[3].slow = 4 }},
-		{"a server that lies", 0.7, func(b []*backend) { b[3].lies = true; b[3].slow = 2 }},
+	scenarios := []scenario{
+		{"50% load", 0.5, nil},
+		{"90% load", 0.9, nil},
+		{"a slow server", 0.7, func(b []*backend) { b[3].slowdown = 4 }},
+		{"a slow server that reports no load", 0.7, func(b []*backend) { b[3].hidesLoad = true; b[3].slowdown = 2 }},
 	}
 	seeds := []uint64{1, 2, 3}
-	for _, s := range scenes {
+	for _, s := range scenarios {
 		p95s := make(map[string]float64)
-		for _, policy := range []string{"random", "round robin", "least reported", "ours"} {
+		for _, policy := range []string{"random", "round robin", "least reported", "chooser"} {
 			var p50, p95, p99, hits float64
 			for _, seed := range seeds {
 				synctest.Test(t, func(*testing.T) {
@@ -253,14 +264,15 @@
 			t.Logf("%-18s %-14s p50 %4.0f p95 %4.0f p99 %4.0f ms, cache hits %.0f%%", s.name, policy, p50, p95, p99, 100*hits)
 		}
 		for _, other := range []string{"random", "round robin", "least reported"} {
-			must.Less(t, worseAtMost*p95s[other], p95s["ours"], must.Sprint(s.name+" against "+other))
+			must.Less(t, maxRatioToBaseline*p95s[other], p95s["chooser"], must.Sprint(s.name+" against "+other))
 		}
 	}
 }
 
-// TestUsable lists what takes a server out of the choice.
-func TestUsable(t *testing.T) {
-	servers := declared()[:2]
+// TestUnusableServers checks for each reason not to use a server that it is not
+// chosen.
+func TestUnusableServers(t *testing.T) {
+	servers := testServers()[:2]
 	request := func(exclude ...string) route.Request {
 		r := route.Request{Pool: "p", Servers: servers, EngineModel: "m@v1", Exclude: map[string]bool{}}
 		for _, name := range exclude {
@@ -277,12 +289,12 @@
 		}
 	}
 	tests := []struct {
-		name   string
-		change func(c *route.Chooser)
-		listed string
+		name    string
+		change  func(c *route.Chooser)
+		leaving string
 	}{
-		{"leaving by the VM list", nil, "s0"},
-		{"leaving by its report", func(c *route.Chooser) { c.Observe("p", "s0", route.Report{Leaving: true}) }, ""},
+		{"leaving according to the VM list", nil, "s0"},
+		{"leaving according to its report", func(c *route.Chooser) { c.Observe("p", "s0", route.Report{Leaving: true}) }, ""},
 		{"without the model", func(c *route.Chooser) { c.Observe("p", "s0", route.Report{Models: []string{"m@v2"}}) }, ""},
 		{"three failures", fail, ""},
 		{"declined", func(c *route.Chooser) {
@@ -295,7 +307,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := route.New("n", route.WithLeaving(func(s string) bool { return s == tt.listed }))
+				c := route.New("n", route.WithLeaving(func(s string) bool { return s == tt.leaving }))
 				if tt.change != nil {
 					tt.change(c)
 				}
@@ -312,11 +324,12 @@
 	}
 }
 
-// TestBreakerProbes lets a failed server back in by one request at a time.
+// TestBreakerProbes checks that an open breaker admits one probe at a time and
+// closes after its success.
 func TestBreakerProbes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := route.New("n")
-		r := route.Request{Pool: "p", Servers: declared()[:1]}
+		r := route.Request{Pool: "p", Servers: testServers()[:1]}
 		for range 3 {
 			a, err := c.Choose(r)
 			must.NoError(t, err)
@@ -336,8 +349,8 @@
 	})
 }
 
-// TestSubsets shares 2,800 servers out among 480 nodes: none is left out, and
-// a server that goes moves only its own places.
+// TestSubsets checks the subsets of 480 nodes over 2,800 servers: each server is
+// used by four nodes, and removing one changes no assignment of the others.
 func TestSubsets(t *testing.T) {
 	var servers []config.Server
 	var nodes []string
@@ -347,15 +360,15 @@
 	for i := range 480 {
 		nodes = append(nodes, fmt.Sprint("n", i))
 	}
-	used := make(map[string]int)
+	users := make(map[string]int)
 	moved := 0
 	for _, node := range nodes {
 		c := route.New(node, route.WithNodes(func() (int64, []string) { return 1, nodes }))
-		mine := c.Subset("p", servers)
-		must.Between(t, 5, len(mine), 50)
+		subset := c.Subset("p", servers)
+		must.Between(t, 5, len(subset), 50)
 		before := make(map[string]bool)
-		for _, s := range mine {
-			used[s.Name]++
+		for _, s := range subset {
+			users[s.Name]++
 			before[s.Name] = true
 		}
 		for _, s := range c.Subset("p", servers[1:]) {
@@ -366,10 +379,10 @@
 	}
 	must.Zero(t, moved)
 	for _, s := range servers {
-		must.Eq(t, 4, used[s.Name])
+		must.Eq(t, 4, users[s.Name])
 	}
 }
 
-// worseAtMost is how much worse than a plain policy the chooser may be where
-// that happens to suit the load; round robin does at half load.
-const worseAtMost = 1.5
+// maxRatioToBaseline bounds the Chooser's p95 latency relative to a simple policy,
+// which may happen to suit a scenario; round robin does at 50% load.
+const maxRatioToBaseline = 1.5
--- a/route/restart_test.go
+++ b/route/restart_test.go
@@ -11,9 +11,10 @@
 	"github.com/violettally/violettally/share"
 )
 
-// TestRestartForgets lists what is known of a server's earlier incarnation. To the one after
-// it, none of that says anything, nor does what nodes tell that have not heard of it.
-func TestRestartForgets(t *testing.T) {
+// TestRestartResetsState checks that no state of a server's earlier incarnation
+// applies to the next one, including sends of nodes that have not yet seen the
+// restart.
+func TestRestartResetsState(t *testing.T) {
 	first := registry.Server{ID: "s", DataHall: "near", Born: 1000, Slots: 8}
 	second := first
 	second.Born = 2000
@@ -23,46 +24,47 @@
 	}
 	for name, before := range map[string]func(t *testing.T, b *route.Balancer){
 		"nothing": func(*testing.T, *route.Balancer) {},
-		"a prompt that it has read": func(t *testing.T, b *route.Balancer) {
-			use := choose(t, b, task(first))
-			use.RecordResponseStart()
-			use.End(route.OutcomeOK)
+		"a cached prompt": func(t *testing.T, b *route.Balancer) {
+			assignment := choose(t, b, task(first))
+			assignment.RecordResponseStart()
+			assignment.End(route.OutcomeOK)
 		},
-		"a request under way": func(t *testing.T, b *route.Balancer) { choose(t, b, task(first)) },
+		"a request in flight": func(t *testing.T, b *route.Balancer) { choose(t, b, task(first)) },
 		"failures": func(t *testing.T, b *route.Balancer) {
 			for range 3 {
 				choose(t, b, task(first)).End(route.OutcomeFailed)
 			}
 		},
-		"slow answers": func(t *testing.T, b *route.Balancer) {
+		"stalled requests": func(t *testing.T, b *route.Balancer) {
 			for range 2 {
 				choose(t, b, task(first)).EndStalled()
 			}
 		},
-		"a load that it told": func(t *testing.T, b *route.Balancer) {
-			use := choose(t, b, task(first))
-			use.RecordLoad(route.Load{Running: 8, Waiting: 50, Slots: 8})
-			use.End(route.OutcomeNeutral)
+		"a reported load": func(t *testing.T, b *route.Balancer) {
+			assignment := choose(t, b, task(first))
+			assignment.RecordLoad(route.Load{Running: 8, Waiting: 50, Slots: 8})
+			assignment.End(route.OutcomeNeutral)
 		},
-		"what another node has sent": func(_ *testing.T, b *route.Balancer) {
+		"a send of another node": func(_ *testing.T, b *route.Balancer) {
 			b.ObserveSend(share.Send{Server: first.Incarnation().Hash(), Work: 5000, Prompt: task(first).Prompt.Shared()})
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := balancer()
 			before(t, b)
-			// What a kind of request takes is learned of all servers, and stays.
-			takes := b.Forecast(task(second)).ServiceTime
+			// The service time of a kind of request is estimated over all servers.
+			serviceTime := b.Forecast(task(second)).ServiceTime
 			b.Retain(map[registry.Incarnation]bool{second.Incarnation(): true})
-			use := choose(t, b, task(second))
-			must.Eq(t, 0, use.CachedTokens())
-			must.Eq(t, 0, use.ExpectedWait())
-			must.Eq(t, takes, use.ExpectedServiceTime())
+			assignment := choose(t, b, task(second))
+			must.Eq(t, 0, assignment.CachedTokens())
+			must.Eq(t, 0, assignment.ExpectedWait())
+			must.Eq(t, serviceTime, assignment.ExpectedServiceTime())
 		})
 	}
 }
 
-// TestTriedIncarnation: what has been sent to one incarnation may be sent to the next.
+// TestTriedIncarnation checks that a request that was tried on one incarnation of a
+// server can be sent to the next.
 func TestTriedIncarnation(t *testing.T) {
 	servers := []registry.Server{{ID: "s", Born: 2000}}
 	tried := map[registry.Incarnation]bool{{ID: "s", Born: 1000}: true}
