--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -88,7 +88,7 @@
 	case s.AnsweredDigest != 0:
 		g.suspects.RecordAnswer(s.AnsweredDigest)
 	default:
-		g.balancer.Heard(s)
+		g.balancer.ObserveSend(s)
 	}
 }
 
--- a/route/route.go
+++ b/route/route.go
@@ -1,20 +1,23 @@
 // Package route chooses the backend server for one attempt of a request.
 //
-// Load reports lag, and nodes that all follow the same stale report send a
-// herd to one server. So a node compares only a few candidates out of a stable
-// subset of the pool, by the expected time to finish: the node's own work
-// there, which it knows exactly; the reported load, discounted by its age; the
-// server's lately observed speed; and what its prefix cache is likely to hold.
-// A breaker takes out a server that fails and probes it again later.
+// There are two load balancers. A [Chooser] polls its servers for load reports.
+// The reports lag, so nodes that all follow the same stale report would overload
+// the server that it shows as idle. A node therefore compares only a few
+// candidates from a stable subset of the pool, by the expected time to complete
+// the request. The estimate uses the node's own requests in flight, which it
+// knows exactly; the reported load, discounted by its age; the recently observed
+// service time; and whether the server's prefix cache is likely to hold the
+// prompt. A circuit breaker takes out a server that fails and probes it later.
 //
-// A [Chooser] does so for servers whose reports are asked for. A [Balancer] is
-// for servers that tell their load on each answer, and looks at all of them by
-// how soon each would answer: after what waits there, which it knows of itself
-// and hears of from other nodes (package share), and after reading what the
-// server does not have of the prompt (package prefix), at the pace at which it
-// has lately read (package estimate). It follows how long requests of each kind
-// wait against what was expected: one that waits longer than almost all is late,
-// and a server whose answers are late, or often failures, gets fewer requests.
+// A [Balancer] is for servers that report their load with each response. It
+// draws a shortlist from all servers of a service and compares how soon each
+// would start to respond: the queue there, known from the node's own requests
+// and from the sends of other nodes (package share), plus the prefill of the
+// prompt tokens that are not cached there (package prefix), at the recent
+// prefill rate (package estimate). It tracks the ratio of observed to expected
+// latency per kind of request. A response that takes longer than almost all
+// others of its kind is late, and a server with late or often failing responses
+// gets fewer requests.
 //
 // # Usage
 //
@@ -23,16 +26,16 @@
 //		return err
 //	}
 //	… run on attempt.Server() …
-//	attempt.End(route.OutcomeOK, firstToken, total)
+//	attempt.End(route.OutcomeOK, total)
 //
-//	use, err := balancer.Choose(route.Task{Servers: servers, Kind: kind, Prompt: chain, Tokens: tokens})
+//	assignment, err := balancer.Choose(route.Task{Servers: servers, Kind: kind, Prompt: chain, PromptTokens: tokens})
 //	if err != nil {
 //		return err
 //	}
-//	… send to use.Server() …
-//	use.Tell(load) // and Begin once its answer has begun
-//	use.Failed(failed)
-//	use.End(route.OutcomeOK) // or Stall, if the request was taken away as late
+//	… send to assignment.Server() …
+//	assignment.RecordLoad(load) // and RecordResponseStart once the response has started
+//	assignment.RecordResult(failed)
+//	assignment.End(route.OutcomeOK) // or EndStalled, if the request was cancelled as late
 package route
 
 import (
@@ -51,11 +54,11 @@
 var (
 	namespace = errs.Namespace("route")
 
-	// NoServer says that no server of the pool can take the request now.
+	// NoServer is the error type for a request that no server can take now.
 	NoServer = namespace.NewType("no_server")
 )
 
-// Outcome tells how an attempt ended, as far as the server is concerned.
+// Outcome is the result of a request as it counts for the server.
 type Outcome int
 
 // The outcomes.
@@ -63,27 +66,31 @@
 	OutcomeOK Outcome = iota
 	// OutcomeFailed counts against the server.
 	OutcomeFailed
-	// OutcomeNeutral says nothing about the server, such as a caller's leave.
+	// OutcomeNeutral says nothing about the server, as when the client
+	// disconnects.
 	OutcomeNeutral
-	// OutcomeDeclined is a server's own word that it did not run the request.
+	// OutcomeDeclined means that the server said it did not run the request.
 	OutcomeDeclined
 )
 
 const (
-	// candidates are drawn at random for each choice.
-	candidates = 3
-	// speedMemory is the weight of one answer in a server's observed speed.
-	speedMemory = 0.1
-	// startService is the assumed time of a request on an unknown server.
-	startService = 200 * time.Millisecond
-	// speedHalfLife is how soon an observed speed is forgotten.
-	speedHalfLife = 10 * time.Second
-	// cacheShare is the part of a request's time that a cached prefix saves.
-	cacheShare = 0.3
-	// crowdingShare is how much a full batch slows down each request in it.
-	crowdingShare = 0.3
-	// cacheEntries bounds the prefixes remembered per server.
-	cacheEntries = 512
+	// randomCandidates is how many servers are drawn at random for each choice.
+	randomCandidates = 3
+	// serviceTimeSmoothing is the weight of one response in the moving average
+	// of a server's service time.
+	serviceTimeSmoothing = 0.1
+	// initialServiceTime is assumed for a server with no observations.
+	initialServiceTime = 200 * time.Millisecond
+	// serviceTimeHalfLife is the half-life of an observed service time while the
+	// server is unused.
+	serviceTimeHalfLife = 10 * time.Second
+	// cacheHitSaving is the share of the service time that a cached prefix saves.
+	cacheHitSaving = 0.3
+	// fullBatchSlowdown is the share by which a full batch slows down each
+	// request in it.
+	fullBatchSlowdown = 0.3
+	// maxCacheEntries bounds the prefixes remembered per server.
+	maxCacheEntries = 512
 )
 
 // Report is a server's load report.
@@ -91,75 +98,79 @@
 	Running int
 	Waiting int
 	Leaving bool
-	// Models the server holds; nil if it did not say.
+	// Models are those that the server has loaded; empty if it did not say.
 	Models []string
-	// At is when the load was as reported.
+	// At is when the load was measured.
 	At time.Time
 }
 
-// Request is what the choice depends on.
+// Request describes one attempt for which a Chooser picks a server.
 type Request struct {
 	Pool    string
 	Servers []config.Server
-	// EngineModel must be held by the server, if it says what it holds.
+	// EngineModel must be loaded on the server, if it reports its models.
 	EngineModel string
-	// Prefix hashes the start of the prompt; zero for none.
+	// Prefix is a hash of the start of the prompt; zero for none.
 	Prefix uint64
-	// Exclude lists servers that have been tried.
+	// Exclude holds the names of the servers that have been tried.
 	Exclude map[string]bool
 }
 
-// Option changes a Chooser as New makes it.
+// Option configures a Chooser.
 type Option func(*Chooser)
 
-// WithLeaving names the test for servers that the VM list shows as leaving.
+// WithLeaving sets the function that reports whether the VM list shows a server
+// as leaving. Such servers are not chosen.
 func WithLeaving(leaving func(server string) bool) Option {
 	return func(c *Chooser) { c.leaving = leaving }
 }
 
-// WithNodes names the source of the nodes that share the servers.
+// WithNodes sets the source of the nodes that share the servers.
 func WithNodes(nodes Nodes) Option { return func(c *Chooser) { c.nodes = nodes } }
 
-// WithBreakerCounter counts the servers taken out.
+// WithBreakerCounter sets a function that is called with the name of each server
+// whose circuit breaker opens.
 func WithBreakerCounter(count func(server string)) Option {
-	return func(c *Chooser) { c.opened = count }
+	return func(c *Chooser) { c.onBreakerOpen = count }
 }
 
-// Chooser holds what one node knows of the backend servers. It is safe for
-// concurrent use.
+// Chooser balances the requests of one node by load reports that it is given
+// through [Chooser.Observe]. It is safe for concurrent use.
 type Chooser struct {
-	node    string
-	leaving func(server string) bool
-	opened  func(server string)
-	nodes   Nodes
+	node          string
+	leaving       func(server string) bool
+	onBreakerOpen func(server string)
+	nodes         Nodes
 
 	mu      sync.Mutex
-	servers map[string]*server
+	servers map[string]*chooserServer
 	subsets map[string]*subset
 }
 
-// server is what this node knows of one backend server.
-type server struct {
+// chooserServer is a Chooser's state of one backend server.
+type chooserServer struct {
 	inflight int
 	report   Report
-	// ownAtReport is the part of the reported load that is this node's.
-	ownAtReport int
-	// speed is the time of a request on the idle server, as last observed.
-	speed   time.Duration
-	usedAt  time.Time
-	breaker breaker
-	cache   map[uint64]time.Time
+	// inflightAtReport is this node's part of the reported load.
+	inflightAtReport int
+	// serviceTime is the moving average of a request's time, scaled to an idle
+	// server.
+	serviceTime time.Duration
+	lastUsed    time.Time
+	breaker     breaker
+	// cachedPrefixes maps a prefix hash to its last use on the server.
+	cachedPrefixes map[uint64]time.Time
 }
 
-// New returns a chooser that knows no server.
+// New returns a Chooser for the node of the given ID.
 func New(node string, options ...Option) *Chooser {
 	c := &Chooser{
-		node:    node,
-		leaving: func(string) bool { return false },
-		opened:  func(string) {},
-		nodes:   func() (int64, []string) { return 0, []string{node} },
-		servers: make(map[string]*server),
-		subsets: make(map[string]*subset),
+		node:          node,
+		leaving:       func(string) bool { return false },
+		onBreakerOpen: func(string) {},
+		nodes:         func() (int64, []string) { return 0, []string{node} },
+		servers:       make(map[string]*chooserServer),
+		subsets:       make(map[string]*subset),
 	}
 	for _, option := range options {
 		option(c)
@@ -167,27 +178,29 @@
 	return c
 }
 
-// Attempt is one use of a server.
+// Attempt is one request assigned to a server by a Chooser.
 type Attempt struct {
 	chooser *Chooser
 	server  config.Server
-	state   *server
+	state   *chooserServer
 	prefix  uint64
-	// stretch is how much longer than on the idle server the request was
-	// expected to take.
-	stretch float64
-	once    sync.Once
+	// slowdown is the expected ratio of the request's time to its time on an
+	// idle server.
+	slowdown float64
+	endOnce  sync.Once
 }
 
 // Server returns the chosen server.
 func (a *Attempt) Server() config.Server { return a.server }
 
-// End tells how the attempt ended and how long it took.
+// End records the attempt's outcome and its duration. Only the first call
+// counts.
 func (a *Attempt) End(outcome Outcome, took time.Duration) {
-	a.once.Do(func() { a.chooser.end(a, outcome, took) })
+	a.endOnce.Do(func() { a.chooser.end(a, outcome, took) })
 }
 
-// Choose returns the server for one attempt.
+// Choose picks a server for one attempt, which counts as in flight until its
+// [Attempt.End]. It returns a [NoServer] error if no server can take the request.
 func (c *Chooser) Choose(r Request) (*Attempt, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -197,39 +210,39 @@
 		return nil, errs.New(NoServer, "choose", "pool %s has no server for %s", r.Pool, r.EngineModel)
 	}
 	pool := averageOf(usable)
-	best, bestCost, bestStretch := choice{}, math.Inf(1), 1.0
-	for _, o := range draw(r, usable) {
-		stretch := o.state.stretch(o.server.Slots, r.Prefix, pool, now)
-		if cost := o.state.expected(pool, now) * stretch; cost < bestCost {
-			best, bestCost, bestStretch = o, cost, stretch
+	best, bestCost, bestSlowdown := usableServer{}, math.Inf(1), 1.0
+	for _, o := range drawCandidates(r, usable) {
+		slowdown := o.state.slowdown(o.server.Slots, r.Prefix, pool, now)
+		if cost := o.state.expectedServiceTime(pool, now) * slowdown; cost < bestCost {
+			best, bestCost, bestSlowdown = o, cost, slowdown
 		}
 	}
 	best.state.inflight++
-	best.state.usedAt = now
+	best.state.lastUsed = now
 	best.state.breaker.begin(now)
-	return &Attempt{chooser: c, server: best.server, state: best.state, prefix: r.Prefix, stretch: bestStretch}, nil
+	return &Attempt{chooser: c, server: best.server, state: best.state, prefix: r.Prefix, slowdown: bestSlowdown}, nil
 }
 
-// choice is a server that may be chosen, with what is known of it.
-type choice struct {
+// usableServer is a server that may be chosen, with its state.
+type usableServer struct {
 	server config.Server
-	state  *server
+	state  *chooserServer
 }
 
 func serverKey(pool, name string) string { return pool + "/" + name }
 
-func (c *Chooser) server(key string) *server {
+func (c *Chooser) server(key string) *chooserServer {
 	s := c.servers[key]
 	if s == nil {
-		s = &server{speed: startService, cache: make(map[uint64]time.Time)}
+		s = &chooserServer{serviceTime: initialServiceTime, cachedPrefixes: make(map[uint64]time.Time)}
 		c.servers[key] = s
 	}
 	return s
 }
 
-// usable returns the servers of this node's subset that may take the request;
-// if there are none, those of the whole pool.
-func (c *Chooser) usable(r Request, now time.Time) []choice {
+// usable returns the servers of this node's subset that can take the request, or
+// those of the whole pool if the subset has none.
+func (c *Chooser) usable(r Request, now time.Time) []usableServer {
 	usable := c.filter(r, c.subset(r.Pool, r.Servers), now)
 	if len(usable) == 0 {
 		usable = c.filter(r, r.Servers, now)
@@ -237,39 +250,39 @@
 	return usable
 }
 
-func (c *Chooser) filter(r Request, servers []config.Server, now time.Time) []choice {
-	usable := make([]choice, 0, len(servers))
+func (c *Chooser) filter(r Request, servers []config.Server, now time.Time) []usableServer {
+	usable := make([]usableServer, 0, len(servers))
 	for _, candidate := range servers {
 		s := c.server(serverKey(r.Pool, candidate.Name))
 		switch {
 		case r.Exclude[candidate.Name], c.leaving(candidate.Name), s.report.Leaving:
-		case !holds(s.report.Models, r.EngineModel):
+		case !serves(s.report.Models, r.EngineModel):
 		case !s.breaker.allows(now):
 		default:
-			usable = append(usable, choice{candidate, s})
+			usable = append(usable, usableServer{candidate, s})
 		}
 	}
 	return usable
 }
 
-func holds(models []string, model string) bool {
+func serves(models []string, model string) bool {
 	return len(models) == 0 || model == "" || slices.Contains(models, model)
 }
 
-// draw returns a few random candidates, and the one that most lately had the
-// prompt's prefix.
-func draw(r Request, usable []choice) []choice {
-	var drawn []choice
-	for _, i := range rand.Perm(len(usable))[:min(candidates, len(usable))] {
+// drawCandidates returns a few random servers and, if there is one, the server
+// that most recently ran a request with the prompt's prefix.
+func drawCandidates(r Request, usable []usableServer) []usableServer {
+	var drawn []usableServer
+	for _, i := range rand.Perm(len(usable))[:min(randomCandidates, len(usable))] {
 		drawn = append(drawn, usable[i])
 	}
 	if r.Prefix == 0 {
 		return drawn
 	}
-	var latest choice
+	var latest usableServer
 	var at time.Time
 	for _, o := range usable {
-		if seen := o.state.cache[r.Prefix]; seen.After(at) {
+		if seen := o.state.cachedPrefixes[r.Prefix]; seen.After(at) {
 			latest, at = o, seen
 		}
 	}
@@ -279,55 +292,55 @@
 	return drawn
 }
 
-// average is what is usual among the servers of a pool.
-type average struct {
-	// others is the load by other nodes per server, speed as in server, in
-	// seconds.
-	others, speed float64
+// poolAverage holds averages over the usable servers of a pool.
+type poolAverage struct {
+	// othersLoad is the number of requests of other nodes per server;
+	// serviceTime is in seconds.
+	othersLoad, serviceTime float64
 }
 
-func averageOf(options []choice) average {
-	var sum average
+func averageOf(options []usableServer) poolAverage {
+	var sum poolAverage
 	for _, o := range options {
-		sum.others += o.state.others()
-		sum.speed += o.state.speed.Seconds()
+		sum.othersLoad += o.state.othersLoad()
+		sum.serviceTime += o.state.serviceTime.Seconds()
 	}
 	n := float64(len(options))
-	return average{others: sum.others / n, speed: sum.speed / n}
+	return poolAverage{othersLoad: sum.othersLoad / n, serviceTime: sum.serviceTime / n}
 }
 
-// others returns the load that other nodes put on the server when it last
-// reported.
-func (s *server) others() float64 {
-	return math.Max(0, float64(s.report.Running+s.report.Waiting-s.ownAtReport))
+// othersLoad returns the number of other nodes' requests at the last report.
+func (s *chooserServer) othersLoad() float64 {
+	return math.Max(0, float64(s.report.Running+s.report.Waiting-s.inflightAtReport))
 }
 
-// expected returns the time of a request on the idle server, in seconds. What
-// was observed long ago gives way to what is usual in the pool, so that a
-// server that was slow once is tried again.
-func (s *server) expected(pool average, now time.Time) float64 {
-	return pool.speed + (s.speed.Seconds()-pool.speed)*fresh(now.Sub(s.usedAt), speedHalfLife)
+// expectedServiceTime returns the time of a request on an idle server, in
+// seconds. While the server is unused, the estimate decays to the pool's
+// average, so that a server that was slow once is tried again.
+func (s *chooserServer) expectedServiceTime(pool poolAverage, now time.Time) float64 {
+	return pool.serviceTime + (s.serviceTime.Seconds()-pool.serviceTime)*decayWeight(now.Sub(s.lastUsed), serviceTimeHalfLife)
 }
 
-// stretch returns how much longer a request takes than on the idle server. The
-// node's own work there is known; what others put there gives way, as the
-// report ages, to what is usual in the pool. Were it to give way to zero, a
-// loaded server would look idle to every node at once.
-func (s *server) stretch(slots int, prefix uint64, pool average, now time.Time) float64 {
-	weight := fresh(now.Sub(s.report.At), time.Duration(pool.speed*float64(time.Second)))
-	ahead := float64(s.inflight) + weight*s.others() + (1-weight)*pool.others
+// slowdown returns the expected ratio of a request's time to its time on an idle
+// server. The node's own requests are known exactly; the load of other nodes
+// decays to the pool's average as the report ages. Decaying to zero would make a
+// loaded server look idle to all nodes at the same time.
+func (s *chooserServer) slowdown(slots int, prefix uint64, pool poolAverage, now time.Time) float64 {
+	weight := decayWeight(now.Sub(s.report.At), time.Duration(pool.serviceTime*float64(time.Second)))
+	ahead := float64(s.inflight) + weight*s.othersLoad() + (1-weight)*pool.othersLoad
 	queued := math.Max(0, ahead+1-float64(slots)) / float64(slots)
-	// Below its slots a batching engine still slows down with its load.
-	crowding := math.Min(1, ahead/float64(slots)) * crowdingShare
-	stretch := 1 + queued + crowding
-	if _, cached := s.cache[prefix]; cached && prefix != 0 {
-		stretch -= cacheShare
+	// A batching engine slows down with its load even while it has free slots.
+	batching := math.Min(1, ahead/float64(slots)) * fullBatchSlowdown
+	slowdown := 1 + queued + batching
+	if _, cached := s.cachedPrefixes[prefix]; cached && prefix != 0 {
+		slowdown -= cacheHitSaving
 	}
-	return stretch
+	return slowdown
 }
 
-// fresh is the weight of what is known since age, from 1 to 0.
-func fresh(age, halfLife time.Duration) float64 {
+// decayWeight returns the weight of an observation of the given age, from 1 down
+// to 0.
+func decayWeight(age, halfLife time.Duration) float64 {
 	return math.Exp2(-age.Seconds() / halfLife.Seconds())
 }
 
@@ -339,13 +352,13 @@
 	now := time.Now()
 	switch outcome {
 	case OutcomeOK:
-		idle := time.Duration(float64(took) / a.stretch)
-		s.speed += time.Duration(speedMemory * float64(idle-s.speed))
+		idle := time.Duration(float64(took) / a.slowdown)
+		s.serviceTime += time.Duration(serviceTimeSmoothing * float64(idle-s.serviceTime))
 		s.breaker.succeed()
-		s.remember(a.prefix, now)
+		s.rememberPrefix(a.prefix, now)
 	case OutcomeFailed:
 		if s.breaker.fail(now) {
-			c.opened(a.server.Name)
+			c.onBreakerOpen(a.server.Name)
 		}
 	case OutcomeDeclined:
 		s.breaker.neutral()
@@ -355,37 +368,37 @@
 	}
 }
 
-func (s *server) remember(prefix uint64, now time.Time) {
+func (s *chooserServer) rememberPrefix(prefix uint64, now time.Time) {
 	if prefix == 0 {
 		return
 	}
-	if len(s.cache) >= cacheEntries {
+	if len(s.cachedPrefixes) >= maxCacheEntries {
 		oldest, at := uint64(0), now
-		for p, seen := range s.cache {
+		for p, seen := range s.cachedPrefixes {
 			if seen.Before(at) {
 				oldest, at = p, seen
 			}
 		}
-		delete(s.cache, oldest)
+		delete(s.cachedPrefixes, oldest)
 	}
-	s.cache[prefix] = now
+	s.cachedPrefixes[prefix] = now
 }
 
-// Observe takes a server's load report.
+// Observe stores a server's load report.
 func (c *Chooser) Observe(pool, name string, report Report) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.server(serverKey(pool, name))
-	s.report, s.ownAtReport = report, s.inflight
+	s.report, s.inflightAtReport = report, s.inflight
 }
 
-// Available reports whether some server of a pool may hold a model, as far as
-// they have reported what they hold.
+// Available reports whether some server of this node's subset of a pool may have
+// a model loaded. A server that has not reported its models counts as having it.
 func (c *Chooser) Available(pool string, servers []config.Server, model string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, s := range c.subset(pool, servers) {
-		if holds(c.server(serverKey(pool, s.Name)).report.Models, model) {
+		if serves(c.server(serverKey(pool, s.Name)).report.Models, model) {
 			return true
 		}
 	}
