--- a/adapter/peer/hall_test.go
+++ b/adapter/peer/hall_test.go
@@ -131,7 +131,7 @@
 func (s *heldStore) ReadAll(context.Context) (mirror.Batch, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return mirror.Batch{Items: []mirror.Item{s.item}, Revision: s.revision, Whole: true}, nil
+	return mirror.Batch{Items: []mirror.Item{s.item}, Revision: s.revision, Snapshot: true}, nil
 }
 
 func (s *heldStore) Follow(ctx context.Context, after int64, wait time.Duration) (mirror.Batch, error) {
@@ -144,7 +144,7 @@
 		}
 		b.Items = nil
 	}
-	b.Whole = false
+	b.Snapshot = false
 	return b, err
 }
 
@@ -195,7 +195,7 @@
 func (g following) Await(ctx context.Context, revision int64, wait time.Duration) mirror.Batch {
 	return g.m.Await(ctx, revision, wait)
 }
-func (g following) Before(key string) (mirror.Item, bool) { return g.m.Before(key) }
+func (g following) Before(key string) (mirror.Item, bool) { return g.m.Previous(key) }
 func (following) Counts() (string, rollout.Counts)        { return "node", rollout.Counts{} }
 func (following) Exchange(share.Message) share.Reply      { return share.Reply{} }
 
--- a/adapter/peer/pack.go
+++ b/adapter/peer/pack.go
@@ -45,7 +45,7 @@
 
 // batch returns what the reply tells to a node that holds the values in known.
 func (r followReply) batch(known func(key string) (mirror.Item, bool)) (mirror.Batch, error) {
-	b := mirror.Batch{Revision: r.Revision, Whole: r.Whole, Age: r.Age, Held: r.Held}
+	b := mirror.Batch{Revision: r.Revision, Snapshot: r.Whole, Age: r.Age, Waited: r.Held}
 	for _, i := range r.Items {
 		value, err := i.value(known)
 		if err != nil {
@@ -102,7 +102,7 @@
 
 // reply makes the answer to a peer's request.
 func (p *packer) reply(b mirror.Batch, r followRequest) (followReply, error) {
-	reply := followReply{Revision: b.Revision, Whole: b.Whole, Age: b.Age, Held: b.Held}
+	reply := followReply{Revision: b.Revision, Whole: b.Snapshot, Age: b.Age, Held: b.Waited}
 	for _, item := range b.Items {
 		i, err := p.item(item, r)
 		if err != nil {
@@ -117,7 +117,7 @@
 // the peer can read.
 func (p *packer) item(item mirror.Item, r followRequest) (followItem, error) {
 	i := followItem{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted, Lease: item.Lease}
-	if len(item.Value) < mirror.LargeValue {
+	if len(item.Value) < mirror.LargeValueBytes {
 		return i, nil
 	}
 	var err error
--- a/adapter/peer/pack_test.go
+++ b/adapter/peer/pack_test.go
@@ -38,7 +38,7 @@
 						{Key: "b", Revision: 1, Deleted: true},
 						{Key: "c", Revision: 1, Lease: 7},
 					},
-					Revision: revision + 1, Whole: true, Age: time.Second,
+					Revision: revision + 1, Snapshot: true, Age: time.Second,
 				}
 				for range 2 {
 					reply, err := packing.Reply(b, peer.Request{Packed: tt.packed})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -136,7 +136,7 @@
 	g.suspects = suspect.New(g.timers)
 	g.board = share.NewBoard(g.self, g, g.client, g.timers, g.heard)
 	g.mirror = mirror.New(g.store, mirrorPeers{g}, g.timers, mirror.WithEvents(instruments.News))
-	g.nodes.told = g.mirror.Told()
+	g.nodes.told = g.mirror.Synced()
 	g.verdicts = suspect.NewKeeper(g.suspects, g.store, g.mirror, g.nodes.countWorking, g.timers)
 	g.makeRollouts()
 	g.subscribe()
@@ -172,7 +172,7 @@
 func (g *Gateway) makeRelay() {
 	g.records = decision.New(g.self.ID)
 	g.relay = relay.New(relay.Parts{
-		Started:  g.mirror.Told(),
+		Started:  g.mirror.Synced(),
 		Catalog:  g.Catalog,
 		Servers:  g.registry,
 		News:     g.mirror,
@@ -222,9 +222,9 @@
 	stays, leave := context.WithCancel(ctx)
 	defer leave()
 	go g.leases.Run(stays)
-	if drain := g.settings.Drain(); drain > 0 && drain < mirror.OldestUsed {
+	if drain := g.settings.Drain(); drain > 0 && drain < mirror.MaxStaleness {
 		slog.Warn("requests may go by news that is older than the agreed time after which a leaving server gets none",
-			"agreed_ms", drain.Milliseconds(), "oldest_ms", mirror.OldestUsed.Milliseconds())
+			"agreed_ms", drain.Milliseconds(), "oldest_ms", mirror.MaxStaleness.Milliseconds())
 	}
 	slog.Info("gateway is up", "id", g.self.ID, "caller", g.self.Caller, "data_hall", g.self.DataHall, "store", g.settings.Store.Address)
 	select {
@@ -317,7 +317,7 @@
 }
 
 // Before tells a peer's door what a key held before its last change.
-func (g *Gateway) Before(key string) (mirror.Item, bool) { return g.mirror.Before(key) }
+func (g *Gateway) Before(key string) (mirror.Item, bool) { return g.mirror.Previous(key) }
 
 // Counts answers the driver of roll-outs.
 func (g *Gateway) Counts() (string, rollout.Counts) { return g.self.ID, g.picker.Counts() }
--- a/gateway/subscribe.go
+++ b/gateway/subscribe.go
@@ -13,8 +13,8 @@
 
 // subscribe joins what the store holds to the parts that go by it.
 func (g *Gateway) subscribe() {
-	g.mirror.OnRegained(g.registry.StoreReturned)
-	g.mirror.OnRegained(g.nodes.storeRegained)
+	g.mirror.OnStoreRecovered(g.registry.StoreRecovered)
+	g.mirror.OnStoreRecovered(g.nodes.storeRegained)
 	g.mirror.Subscribe(platform.CatalogKey, g.takeCatalog)
 	g.mirror.Subscribe(platform.ServerPrefix, g.takeServer)
 	g.mirror.Subscribe(platform.OrderPrefix, g.takeOrder)
@@ -60,7 +60,7 @@
 		return
 	}
 	news := g.registry.Put(server)
-	if news == registry.NewsRestart {
+	if news == registry.PutResultRestart {
 		g.restarted(server)
 	}
 	slog.Info("server", "server", id, "born", server.Born, "news", news.String(), "service", server.Service, "address", server.Address,
@@ -72,7 +72,7 @@
 func (g *Gateway) withdrawServer(id string, revision int64, err error) {
 	reason := errs.Kind(err)
 	g.metrics.EntryUnusable(reason)
-	if g.registry.Withdraw(id, reason) {
+	if g.registry.MarkInvalid(id, reason) {
 		slog.Error("server entry names no server to use", "server", id, "reason", reason, "revision", revision, "error", err)
 	}
 }
--- a/mirror/bench_test.go
+++ b/mirror/bench_test.go
@@ -12,6 +12,6 @@
 	m := mirror.New(newStore(), &peers{}, timer.New())
 	b.ReportAllocs()
 	for b.Loop() {
-		m.InDoubt()
+		m.NeedsRefresh()
 	}
 }
--- a/mirror/event.go
+++ b/mirror/event.go
@@ -1,20 +1,20 @@
 package mirror
 
-//go:generate go tool enumer -type=Event -trimprefix=Event -transform=snake -output=mirror_enumer.go
+//go:generate go tool enumer -type=Event -trimprefix=Event -transform=snake -linecomment -output=mirror_enumer.go
 
 // Event is what happened to the news of a node. Each is counted.
 type Event int
 
 // The events.
 const (
-	// EventLook is a look at the store itself, since the news had grown old.
-	EventLook Event = iota
-	// EventLookInVain is one that the store did not answer.
-	EventLookInVain
+	// EventPoll is a look at the store itself, since the news had grown old.
+	EventPoll Event = iota // look
+	// EventPollFailed is one that the store did not answer.
+	EventPollFailed // look_in_vain
 	// EventUpstreamSilent is an upstream that did not answer, and is passed over.
 	EventUpstreamSilent
-	// EventUpstreamOld is one that knew less than the store told, and is passed over.
-	EventUpstreamOld
+	// EventUpstreamStale is one that knew less than the store told, and is passed over.
+	EventUpstreamStale // upstream_old
 	// EventStoreLost and EventStoreBack are the first call that the store did not answer
 	// and the first that it did, or that an upstream did which reaches it.
 	EventStoreLost
--- a/mirror/follow.go
+++ b/mirror/follow.go
@@ -135,7 +135,7 @@
 		m.followed = address
 		m.gained()
 	case m.Age() <= lookAge:
-		m.count(EventUpstreamOld)
+		m.count(EventUpstreamStale)
 		slog.Info("upstream has old news; passed over", "peer", address, "its_age_ms", batch.Age.Milliseconds(), "its_revision", batch.Revision,
 			"age_ms", m.Age().Milliseconds(), "revision", m.Revision())
 		m.passOver(address)
@@ -151,7 +151,7 @@
 	batch, took, err := m.bounded(ctx, waiting(wait, peerTimeout), func(ctx context.Context) (Batch, error) {
 		return m.peers.Follow(ctx, address, m.Revision(), wait)
 	})
-	batch.Age = min(max(0, batch.Age), oldestTold) + max(0, took-batch.Held)
+	batch.Age = min(max(0, batch.Age), oldestTold) + max(0, took-batch.Waited)
 	return batch, err
 }
 
--- a/mirror/fresh.go
+++ b/mirror/fresh.go
@@ -25,10 +25,10 @@
 	doubtAge = lookAge + 2*followSlack
 )
 
-// OldestUsed is the age of news from which requests don't go by it. A change that the
+// MaxStaleness is the age of news from which requests don't go by it. A change that the
 // store has taken is in force that much later at the latest, at a node that reaches the
 // store, but for the time of one call.
-const OldestUsed = doubtAge
+const MaxStaleness = doubtAge
 
 // keepFresh looks at the store whenever the news of this node has grown old, until
 // the context ends. It is what bounds the age of the news that a node goes by; what
@@ -38,7 +38,7 @@
 		if left := m.untilLook(); left > 0 && !m.urged(ctx, left) {
 			continue
 		}
-		m.count(EventLook)
+		m.count(EventPoll)
 		err := m.ask(ctx, 0)
 		switch {
 		case err == nil:
@@ -62,10 +62,10 @@
 	return false
 }
 
-// InDoubt reports whether the news is too old to go by, though the store might tell
+// NeedsRefresh reports whether the news is too old to go by, though the store might tell
 // what is new. While the store does not answer nobody knows better, and old news is
 // gone by. Where nothing is known there is nothing to doubt.
-func (m *Mirror) InDoubt() bool {
+func (m *Mirror) NeedsRefresh() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.inDoubt()
@@ -77,10 +77,10 @@
 	return known && m.timers.Steady().Sub(m.inForce) > doubtAge && !m.vain.After(m.contact)
 }
 
-// Settle returns once the news is in doubt no more. It returns at once if it is not,
+// AwaitRefresh returns once the news is in doubt no more. It returns at once if it is not,
 // and waits no longer than a look takes.
-func (m *Mirror) Settle(ctx context.Context) {
-	if !m.InDoubt() {
+func (m *Mirror) AwaitRefresh(ctx context.Context) {
+	if !m.NeedsRefresh() {
 		return
 	}
 	select {
@@ -127,7 +127,7 @@
 
 // lookedInVain notes that the store did not answer a look.
 func (m *Mirror) lookedInVain(err error) {
-	m.count(EventLookInVain)
+	m.count(EventPollFailed)
 	before := len(m.peers.Upstream())
 	m.lost(err)
 	m.mu.Lock()
--- a/mirror/hall_test.go
+++ b/mirror/hall_test.go
@@ -83,22 +83,22 @@
 		h := newHall(t, 12)
 		settle(5 * time.Second)
 		m := h.nodes[stalled]
-		must.False(t, m.InDoubt())
+		must.False(t, m.NeedsRefresh())
 		thaw := h.freeze(stalled)
 		settle(time.Second)
 		h.store.put("b", false)
 		settle(2 * time.Second)
-		must.True(t, m.InDoubt())
+		must.True(t, m.NeedsRefresh())
 		thaw()
-		m.Settle(t.Context())
-		must.False(t, m.InDoubt())
+		m.AwaitRefresh(t.Context())
+		must.False(t, m.NeedsRefresh())
 		_, ok := m.Get("b")
 		must.True(t, ok)
 
 		h.store.set(errStore, false, false)
 		for range 500 {
 			time.Sleep(20 * time.Millisecond)
-			must.False(t, m.InDoubt())
+			must.False(t, m.NeedsRefresh())
 		}
 	})
 }
@@ -245,7 +245,7 @@
 	h.store.put("a", false)
 	for i := range size {
 		m := mirror.New(hallStore{h, i}, hallPeers{h, i}, timers)
-		m.OnRegained(func() {
+		m.OnStoreRecovered(func() {
 			h.mu.Lock()
 			defer h.mu.Unlock()
 			h.regained[i]++
--- a/mirror/harness_test.go
+++ b/mirror/harness_test.go
@@ -121,7 +121,7 @@
 		time.Sleep(pieceTime)
 		s.mu.Lock()
 	}
-	b := mirror.Batch{Revision: s.revision, Whole: true}
+	b := mirror.Batch{Revision: s.revision, Snapshot: true}
 	for _, item := range s.items {
 		b.Items = append(b.Items, item)
 	}
@@ -258,5 +258,5 @@
 // under returns the items that a mirror has below a prefix.
 func under(m *mirror.Mirror, prefix string) []mirror.Item {
 	const nothing = -1 // a peer that knows nothing gets the whole
-	return slices.DeleteFunc(m.After(nothing).Items, func(item mirror.Item) bool { return !strings.HasPrefix(item.Key, prefix) })
+	return slices.DeleteFunc(m.ChangesAfter(nothing).Items, func(item mirror.Item) bool { return !strings.HasPrefix(item.Key, prefix) })
 }
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -73,13 +73,13 @@
 	Items []Item `cbor:"1,keyasint"`
 	// Revision up to which nothing is missing.
 	Revision int64 `cbor:"2,keyasint"`
-	// Whole says that keys which are not among Items do not exist.
-	Whole bool `cbor:"3,keyasint,omitempty"`
+	// Snapshot says that keys which are not among Items do not exist.
+	Snapshot bool `cbor:"3,keyasint,omitempty"`
 	// Age is how long ago the store confirmed this: as the sender knew it, or once
 	// it has come, at the least that the receiver can prove.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
-	// Held is for how long the sender let the call wait.
-	Held time.Duration `cbor:"5,keyasint,omitempty"`
+	// Waited is for how long the sender let the call wait.
+	Waited time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
 // Change is one key's change as subscribers see it: the item as it now is, or
@@ -113,10 +113,10 @@
 // seconds by which peers lie apart.
 const kept = 2048
 
-// LargeValue is the size in bytes from which a value counts as large: declarations
+// LargeValueBytes is the size in bytes from which a value counts as large: declarations
 // are, entries are not. What is smaller fits into a few packets, and is not worth
 // telling in fewer.
-const LargeValue = 8 << 10
+const LargeValueBytes = 8 << 10
 
 // Mirror is the copy. It is safe for concurrent use.
 type Mirror struct {
@@ -205,10 +205,10 @@
 	m.subscribers = append(m.subscribers, subscriber{prefix, changed})
 }
 
-// OnRegained calls do when there is fresh news after an outage of the store,
+// OnStoreRecovered calls do when there is fresh news after an outage of the store,
 // from the store itself or from a peer, before the changes that it tells. It
 // must be called before Run.
-func (m *Mirror) OnRegained(do func()) { m.regained = append(m.regained, do) }
+func (m *Mirror) OnStoreRecovered(do func()) { m.regained = append(m.regained, do) }
 
 // Revision returns the revision up to which this node knows everything.
 func (m *Mirror) Revision() int64 {
@@ -226,8 +226,8 @@
 	return m.delivered
 }
 
-// Told is closed once all subscribers have been told the first whole.
-func (m *Mirror) Told() <-chan struct{} { return m.told }
+// Synced is closed once all subscribers have been told the first whole.
+func (m *Mirror) Synced() <-chan struct{} { return m.told }
 
 // Get returns a key's item.
 func (m *Mirror) Get(key string) (Item, bool) {
@@ -237,8 +237,8 @@
 	return item, ok
 }
 
-// Before returns what a key held before its last change, if that was large.
-func (m *Mirror) Before(key string) (Item, bool) {
+// Previous returns what a key held before its last change, if that was large.
+func (m *Mirror) Previous(key string) (Item, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	item, ok := m.before[key]
@@ -253,8 +253,8 @@
 	return m.timers.Steady().Sub(m.inForce)
 }
 
-// After answers a peer: what this node knows beyond a revision.
-func (m *Mirror) After(after int64) Batch {
+// ChangesAfter answers a peer: what this node knows beyond a revision.
+func (m *Mirror) ChangesAfter(after int64) Batch {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	b := Batch{Revision: m.revision, Age: m.timers.Steady().Sub(m.contact)}
@@ -267,7 +267,7 @@
 			}
 		}
 	default:
-		b.Items, b.Whole = slices.Collect(maps.Values(m.items)), true
+		b.Items, b.Snapshot = slices.Collect(maps.Values(m.items)), true
 	}
 	return b
 }
@@ -290,8 +290,8 @@
 		case <-ctx.Done():
 		}
 	}
-	b := m.After(after)
-	b.Held = m.timers.Steady().Sub(begun)
+	b := m.ChangesAfter(after)
+	b.Waited = m.timers.Steady().Sub(begun)
 	return b
 }
 
@@ -333,7 +333,7 @@
 		return nil
 	}
 	items := b.Items
-	if b.Whole {
+	if b.Snapshot {
 		items = append(slices.Clone(items), m.missing(b)...)
 	}
 	slices.SortStableFunc(items, func(a, b Item) int { return cmp.Compare(a.Revision, b.Revision) })
@@ -348,7 +348,7 @@
 		if (ok && item.Revision <= known.Revision) || (!ok && item.Deleted) {
 			continue
 		}
-		if len(known.Value) >= LargeValue {
+		if len(known.Value) >= LargeValueBytes {
 			m.before[item.Key] = known
 		} else {
 			delete(m.before, item.Key)
@@ -362,7 +362,7 @@
 	}
 	m.revision = b.Revision
 	m.announce()
-	m.trim(b.Whole)
+	m.trim(b.Snapshot)
 	return changes
 }
 
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -108,7 +108,7 @@
 				m := mirror.New(store, p, timers)
 				go m.Run(ctx)
 				settle(2 * time.Second)
-				must.GreaterEq(t, 0, m.After(0).Age, must.Sprint("what it tells others"))
+				must.GreaterEq(t, 0, m.ChangesAfter(0).Age, must.Sprint("what it tells others"))
 				store.set(nil, false, false)
 				settle(5 * time.Second)
 				must.Between(t, 0, m.Age(), 2*time.Second)
@@ -133,13 +133,13 @@
 		m := mirror.New(store, &peers{}, timers)
 		go m.Run(ctx)
 		settle(time.Second)
-		must.False(t, m.InDoubt())
+		must.False(t, m.NeedsRefresh())
 		asleep = time.Minute
-		must.True(t, m.InDoubt())
+		must.True(t, m.NeedsRefresh())
 		must.GreaterEq(t, time.Minute, m.Age())
-		must.GreaterEq(t, time.Minute, m.After(0).Age, must.Sprint("what peers are told"))
-		m.Settle(ctx)
-		must.False(t, m.InDoubt())
+		must.GreaterEq(t, time.Minute, m.ChangesAfter(0).Age, must.Sprint("what peers are told"))
+		m.AwaitRefresh(ctx)
+		must.False(t, m.NeedsRefresh())
 		must.Less(t, 2*time.Second, m.Age())
 	})
 }
@@ -284,7 +284,7 @@
 				p.set(errStore)
 				m := mirror.New(own, p, timers)
 				var order []string
-				m.OnRegained(func() { order = append(order, "regained") })
+				m.OnStoreRecovered(func() { order = append(order, "regained") })
 				m.Subscribe("", func(c mirror.Change) { order = append(order, fmt.Sprint(c.Key, c.Deleted)) })
 				for _, s := range []*fakeStore{own, stored} {
 					s.put("a", false)
@@ -319,8 +319,8 @@
 			own.put(fmt.Sprint("k", i), false)
 		}
 		settle(time.Second)
-		must.False(t, m.After(1).Whole)
-		must.Len(t, 5000, m.After(1).Items)
+		must.False(t, m.ChangesAfter(1).Snapshot)
+		must.Len(t, 5000, m.ChangesAfter(1).Items)
 	})
 }
 
@@ -371,10 +371,10 @@
 			own.put(fmt.Sprint("k", i%10), false)
 		}
 		settle(time.Second)
-		must.False(t, m.After(3000).Whole)
-		must.Len(t, 1, m.After(3000).Items)
-		must.True(t, m.After(1).Whole)
-		must.Len(t, 11, m.After(1).Items)
-		must.SliceEmpty(t, m.After(3001).Items)
+		must.False(t, m.ChangesAfter(3000).Snapshot)
+		must.Len(t, 1, m.ChangesAfter(3000).Items)
+		must.True(t, m.ChangesAfter(1).Snapshot)
+		must.Len(t, 11, m.ChangesAfter(1).Items)
+		must.SliceEmpty(t, m.ChangesAfter(3001).Items)
 	})
 }
--- a/mirror/pages_test.go
+++ b/mirror/pages_test.go
@@ -22,7 +22,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, timers := run(t)
 		const first = 5
-		before := mirror.Batch{Revision: first, Whole: true, Items: []mirror.Item{
+		before := mirror.Batch{Revision: first, Snapshot: true, Items: []mirror.Item{
 			{Key: "declaration", Value: []byte("old"), Revision: 2},
 			{Key: "server", Value: []byte("here"), Revision: 3},
 		}}
@@ -31,7 +31,7 @@
 			{Key: "server", Revision: first + 2, Deleted: true},
 		}
 		reader := &pagedStore{
-			whole:   mirror.Batch{Revision: first, Whole: true, Items: between[:1]},
+			whole:   mirror.Batch{Revision: first, Snapshot: true, Items: between[:1]},
 			changes: mirror.Batch{Revision: first + 2, Items: between},
 		}
 		upstream := mirror.New(reader, &peers{}, timers)
--- a/registry/incarnation.go
+++ b/registry/incarnation.go
@@ -2,7 +2,7 @@
 
 import "github.com/violettally/violettally/internal/rendezvous"
 
-//go:generate go tool enumer -type=News -trimprefix=News -transform=snake -output=registry_enumer.go
+//go:generate go tool enumer -type=PutResult -trimprefix=PutResult -transform=snake -output=registry_enumer.go
 
 // Incarnation names one run of a server, from its start to its end. A server may
 // start again under its ID: it then holds and knows nothing of before, so whatever is
@@ -31,16 +31,16 @@
 // before reports whether it is known to be the earlier one under the same ID.
 func (i Incarnation) before(other Incarnation) bool { return i.Born != 0 && i.Born < other.Born }
 
-// News is what a server's entry brings.
-type News int
+// PutResult is what a server's entry brings.
+type PutResult int
 
 // The kinds of news.
 const (
-	// NewsUpdate is of a server that is new, or whose incarnation is known.
-	NewsUpdate News = iota
-	// NewsRestart is of a server that has started again.
-	NewsRestart
-	// NewsOld is of an earlier incarnation than the known one: a write that was under
+	// PutResultUpdate is of a server that is new, or whose incarnation is known.
+	PutResultUpdate PutResult = iota
+	// PutResultRestart is of a server that has started again.
+	PutResultRestart
+	// PutResultOld is of an earlier incarnation than the known one: a write that was under
 	// way when the server ended. It changes nothing.
-	NewsOld
+	PutResultOld
 )
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -75,28 +75,28 @@
 }
 
 // Put takes a server's entry, unless it is of an earlier incarnation than the known one.
-func (r *Registry) Put(s Server) News {
+func (r *Registry) Put(s Server) PutResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, ok := r.servers[s.ID]
 	if ok && s.Incarnation().before(known.Incarnation()) {
-		return NewsOld
+		return PutResultOld
 	}
 	r.servers[s.ID] = s
 	delete(r.lapsed, s.ID)
 	delete(r.withdrawn, s.ID)
 	r.byService = nil
 	if ok && s.Incarnation() != known.Incarnation() {
-		return NewsRestart
+		return PutResultRestart
 	}
-	return NewsUpdate
+	return PutResultUpdate
 }
 
-// Withdraw takes a server out of use until its next entry, since its last one names
+// MarkInvalid takes a server out of use until its next entry, since its last one names
 // none, for the reason given. What is known of the server is kept meanwhile, and
 // what it runs goes on: the server itself may be well. It reports whether the
 // reason is new.
-func (r *Registry) Withdraw(id, reason string) bool {
+func (r *Registry) MarkInvalid(id, reason string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	before, ok := r.withdrawn[id]
@@ -126,8 +126,8 @@
 	return 0
 }
 
-// StoreReturned marks the moment at which the platform's store came back.
-func (r *Registry) StoreReturned() {
+// StoreRecovered marks the moment at which the platform's store came back.
+func (r *Registry) StoreRecovered() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.returned = r.timers.Steady()
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -60,7 +60,7 @@
 			r.Put(registry.Server{ID: id, Service: "s"})
 		}
 		time.Sleep(time.Minute)
-		r.StoreReturned()
+		r.StoreRecovered()
 		time.Sleep(500 * time.Millisecond)
 		must.Eq(t, 1500*time.Millisecond, r.Drop("back"))
 		must.Eq(t, 1500*time.Millisecond, r.Drop("lost"))
@@ -78,7 +78,7 @@
 func TestLeavingLapsed(t *testing.T) {
 	r := registry.New(timer.New())
 	r.Put(registry.Server{ID: "a", Service: "s", Leaving: true})
-	r.StoreReturned()
+	r.StoreRecovered()
 	r.Drop("a")
 	must.SliceEmpty(t, ids(r))
 }
@@ -90,23 +90,23 @@
 		name    string
 		born    int64
 		leaving bool
-		news    registry.News
+		news    registry.PutResult
 		used    bool
 	}{
-		{"new", 1000, false, registry.NewsUpdate, true},
-		{"as it was", 1000, false, registry.NewsUpdate, true},
-		{"leaves", 1000, true, registry.NewsUpdate, false},
-		{"starts again, and does not leave", 2000, false, registry.NewsRestart, true},
-		{"late write of the first start", 1000, true, registry.NewsOld, true},
-		{"by a writer that tells no start", 0, false, registry.NewsRestart, true},
-		{"by one that does", 1500, false, registry.NewsRestart, true},
+		{"new", 1000, false, registry.PutResultUpdate, true},
+		{"as it was", 1000, false, registry.PutResultUpdate, true},
+		{"leaves", 1000, true, registry.PutResultUpdate, false},
+		{"starts again, and does not leave", 2000, false, registry.PutResultRestart, true},
+		{"late write of the first start", 1000, true, registry.PutResultOld, true},
+		{"by a writer that tells no start", 0, false, registry.PutResultRestart, true},
+		{"by one that does", 1500, false, registry.PutResultRestart, true},
 	} {
 		must.Eq(t, tt.news, r.Put(registry.Server{ID: "a", Service: "s", Born: tt.born, Leaving: tt.leaving}), must.Sprint(tt.name))
 		must.Eq(t, tt.used, len(ids(r)) == 1, must.Sprint(tt.name))
 	}
 	must.Eq(t, map[registry.Incarnation]bool{{ID: "a", Born: 1500}: true}, r.Incarnations())
 	r.Drop("a")
-	must.Eq(t, registry.NewsUpdate, r.Put(registry.Server{ID: "a", Service: "s", Born: 1000}))
+	must.Eq(t, registry.PutResultUpdate, r.Put(registry.Server{ID: "a", Service: "s", Born: 1000}))
 }
 
 // TestWithdrawn: a server whose entry names none is out of use until the next good
@@ -115,22 +115,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := registry.New(timer.New())
 		r.Put(registry.Server{ID: "a", Service: "s", Born: 1})
-		must.True(t, r.Withdraw("a", "type"))
-		must.False(t, r.Withdraw("a", "type"))
-		must.True(t, r.Withdraw("a", "state"))
+		must.True(t, r.MarkInvalid("a", "type"))
+		must.False(t, r.MarkInvalid("a", "type"))
+		must.True(t, r.MarkInvalid("a", "state"))
 		must.SliceEmpty(t, ids(r))
 		must.Eq(t, map[registry.Incarnation]bool{{ID: "a", Born: 1}: true}, r.Incarnations())
-		must.Eq(t, registry.NewsUpdate, r.Put(registry.Server{ID: "a", Service: "s", Born: 1}))
+		must.Eq(t, registry.PutResultUpdate, r.Put(registry.Server{ID: "a", Service: "s", Born: 1}))
 		must.Eq(t, []string{"a"}, ids(r))
-		must.True(t, r.Withdraw("a", "state"))
+		must.True(t, r.MarkInvalid("a", "state"))
 
-		r.StoreReturned()
+		r.StoreRecovered()
 		must.Eq(t, 0, r.Drop("a"))
 		must.SliceEmpty(t, ids(r))
 		must.MapEmpty(t, r.Incarnations())
-		must.True(t, r.Withdraw("unknown", "type"))
+		must.True(t, r.MarkInvalid("unknown", "type"))
 		must.Eq(t, 0, r.Drop("unknown"))
-		must.True(t, r.Withdraw("unknown", "type"))
+		must.True(t, r.MarkInvalid("unknown", "type"))
 	})
 }
 
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -84,7 +84,7 @@
 		if refusal := x.next(ctx, f); refusal != nil {
 			return x.give(refusal)
 		}
-		x.relay.News.Settle(ctx)
+		x.relay.News.AwaitRefresh(ctx)
 	}
 }
 
@@ -121,7 +121,7 @@
 		Quiet:    x.quiet,
 		// Between the choice and the first byte lie a dial, and whatever keeps this
 		// process from running.
-		Overtaken: func() bool { return x.relay.News.InDoubt() || !x.relay.Servers.Usable(server.Incarnation()) },
+		Overtaken: func() bool { return x.relay.News.NeedsRefresh() || !x.relay.Servers.Usable(server.Incarnation()) },
 	})
 	stopWaiting()
 	x.countVersion(ctx, use, version, answer, time.Since(sent))
--- a/relay/harness_test.go
+++ b/relay/harness_test.go
@@ -89,10 +89,10 @@
 // noNews is of a process that knows all there is.
 type noNews struct{}
 
-func (noNews) Revision() int64        { return 1 }
-func (noNews) Age() time.Duration     { return 0 }
-func (noNews) InDoubt() bool          { return false }
-func (noNews) Settle(context.Context) {}
+func (noNews) Revision() int64              { return 1 }
+func (noNews) Age() time.Duration           { return 0 }
+func (noNews) NeedsRefresh() bool           { return false }
+func (noNews) AwaitRefresh(context.Context) {}
 
 // threeServers are all there are.
 type threeServers struct{ allUsable }
--- a/relay/overtaken_test.go
+++ b/relay/overtaken_test.go
@@ -71,9 +71,9 @@
 
 func (l *leaving) Usable(i registry.Incarnation) bool { return i.ID != l.gone }
 
-func (l *leaving) InDoubt() bool { return l.old }
+func (l *leaving) NeedsRefresh() bool { return l.old }
 
-func (l *leaving) Settle(context.Context) {
+func (l *leaving) AwaitRefresh(context.Context) {
 	if l.old {
 		l.old, l.gone = false, l.next
 	}
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -161,10 +161,10 @@
 	Revision() int64
 	// Age is how long ago that was confirmed.
 	Age() time.Duration
-	// InDoubt reports whether that is too long ago to choose by, though the platform
+	// NeedsRefresh reports whether that is too long ago to choose by, though the platform
 	// might tell what is new. Settle lets it tell, or shows that it does not.
-	InDoubt() bool
-	Settle(ctx context.Context)
+	NeedsRefresh() bool
+	AwaitRefresh(ctx context.Context)
 }
 
 // Versions narrows servers down by the roll-outs under way, and takes the
@@ -282,7 +282,7 @@
 func (r *Relay) Serve(ctx context.Context, q *Request, reply Reply) {
 	record := r.Records.Start(q.ID, "")
 	r.awaitStart(ctx, q)
-	r.News.Settle(ctx) // the declaration is old news as well
+	r.News.AwaitRefresh(ctx) // the declaration is old news as well
 	x, refusal := r.accept(q, reply, record)
 	if refusal == nil {
 		x.noteLeaving()
