--- a/mirror/bench_test.go
+++ b/mirror/bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// BenchmarkInDoubt is the look at the news before a request's first byte.
-func BenchmarkInDoubt(b *testing.B) {
+// BenchmarkNeedsRefresh is the look at the news before a request's first byte.
+func BenchmarkNeedsRefresh(b *testing.B) {
 	m := mirror.New(newStore(), &peers{}, timer.New())
 	b.ReportAllocs()
 	for b.Loop() {
--- a/mirror/follow.go
+++ b/mirror/follow.go
@@ -14,42 +14,42 @@
 )
 
 const (
-	// followWait is how long a watch waits at the store. A path that is cut
+	// watchWait is how long a watch waits at the store. A path that is cut
 	// in silence is noticed after it. Since few nodes watch, short waits cost
 	// little.
-	followWait = 600 * time.Millisecond
-	// followSlack is how late the store may answer a watch that ran out, and how
+	watchWait = 600 * time.Millisecond
+	// watchSlack is how late the store may answer a watch that ran out, and how
 	// long nothing may come of an answer that has begun; it answers in 4 ms.
-	followSlack = 300 * time.Millisecond
+	watchSlack = 300 * time.Millisecond
 	// peerWait is how long a call to the upstream waits.
 	peerWait = 500 * time.Millisecond
-	// passTime is how long an upstream is passed over: the entry of one that has
+	// skipTime is how long an upstream is passed over: the entry of one that has
 	// lost power is gone by then, or soon after.
-	passTime = 3 * time.Second
+	skipTime = 3 * time.Second
 	// retryPause lies between two tries at the store of a node that followed
 	// a peer before: in an outage not all nodes should call at once.
 	retryPause = time.Second
-	// gatherTime lies between two watches. Changes that come close together
+	// coalesceTime lies between two watches. Changes that come close together
 	// are then fetched by one call; 300 ms halved the calls in a trial.
-	gatherTime = 250 * time.Millisecond
+	coalesceTime = 250 * time.Millisecond
 	// readTimeout bounds reading the whole until something of it comes.
 	readTimeout = 2 * time.Second
-	// fetchTime bounds what keeps coming: a large declaration needs longer than
+	// transferTimeout bounds what keeps coming: a large declaration needs longer than
 	// a call that brings nothing may take, and given up half-way it would be sent
 	// again over the same link. Past this time the next upstream is the better
 	// choice, since a change must be in force 2 to 4 s after it.
-	fetchTime = 2 * time.Second
-	// firstPatience is how long a node that starts waits for the store before
+	transferTimeout = 2 * time.Second
+	// startupPeerDelay is how long a node that starts waits for the store before
 	// it asks peers too. The store answers a page in 4 ms.
-	firstPatience = 60 * time.Millisecond
+	startupPeerDelay = 60 * time.Millisecond
 	// peerInterval lies between two questions to peers while the store is
 	// out of reach.
 	peerInterval = 300 * time.Millisecond
 	// peerTimeout is how late a peer may answer, beyond the time that it was
 	// told to wait, and how long nothing may come of an answer that has begun.
 	peerTimeout = 300 * time.Millisecond
-	// peersAsked at once, so that one silent peer costs no time.
-	peersAsked = 2
+	// peersQueried at once, so that one silent peer costs no time.
+	peersQueried = 2
 )
 
 // Run follows the upstream, the store, or any peer, until the context ends.
@@ -59,8 +59,8 @@
 	defer fresh.Wait()
 	for ctx.Err() == nil {
 		upstream, ok := m.upstream()
-		m.reads.Store(!ok || m.Revision() == 0)
-		if m.reads.Load() {
+		m.followsStore.Store(!ok || m.Revision() == 0)
+		if m.followsStore.Load() {
 			m.followStore(ctx)
 		} else {
 			m.followPeer(ctx, upstream)
@@ -72,33 +72,33 @@
 func (m *Mirror) upstream() (address string, ok bool) {
 	now := m.timers.Steady()
 	for _, address := range m.peers.Upstream() {
-		if now.After(m.passed[address]) {
-			delete(m.passed, address)
+		if now.After(m.skippedUntil[address]) {
+			delete(m.skippedUntil, address)
 			return address, true
 		}
 	}
 	return "", false
 }
 
-// passOver lets the next upstream be followed for a while.
-func (m *Mirror) passOver(address string) {
-	m.passed[address] = m.timers.Steady().Add(passTime)
-	m.followed = ""
+// skipUpstream lets the next upstream be followed for a while.
+func (m *Mirror) skipUpstream(address string) {
+	m.skippedUntil[address] = m.timers.Steady().Add(skipTime)
+	m.lastUpstream = ""
 }
 
 // followStore does one round with the store. If it does not answer, peers may know
 // more.
 func (m *Mirror) followStore(ctx context.Context) {
-	err := m.step(ctx)
+	err := m.fetchNext(ctx)
 	if err == nil {
-		m.pause(ctx, gatherTime)
+		m.pause(ctx, coalesceTime)
 		return
 	}
 	if ctx.Err() != nil || m.stalled(err) {
 		return
 	}
-	m.lost(err)
-	m.askPeers(ctx)
+	m.markStoreUnreachable(err)
+	m.queryPeers(ctx)
 	if len(m.peers.Upstream()) > 0 {
 		m.pause(ctx, retryPause)
 	} else {
@@ -110,7 +110,7 @@
 // once more: a connection that was open may be silent for good while a new one works.
 func (m *Mirror) followPeer(ctx context.Context, address string) {
 	wait := peerWait
-	if m.followed != address {
+	if m.lastUpstream != address {
 		wait = 0 // whether it answers at all should show at once
 	}
 	batch, err := m.callPeer(ctx, address, wait)
@@ -123,55 +123,55 @@
 	if err != nil {
 		m.count(EventUpstreamSilent)
 		slog.Info("upstream did not answer; passed over", "peer", address, "age_ms", m.Age().Milliseconds(), "error", err)
-		m.passOver(address)
-		if m.Age() > lookAge {
-			m.askPeers(ctx) // many upstreams may be lost, one after the other
+		m.skipUpstream(address)
+		if m.Age() > pollAge {
+			m.queryPeers(ctx) // many upstreams may be lost, one after the other
 		}
 		return
 	}
 	m.accept(batch)
 	switch {
-	case batch.Age <= lookAge:
-		m.followed = address
-		m.gained()
-	case m.Age() <= lookAge:
+	case batch.Age <= pollAge:
+		m.lastUpstream = address
+		m.markStoreReachable()
+	case m.Age() <= pollAge:
 		m.count(EventUpstreamStale)
 		slog.Info("upstream has old news; passed over", "peer", address, "its_age_ms", batch.Age.Milliseconds(), "its_revision", batch.Revision,
 			"age_ms", m.Age().Milliseconds(), "revision", m.Revision())
-		m.passOver(address)
+		m.skipUpstream(address)
 	default:
 		// The store may be away, so that nobody knows better.
-		m.followed = address
-		m.askPeers(ctx)
+		m.lastUpstream = address
+		m.queryPeers(ctx)
 	}
 }
 
 // callPeer asks a peer that may wait that long.
 func (m *Mirror) callPeer(ctx context.Context, address string, wait time.Duration) (Batch, error) {
-	batch, took, err := m.bounded(ctx, waiting(wait, peerTimeout), func(ctx context.Context) (Batch, error) {
+	batch, took, err := m.callWithBounds(ctx, longPollBounds(wait, peerTimeout), func(ctx context.Context) (Batch, error) {
 		return m.peers.Follow(ctx, address, m.Revision(), wait)
 	})
-	batch.Age = min(max(0, batch.Age), oldestTold) + max(0, took-batch.Waited)
+	batch.Age = min(max(0, batch.Age), maxReportedAge) + max(0, took-batch.Waited)
 	return batch, err
 }
 
-// oldestTold bounds the age that a peer is believed to tell, which counts as any age from
+// maxReportedAge bounds the age that a peer is believed to tell, which counts as any age from
 // which nothing is gone by. A peer that has heard nothing yet tells of no beginning.
-const oldestTold = 24 * time.Hour
+const maxReportedAge = 24 * time.Hour
 
-// waiting returns the bounds of a call that may wait that long, and may be silent for
+// longPollBounds returns the bounds of a call that may wait that long, and may be silent for
 // the slack beside it.
-func waiting(wait, slack time.Duration) progress.Bounds {
-	return progress.Bounds{First: wait + slack, Silence: slack, Whole: wait + fetchTime}
+func longPollBounds(wait, slack time.Duration) progress.Bounds {
+	return progress.Bounds{First: wait + slack, Silence: slack, Whole: wait + transferTimeout}
 }
 
 // stallSlack is by how much a call may outlast its bounds before that is this
 // process's doing.
 const stallSlack = 250 * time.Millisecond
 
-// bounded makes a call and tells how long it took. An error of one that ran out of
+// callWithBounds makes a call and tells how long it took. An error of one that ran out of
 // time is a context's, or Stalled.
-func (m *Mirror) bounded(ctx context.Context, b progress.Bounds, call func(context.Context) (Batch, error)) (batch Batch, took time.Duration, err error) {
+func (m *Mirror) callWithBounds(ctx context.Context, b progress.Bounds, call func(context.Context) (Batch, error)) (batch Batch, took time.Duration, err error) {
 	ctx, cancel := progress.WithTimeout(ctx, b)
 	defer cancel()
 	begun := m.timers.Steady()
@@ -202,16 +202,16 @@
 	return true
 }
 
-// step waits for what the store tells next.
-func (m *Mirror) step(ctx context.Context) error {
-	if m.Revision() == 0 || m.isAway() {
+// fetchNext waits for what the store tells next.
+func (m *Mirror) fetchNext(ctx context.Context) error {
+	if m.Revision() == 0 || m.isUnreachable() {
 		return m.readAll(ctx)
 	}
-	return m.ask(ctx, followWait)
+	return m.fetchChanges(ctx, watchWait)
 }
 
-// ask takes the changes since what this node knows, for which the store may wait.
-func (m *Mirror) ask(ctx context.Context, wait time.Duration) error {
+// fetchChanges takes the changes since what this node knows, for which the store may wait.
+func (m *Mirror) fetchChanges(ctx context.Context, wait time.Duration) error {
 	after := m.Revision()
 	batch, err := m.watch(ctx, after, wait)
 	if errors.Is(err, context.DeadlineExceeded) {
@@ -232,7 +232,7 @@
 // watch asks the store for changes, which may wait that long. An answer that came
 // later than that was on its way, or lay unread.
 func (m *Mirror) watch(ctx context.Context, after int64, wait time.Duration) (Batch, error) {
-	batch, took, err := m.bounded(ctx, waiting(wait, followSlack), func(ctx context.Context) (Batch, error) {
+	batch, took, err := m.callWithBounds(ctx, longPollBounds(wait, watchSlack), func(ctx context.Context) (Batch, error) {
 		return m.store.Follow(ctx, after, wait)
 	})
 	batch.Age = max(0, took-wait)
@@ -241,12 +241,12 @@
 
 // readAll reads the whole, which also tells what was removed meanwhile.
 func (m *Mirror) readAll(ctx context.Context) error {
-	bounds := progress.Bounds{First: readTimeout, Silence: followSlack, Whole: readTimeout + fetchTime}
-	batch, took, err := m.bounded(ctx, bounds, func(ctx context.Context) (Batch, error) {
+	bounds := progress.Bounds{First: readTimeout, Silence: watchSlack, Whole: readTimeout + transferTimeout}
+	batch, took, err := m.callWithBounds(ctx, bounds, func(ctx context.Context) (Batch, error) {
 		if m.Revision() == 0 {
 			// A node that starts during an outage need not wait for the store to time
 			// out.
-			go m.askPeersLater(ctx)
+			go m.queryPeersAfterDelay(ctx)
 		}
 		return m.store.ReadAll(ctx)
 	})
@@ -254,29 +254,29 @@
 		return err
 	}
 	batch.Age = took
-	m.gained()
+	m.markStoreReachable()
 	m.accept(batch)
 	return nil
 }
 
-// askPeersLater asks peers unless the store has told something by then in a read of
+// queryPeersAfterDelay asks peers unless the store has told something by then in a read of
 // the whole that is under way. Many nodes that start at once share its link, and
 // the whole from peers as well would fill theirs: those of the few whose addresses
 // a node starts with.
-func (m *Mirror) askPeersLater(read context.Context) {
-	m.pause(read, firstPatience)
+func (m *Mirror) queryPeersAfterDelay(read context.Context) {
+	m.pause(read, startupPeerDelay)
 	if m.Revision() == 0 && read.Err() == nil && !progress.Begun(read) {
-		m.askPeers(read)
+		m.queryPeers(read)
 	}
 }
 
-// askPeers takes what the first of the peers know.
-func (m *Mirror) askPeers(ctx context.Context) {
+// queryPeers takes what the first of the peers know.
+func (m *Mirror) queryPeers(ctx context.Context) {
 	addresses := m.peers.Addresses()
-	ctx, cancel := progress.WithTimeout(ctx, progress.Bounds{First: peerTimeout, Silence: peerTimeout, Whole: fetchTime})
+	ctx, cancel := progress.WithTimeout(ctx, progress.Bounds{First: peerTimeout, Silence: peerTimeout, Whole: transferTimeout})
 	defer cancel()
 	var calls sync.WaitGroup
-	for _, address := range addresses[:min(peersAsked, len(addresses))] {
+	for _, address := range addresses[:min(peersQueried, len(addresses))] {
 		calls.Go(func() {
 			batch, err := m.callPeer(ctx, address, 0)
 			if err != nil {
@@ -289,11 +289,11 @@
 	calls.Wait()
 }
 
-// outageAge without fresh news is an outage of the store if the store was asked
+// minOutage without fresh news is an outage of the store if the store was asked
 // meanwhile, in vain: entries lapse in it, which takes three heartbeats of a second
 // and more. Without that an upstream was lost, or this process did not run, and
 // what is gone from the store is gone.
-const outageAge = 2 * time.Second
+const minOutage = 2 * time.Second
 
 // accept takes news. Fresh news after an outage is told to those who asked for that
 // first, since what lapsed meanwhile stands in it.
@@ -303,30 +303,30 @@
 	}
 	now := m.timers.Steady()
 	m.mu.Lock()
-	outage := now.Sub(m.contact) > outageAge && m.vain.After(m.contact)
+	outage := now.Sub(m.asOf) > minOutage && m.lastFailure.After(m.asOf)
 	m.mu.Unlock()
-	if outage && b.Age <= lookAge {
+	if outage && b.Age <= pollAge {
 		m.count(EventOutage)
-		for _, do := range m.regained {
+		for _, do := range m.storeRecovered {
 			do()
 		}
 	}
-	m.take(b, now.Add(-b.Age))
+	m.deliver(b, now.Add(-b.Age))
 }
 
-// isAway reports whether the store is out of reach as far as is known.
-func (m *Mirror) isAway() bool {
+// isUnreachable reports whether the store is out of reach as far as is known.
+func (m *Mirror) isUnreachable() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.away
+	return m.unreachable
 }
 
-// lost notes that the store did not answer.
-func (m *Mirror) lost(err error) {
+// markStoreUnreachable notes that the store did not answer.
+func (m *Mirror) markStoreUnreachable(err error) {
 	m.mu.Lock()
-	before := m.away
-	m.away, m.vain = true, m.timers.Steady()
-	m.settle()
+	before := m.unreachable
+	m.unreachable, m.lastFailure = true, m.timers.Steady()
+	m.signalRefresh()
 	revision := m.revision
 	m.mu.Unlock()
 	if !before {
@@ -335,11 +335,11 @@
 	}
 }
 
-// gained notes that the store, or an upstream that reaches it, has answered.
-func (m *Mirror) gained() {
+// markStoreReachable notes that the store, or an upstream that reaches it, has answered.
+func (m *Mirror) markStoreReachable() {
 	m.mu.Lock()
-	before := m.away
-	m.away = false
+	before := m.unreachable
+	m.unreachable = false
 	m.mu.Unlock()
 	if before {
 		m.count(EventStoreBack)
--- a/mirror/hall_test.go
+++ b/mirror/hall_test.go
@@ -15,9 +15,9 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// learnTime is when a node must know at the latest what the store has taken: the
+// propagationLimit is when a node must know at the latest what the store has taken: the
 // shortest bound that deployments agree on.
-const learnTime = 2 * time.Second
+const propagationLimit = 2 * time.Second
 
 // TestUpstreamsGone: the nodes that a data hall follows lose power one and all, and
 // the others, which reach the store the whole time, must know in time what it takes
@@ -29,13 +29,13 @@
 // steps added up. Now a node whose news grows old looks at the store, whatever it waits
 // for.
 func TestUpstreamsGone(t *testing.T) {
-	atMoments(t, 100*time.Millisecond, func(t *testing.T, after time.Duration) {
+	atOffsets(t, 100*time.Millisecond, func(t *testing.T, after time.Duration) {
 		h := newHall(t, 12)
-		settle(5*time.Second + after)
-		h.silence(0, 1, 2)
+		advance(5*time.Second + after)
+		h.powerOff(0, 1, 2)
 		h.store.put("b", false)
-		settle(learnTime)
-		must.SliceEmpty(t, h.without("b", 3))
+		advance(propagationLimit)
+		must.SliceEmpty(t, h.missing("b", 3))
 	})
 }
 
@@ -48,9 +48,9 @@
 func TestLostUpstreamIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHall(t, 12)
-		settle(5 * time.Second)
-		h.silence(0, 1, 2)
-		settle(20 * time.Second)
+		advance(5 * time.Second)
+		h.powerOff(0, 1, 2)
+		advance(20 * time.Second)
 		must.Eq(t, 0, h.outages(3))
 	})
 }
@@ -61,15 +61,15 @@
 // is now this process's own doing, and says nothing of the store.
 func TestStalledProcess(t *testing.T) {
 	const stalled = 5
-	atMoments(t, 50*time.Millisecond, func(t *testing.T, after time.Duration) {
+	atOffsets(t, 50*time.Millisecond, func(t *testing.T, after time.Duration) {
 		h := newHall(t, 12)
-		settle(5*time.Second + after)
+		advance(5*time.Second + after)
 		thaw := h.freeze(stalled)
-		settle(3 * time.Second)
+		advance(3 * time.Second)
 		h.store.put("b", false)
 		thaw()
-		settle(time.Second)
-		must.SliceEmpty(t, h.without("b", stalled))
+		advance(time.Second)
+		must.SliceEmpty(t, h.missing("b", stalled))
 		must.Eq(t, 0, h.outages(stalled))
 	})
 }
@@ -77,17 +77,17 @@
 // TestSettle: a process that runs again after 3 s does not go by what it knew, and knows
 // more as soon as the store has answered. While the store does not answer, old news is
 // no reason to wait.
-func TestSettle(t *testing.T) {
+func TestAwaitRefresh(t *testing.T) {
 	const stalled = 5
 	synctest.Test(t, func(t *testing.T) {
 		h := newHall(t, 12)
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		m := h.nodes[stalled]
 		must.False(t, m.NeedsRefresh())
 		thaw := h.freeze(stalled)
-		settle(time.Second)
+		advance(time.Second)
 		h.store.put("b", false)
-		settle(2 * time.Second)
+		advance(2 * time.Second)
 		must.True(t, m.NeedsRefresh())
 		thaw()
 		m.AwaitRefresh(t.Context())
@@ -108,12 +108,12 @@
 // here), and so went by news that was 3 s older than it knew. An age now counts from what
 // can be proved: an answer was made no earlier than the call began, less what whoever
 // made it says that it let the call wait.
-func TestAnswerReadLate(t *testing.T) {
+func TestDelayedAnswer(t *testing.T) {
 	const late = 3 * time.Second
 	for _, name := range []string{"of the store", "of an upstream"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, timers := run(t)
+				ctx, timers := newEnv(t)
 				own := newStore()
 				own.put("a", false)
 				p := &peers{}
@@ -122,33 +122,33 @@
 					go upstream.Run(ctx)
 					p.mirrors, p.upstream = []*mirror.Mirror{upstream}, []string{"0"}
 				}
-				held := &heldAnswers{}
-				m := mirror.New(heldStore{own, held}, heldPeers{p, held}, timers)
+				held := &delayedAnswers{}
+				m := mirror.New(delayedStore{own, held}, delayedPeers{p, held}, timers)
 				go m.Run(ctx)
-				settle(time.Second)
+				advance(time.Second)
 				// Answers are held from now on, and the next ones never come.
-				held.hold(late)
-				settle(late + time.Millisecond)
-				must.Greater(t, late-learnTime/2, m.Age())
+				held.delay(late)
+				advance(late + time.Millisecond)
+				must.Greater(t, late-propagationLimit/2, m.Age())
 			})
 		})
 	}
 }
 
-// heldAnswers hands the answer to a call that is under way over late, and none to a
+// delayedAnswers hands the answer to a call that is under way over late, and none to a
 // later call.
-type heldAnswers struct {
+type delayedAnswers struct {
 	mu    sync.Mutex
 	until time.Time
 }
 
-func (h *heldAnswers) hold(d time.Duration) {
+func (h *delayedAnswers) delay(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.until = time.Now().Add(d)
 }
 
-func (h *heldAnswers) call(do func() (mirror.Batch, error)) (mirror.Batch, error) {
+func (h *delayedAnswers) call(do func() (mirror.Batch, error)) (mirror.Batch, error) {
 	h.mu.Lock()
 	over := !h.until.IsZero()
 	h.mu.Unlock()
@@ -163,28 +163,28 @@
 	return b, err
 }
 
-// heldStore is a store whose answers are held.
-type heldStore struct {
+// delayedStore is a store whose answers are held.
+type delayedStore struct {
 	mirror.Store
-	held *heldAnswers
+	answers *delayedAnswers
 }
 
-func (s heldStore) ReadAll(ctx context.Context) (mirror.Batch, error) {
-	return s.held.call(func() (mirror.Batch, error) { return s.Store.ReadAll(ctx) })
+func (s delayedStore) ReadAll(ctx context.Context) (mirror.Batch, error) {
+	return s.answers.call(func() (mirror.Batch, error) { return s.Store.ReadAll(ctx) })
 }
 
-func (s heldStore) Follow(ctx context.Context, after int64, wait time.Duration) (mirror.Batch, error) {
-	return s.held.call(func() (mirror.Batch, error) { return s.Store.Follow(ctx, after, wait) })
+func (s delayedStore) Follow(ctx context.Context, after int64, wait time.Duration) (mirror.Batch, error) {
+	return s.answers.call(func() (mirror.Batch, error) { return s.Store.Follow(ctx, after, wait) })
 }
 
-// heldPeers are peers whose answers are held.
-type heldPeers struct {
+// delayedPeers are peers whose answers are held.
+type delayedPeers struct {
 	mirror.Peers
-	held *heldAnswers
+	answers *delayedAnswers
 }
 
-func (p heldPeers) Follow(ctx context.Context, address string, after int64, wait time.Duration) (mirror.Batch, error) {
-	return p.held.call(func() (mirror.Batch, error) { return p.Peers.Follow(ctx, address, after, wait) })
+func (p delayedPeers) Follow(ctx context.Context, address string, after int64, wait time.Duration) (mirror.Batch, error) {
+	return p.answers.call(func() (mirror.Batch, error) { return p.Peers.Follow(ctx, address, after, wait) })
 }
 
 // TestCallsInOutage: in an outage each node calls the store once to learn of it, and
@@ -194,30 +194,30 @@
 	synctest.Test(t, func(t *testing.T) {
 		const size = 30
 		h := newHall(t, size)
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		h.store.set(errStore, false, false)
 		calls := h.store.calls()
-		settle(20 * time.Second)
+		advance(20 * time.Second)
 		must.LessEq(t, size+20*10, h.store.calls()-calls)
 		h.store.set(nil, false, false)
 		h.store.put("b", false)
-		settle(learnTime)
-		must.SliceEmpty(t, h.without("b", 0))
+		advance(propagationLimit)
+		must.SliceEmpty(t, h.missing("b", 0))
 	})
 }
 
 // TestCalmCalls: while all is well only the first node of a hall calls the store.
-func TestCalmCalls(t *testing.T) {
+func TestOnlyFirstNodeCallsStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHall(t, 30)
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		for i := range h.nodes[1:] {
-			h.set(h.cut, true, i+1)
+			h.set(h.cutOff, true, i+1)
 		}
-		settle(time.Minute)
+		advance(time.Minute)
 		h.store.put("b", false)
-		settle(500 * time.Millisecond)
-		must.SliceEmpty(t, h.without("b", 0))
+		advance(500 * time.Millisecond)
+		must.SliceEmpty(t, h.missing("b", 0))
 	})
 }
 
@@ -228,27 +228,27 @@
 	nodes  []*mirror.Mirror
 
 	mu sync.Mutex
-	// silent are the nodes that answer nobody, cut those that do not reach the
+	// down are the nodes that answer nobody, cut those that do not reach the
 	// store, parted those that reach no other node; gone are the nodes whose entries
 	// have lapsed.
-	silent, cut, parted, gone map[int]bool
+	down, cutOff, partitioned, deregistered map[int]bool
 	// frozen holds by node what is closed when its process runs again.
 	frozen map[int]chan struct{}
-	// regained counts by node how often it took the store for back.
-	regained map[int]int
+	// recoveries counts by node how often it took the store for back.
+	recoveries map[int]int
 }
 
 // newHall returns a hall whose nodes run until the test ends.
 func newHall(t *testing.T, size int) *hall {
-	ctx, timers := run(t)
-	h := &hall{store: newStore(), timers: timers, silent: make(map[int]bool), cut: make(map[int]bool), parted: make(map[int]bool), gone: make(map[int]bool), frozen: make(map[int]chan struct{}), regained: make(map[int]int)}
+	ctx, timers := newEnv(t)
+	h := &hall{store: newStore(), timers: timers, down: make(map[int]bool), cutOff: make(map[int]bool), partitioned: make(map[int]bool), deregistered: make(map[int]bool), frozen: make(map[int]chan struct{}), recoveries: make(map[int]int)}
 	h.store.put("a", false)
 	for i := range size {
 		m := mirror.New(hallStore{h, i}, hallPeers{h, i}, timers)
 		m.OnStoreRecovered(func() {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.regained[i]++
+			h.recoveries[i]++
 		})
 		h.nodes = append(h.nodes, m)
 	}
@@ -258,8 +258,8 @@
 	return h
 }
 
-// silence lets nodes lose power.
-func (h *hall) silence(nodes ...int) { h.set(h.silent, true, nodes...) }
+// powerOff lets nodes lose power.
+func (h *hall) powerOff(nodes ...int) { h.set(h.down, true, nodes...) }
 
 func (h *hall) set(state map[int]bool, value bool, nodes ...int) {
 	h.mu.Lock()
@@ -295,9 +295,9 @@
 	return h.frozen[i] != nil
 }
 
-// run makes a call of a node's. One that the process makes while it is frozen is not
+// call makes a call of a node's. One that the process makes while it is frozen is not
 // sent; the answer to one made before lies in the socket.
-func (h *hall) run(ctx context.Context, i int, call func() (mirror.Batch, error)) (mirror.Batch, error) {
+func (h *hall) call(ctx context.Context, i int, call func() (mirror.Batch, error)) (mirror.Batch, error) {
 	h.awaitThaw(i)
 	if ctx.Err() != nil {
 		return mirror.Batch{}, ctx.Err()
@@ -316,8 +316,8 @@
 	}
 }
 
-// without returns the nodes from one on that do not know a key.
-func (h *hall) without(key string, from int) []int {
+// missing returns the nodes from one on that do not know a key.
+func (h *hall) missing(key string, from int) []int {
 	var without []int
 	for i, m := range h.nodes[from:] {
 		if _, ok := m.Get(key); !ok {
@@ -332,7 +332,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	count := 0
-	for i, n := range h.regained {
+	for i, n := range h.recoveries {
 		if i >= from {
 			count += n
 		}
@@ -347,19 +347,19 @@
 }
 
 func (s hallStore) ReadAll(ctx context.Context) (mirror.Batch, error) {
-	if s.h.is(s.h.cut, s.i) || s.h.is(s.h.silent, s.i) {
+	if s.h.is(s.h.cutOff, s.i) || s.h.is(s.h.down, s.i) {
 		<-ctx.Done()
 		return mirror.Batch{}, ctx.Err()
 	}
-	return s.h.run(ctx, s.i, func() (mirror.Batch, error) { return s.h.store.ReadAll(ctx) })
+	return s.h.call(ctx, s.i, func() (mirror.Batch, error) { return s.h.store.ReadAll(ctx) })
 }
 
 func (s hallStore) Follow(ctx context.Context, after int64, wait time.Duration) (mirror.Batch, error) {
-	if s.h.is(s.h.cut, s.i) || s.h.is(s.h.silent, s.i) {
+	if s.h.is(s.h.cutOff, s.i) || s.h.is(s.h.down, s.i) {
 		<-ctx.Done()
 		return mirror.Batch{}, ctx.Err()
 	}
-	return s.h.run(ctx, s.i, func() (mirror.Batch, error) { return s.h.store.Follow(ctx, after, wait) })
+	return s.h.call(ctx, s.i, func() (mirror.Batch, error) { return s.h.store.Follow(ctx, after, wait) })
 }
 
 // hallPeers are the other nodes as one of them knows them.
@@ -371,7 +371,7 @@
 func (p hallPeers) Addresses() []string {
 	var addresses []string
 	for i := range p.h.nodes {
-		if i != p.i && !p.h.is(p.h.gone, i) {
+		if i != p.i && !p.h.is(p.h.deregistered, i) {
 			addresses = append(addresses, fmt.Sprint(i))
 		}
 	}
@@ -382,7 +382,7 @@
 func (p hallPeers) Upstream() []string {
 	var upstream []string
 	for i := range p.i {
-		if !p.h.is(p.h.gone, i) {
+		if !p.h.is(p.h.deregistered, i) {
 			upstream = append(upstream, fmt.Sprint(i))
 		}
 	}
@@ -394,21 +394,21 @@
 	if _, err := fmt.Sscan(address, &i); err != nil {
 		return mirror.Batch{}, err
 	}
-	if p.unreached(i) {
+	if p.unreachable(i) {
 		<-ctx.Done()
 		return mirror.Batch{}, ctx.Err()
 	}
-	b, err := p.h.run(ctx, p.i, func() (mirror.Batch, error) { return p.h.nodes[i].Await(ctx, after, wait), nil })
-	if p.unreached(i) {
+	b, err := p.h.call(ctx, p.i, func() (mirror.Batch, error) { return p.h.nodes[i].Await(ctx, after, wait), nil })
+	if p.unreachable(i) {
 		<-ctx.Done()
 		return mirror.Batch{}, ctx.Err()
 	}
 	return b, err
 }
 
-// unreached reports whether the node does not reach another one.
-func (p hallPeers) unreached(i int) bool {
-	for _, state := range []map[int]bool{p.h.silent, p.h.parted} {
+// unreachable reports whether the node does not reach another one.
+func (p hallPeers) unreachable(i int) bool {
+	for _, state := range []map[int]bool{p.h.down, p.h.partitioned} {
 		if p.h.is(state, i) || p.h.is(state, p.i) {
 			return true
 		}
--- a/mirror/harness_test.go
+++ b/mirror/harness_test.go
@@ -19,46 +19,46 @@
 
 // fakeStore is a store in memory whose calls can be made to fail.
 type fakeStore struct {
-	mu       sync.Mutex
-	revision int64
-	items    map[string]mirror.Item
-	history  []mirror.Item
-	gone     bool
-	err      error
-	hang     bool
-	line     line
-	// comes is how long the whole takes to come, piece by piece.
-	comes   time.Duration
-	reads   int
-	follows int
+	mu          sync.Mutex
+	revision    int64
+	items       map[string]mirror.Item
+	history     []mirror.Item
+	historyGone bool
+	err         error
+	hang        bool
+	conn        connection
+	// transferTime is how long the whole takes to come, piece by piece.
+	transferTime time.Duration
+	reads        int
+	follows      int
 }
 
-// pieceTime lies between two pieces of an answer.
-const pieceTime = 20 * time.Millisecond
+// chunkTime lies between two pieces of an answer.
+const chunkTime = 20 * time.Millisecond
 
-// line is a kept connection to one place: once it is silent, calls on it get no
+// connection is a kept connection to one place: once it is silent, calls on it get no
 // answer, and after the first one that ran out of time they go on a new one.
-type line struct {
+type connection struct {
 	mu sync.Mutex
-	// silenced counts how often the connection open then went silent, used the
+	// silences counts how often the connection open then went silent, used the
 	// connections that calls have left for it.
-	silenced, used int
+	silences, abandoned int
 }
 
-func (l *line) silence() {
+func (l *connection) silence() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.silenced++
+	l.silences++
 }
 
 // call makes a call, which may return before the time is over.
-func (l *line) call(ctx context.Context, do func() (mirror.Batch, error)) (mirror.Batch, error) {
+func (l *connection) call(ctx context.Context, do func() (mirror.Batch, error)) (mirror.Batch, error) {
 	l.mu.Lock()
-	on := l.used
+	on := l.abandoned
 	l.mu.Unlock()
 	b, err := do()
 	l.mu.Lock()
-	silent := l.silenced > on
+	silent := l.silences > on
 	l.mu.Unlock()
 	if !silent {
 		return b, err
@@ -66,7 +66,7 @@
 	<-ctx.Done()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.used = l.silenced
+	l.abandoned = l.silences
 	return mirror.Batch{}, ctx.Err()
 }
 
@@ -95,15 +95,15 @@
 func (s *fakeStore) set(err error, hang, gone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.err, s.hang, s.gone = err, hang, gone
+	s.err, s.hang, s.historyGone = err, hang, gone
 }
 
 func (s *fakeStore) ReadAll(ctx context.Context) (mirror.Batch, error) {
-	return s.line.call(ctx, func() (mirror.Batch, error) { return s.readAll(ctx) })
+	return s.conn.call(ctx, func() (mirror.Batch, error) { return s.readAll(ctx) })
 }
 
 func (s *fakeStore) Follow(ctx context.Context, after int64, wait time.Duration) (mirror.Batch, error) {
-	return s.line.call(ctx, func() (mirror.Batch, error) { return s.follow(ctx, after, wait) })
+	return s.conn.call(ctx, func() (mirror.Batch, error) { return s.follow(ctx, after, wait) })
 }
 
 func (s *fakeStore) readAll(ctx context.Context) (mirror.Batch, error) {
@@ -116,9 +116,9 @@
 		s.mu.Lock()
 		return mirror.Batch{}, ctx.Err()
 	}
-	for end := time.Now().Add(s.comes); time.Now().Before(end); progress.Made(ctx) {
+	for end := time.Now().Add(s.transferTime); time.Now().Before(end); progress.Made(ctx) {
 		s.mu.Unlock()
-		time.Sleep(pieceTime)
+		time.Sleep(chunkTime)
 		s.mu.Lock()
 	}
 	b := mirror.Batch{Revision: s.revision, Snapshot: true}
@@ -140,8 +140,8 @@
 		return mirror.Batch{}, ctx.Err()
 	case s.err != nil:
 		return mirror.Batch{}, s.err
-	case s.gone:
-		s.gone = false
+	case s.historyGone:
+		s.historyGone = false
 		return mirror.Batch{}, errs.New(mirror.HistoryGone, "follow", "gone")
 	}
 	b := mirror.Batch{Revision: s.revision}
@@ -165,20 +165,20 @@
 type peers struct {
 	mirrors  []*mirror.Mirror
 	upstream []string
-	// lines are the connections to peers by their places.
-	lines [3]line
+	// conns are the connections to peers by their places.
+	conns [3]connection
 
 	mu sync.Mutex
 	// err fails all calls.
 	err error
 	// calls is how often a peer was asked.
 	calls int
-	// tells is the age that peers tell in place of their own, after a network's way; nil
+	// reportedAge is the age that peers tell in place of their own, after a network's way; nil
 	// for their own.
-	tells *time.Duration
+	reportedAge *time.Duration
 }
 
-func (p *peers) asked() int {
+func (p *peers) callCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls
@@ -217,16 +217,16 @@
 	if _, err := fmt.Sscan(address, &i); err != nil {
 		return mirror.Batch{}, err
 	}
-	b, err := p.lines[i].call(ctx, func() (mirror.Batch, error) { return p.mirrors[i].Await(ctx, after, wait), nil })
-	if p.tells != nil {
+	b, err := p.conns[i].call(ctx, func() (mirror.Batch, error) { return p.mirrors[i].Await(ctx, after, wait), nil })
+	if p.reportedAge != nil {
 		time.Sleep(time.Millisecond)
-		b.Age = *p.tells
+		b.Age = *p.reportedAge
 	}
 	return b, err
 }
 
-// run returns what mirrors run by until the test ends.
-func run(t *testing.T) (context.Context, *timer.Service) {
+// newEnv returns what mirrors run by until the test ends.
+func newEnv(t *testing.T) (context.Context, *timer.Service) {
 	ctx, cancel := context.WithCancel(t.Context())
 	timers := timer.New()
 	t.Cleanup(func() {
@@ -236,9 +236,9 @@
 	return ctx, timers
 }
 
-// atMoments plays a test at the moments of a second, since what a node waits for in that
+// atOffsets plays a test at the moments of a second, since what a node waits for in that
 // moment decides how soon it hears.
-func atMoments(t *testing.T, step time.Duration, play func(t *testing.T, after time.Duration)) {
+func atOffsets(t *testing.T, step time.Duration, play func(t *testing.T, after time.Duration)) {
 	for after := time.Duration(0); after < time.Second; after += step {
 		t.Run(fmt.Sprint("after ", after), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) { play(t, after) })
@@ -246,9 +246,9 @@
 	}
 }
 
-// settle lets time pass and every task rest, so that a test may look at what
+// advance lets time pass and every task rest, so that a test may look at what
 // they wrote.
-func settle(d time.Duration) {
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -12,7 +12,7 @@
 // passed over for a while: the next one is followed, and a node without any
 // follows the store.
 //
-// However that goes, news is not to be older than [lookAge]: a node whose news
+// However that goes, news is not to be older than [pollAge]: a node whose news
 // would be looks at the store itself, whatever its upstream does. So a node that
 // reaches the store knows of a change within that time and one call. In an outage
 // of the store looks get rarer, and nodes take what any peer knows. A node that
@@ -109,9 +109,9 @@
 	Follow(ctx context.Context, address string, after int64, wait time.Duration) (Batch, error)
 }
 
-// kept is the least number of changes that are kept for peers; it covers the few
+// minRecentChanges is the least number of changes that are kept for peers; it covers the few
 // seconds by which peers lie apart.
-const kept = 2048
+const minRecentChanges = 2048
 
 // LargeValueBytes is the size in bytes from which a value counts as large: declarations
 // are, entries are not. What is smaller fits into a few packets, and is not worth
@@ -126,50 +126,50 @@
 	count  func(Event)
 
 	// subscribers and regained do not change any more once Run has begun.
-	subscribers []subscriber
-	regained    []func()
+	subscribers    []subscriber
+	storeRecovered []func()
 
 	// delivery keeps changes in order for subscribers. It is taken before mu.
 	delivery sync.Mutex
 
 	mu    sync.Mutex
 	items map[string]Item
-	// before are the large values that keys held before their last change.
-	before   map[string]Item
+	// previous are the large values that keys held before their last change.
+	previous map[string]Item
 	revision int64
 	// delivered is the revision up to which subscribers have been told.
 	delivered int64
 	// recent are the last changes, all of those after revision recentFrom.
 	recent     []Item
 	recentFrom int64
-	// told is closed once subscribers have been told the first whole.
-	told chan struct{}
+	// synced is closed once subscribers have been told the first whole.
+	synced chan struct{}
 	// changed is closed, and made anew, when there is something to tell a peer: the
 	// revision rises, or the store has confirmed it anew.
 	changed chan struct{}
-	// contact is when the store confirmed what this node knows, by its own
+	// asOf is when the store confirmed what this node knows, by its own
 	// word or a peer's, and inForce the same of what subscribers have been told.
-	contact, inForce time.Time
-	// announced is the contact when peers were last told.
-	announced time.Time
-	// away says that the store did not answer, and that neither it nor an
+	asOf, deliveredAsOf time.Time
+	// notifiedAsOf is the contact when peers were last told.
+	notifiedAsOf time.Time
+	// unreachable says that the store did not answer, and that neither it nor an
 	// upstream that reaches it has since.
-	away bool
-	// vain is when a call to the store last failed: without one, silence is not the
+	unreachable bool
+	// lastFailure is when a call to the store last failed: without one, silence is not the
 	// store's. nextLook is when another look may follow one that failed.
-	vain, nextLook time.Time
+	lastFailure, nextPoll time.Time
 
-	// settled is closed, and made anew, when subscribers have been told what the store
+	// refreshed is closed, and made anew, when subscribers have been told what the store
 	// confirmed, or the store did not answer; urgent asks for a look at once.
-	settled chan struct{}
-	urgent  chan struct{}
+	refreshed chan struct{}
+	pollNow   chan struct{}
 
-	// reads says that Run's task follows the store.
-	reads atomic.Bool
+	// followsStore says that Run's task follows the store.
+	followsStore atomic.Bool
 	// Only Run's task uses these. followed is the upstream that answered last; passed
 	// holds until when upstreams are passed over.
-	followed string
-	passed   map[string]time.Time
+	lastUpstream string
+	skippedUntil map[string]time.Time
 }
 
 // subscriber is told of the changes under a prefix.
@@ -181,17 +181,17 @@
 // New returns an empty mirror.
 func New(store Store, peers Peers, timers *timer.Service, options ...Option) *Mirror {
 	m := &Mirror{
-		count:   func(Event) {},
-		store:   store,
-		peers:   peers,
-		timers:  timers,
-		items:   make(map[string]Item),
-		before:  make(map[string]Item),
-		told:    make(chan struct{}),
-		changed: make(chan struct{}),
-		settled: make(chan struct{}),
-		urgent:  make(chan struct{}, 1),
-		passed:  make(map[string]time.Time),
+		count:        func(Event) {},
+		store:        store,
+		peers:        peers,
+		timers:       timers,
+		items:        make(map[string]Item),
+		previous:     make(map[string]Item),
+		synced:       make(chan struct{}),
+		changed:      make(chan struct{}),
+		refreshed:    make(chan struct{}),
+		pollNow:      make(chan struct{}, 1),
+		skippedUntil: make(map[string]time.Time),
 	}
 	for _, option := range options {
 		option(m)
@@ -208,7 +208,7 @@
 // OnStoreRecovered calls do when there is fresh news after an outage of the store,
 // from the store itself or from a peer, before the changes that it tells. It
 // must be called before Run.
-func (m *Mirror) OnStoreRecovered(do func()) { m.regained = append(m.regained, do) }
+func (m *Mirror) OnStoreRecovered(do func()) { m.storeRecovered = append(m.storeRecovered, do) }
 
 // Revision returns the revision up to which this node knows everything.
 func (m *Mirror) Revision() int64 {
@@ -227,7 +227,7 @@
 }
 
 // Synced is closed once all subscribers have been told the first whole.
-func (m *Mirror) Synced() <-chan struct{} { return m.told }
+func (m *Mirror) Synced() <-chan struct{} { return m.synced }
 
 // Get returns a key's item.
 func (m *Mirror) Get(key string) (Item, bool) {
@@ -241,7 +241,7 @@
 func (m *Mirror) Previous(key string) (Item, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	item, ok := m.before[key]
+	item, ok := m.previous[key]
 	return item, ok
 }
 
@@ -250,14 +250,14 @@
 func (m *Mirror) Age() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.timers.Steady().Sub(m.inForce)
+	return m.timers.Steady().Sub(m.deliveredAsOf)
 }
 
 // ChangesAfter answers a peer: what this node knows beyond a revision.
 func (m *Mirror) ChangesAfter(after int64) Batch {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	b := Batch{Revision: m.revision, Age: m.timers.Steady().Sub(m.contact)}
+	b := Batch{Revision: m.revision, Age: m.timers.Steady().Sub(m.asOf)}
 	switch {
 	case after >= m.revision:
 	case after >= m.recentFrom:
@@ -295,9 +295,9 @@
 	return b
 }
 
-// take puts a batch in force that the store confirmed at a time, if it brings
+// deliver puts a batch in force that the store confirmed at a time, if it brings
 // anything new.
-func (m *Mirror) take(b Batch, at time.Time) {
+func (m *Mirror) deliver(b Batch, at time.Time) {
 	m.delivery.Lock()
 	defer m.delivery.Unlock()
 	for _, change := range m.apply(b, at) {
@@ -310,10 +310,10 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.delivered == 0 && m.revision > 0 {
-		close(m.told)
+		close(m.synced)
 	}
-	m.delivered, m.inForce = m.revision, m.contact
-	m.settle()
+	m.delivered, m.deliveredAsOf = m.revision, m.asOf
+	m.signalRefresh()
 }
 
 // apply changes the copy and returns what changed.
@@ -323,18 +323,18 @@
 	if b.Revision < m.revision {
 		return nil
 	}
-	if at.After(m.contact) {
-		m.contact = at
+	if at.After(m.asOf) {
+		m.asOf = at
 	}
 	if b.Revision == m.revision && m.revision != 0 {
-		if m.contact.Sub(m.announced) >= announceStep {
-			m.announce()
+		if m.asOf.Sub(m.notifiedAsOf) >= notifyStep {
+			m.notifyPeers()
 		}
 		return nil
 	}
 	items := b.Items
 	if b.Snapshot {
-		items = append(slices.Clone(items), m.missing(b)...)
+		items = append(slices.Clone(items), m.impliedDeletions(b)...)
 	}
 	slices.SortStableFunc(items, func(a, b Item) int { return cmp.Compare(a.Revision, b.Revision) })
 	var changes []Change
@@ -349,9 +349,9 @@
 			continue
 		}
 		if len(known.Value) >= LargeValueBytes {
-			m.before[item.Key] = known
+			m.previous[item.Key] = known
 		} else {
-			delete(m.before, item.Key)
+			delete(m.previous, item.Key)
 		}
 		if item.Deleted {
 			delete(m.items, item.Key)
@@ -361,24 +361,24 @@
 		changes = append(changes, Change{item})
 	}
 	m.revision = b.Revision
-	m.announce()
-	m.trim(b.Snapshot)
+	m.notifyPeers()
+	m.trimRecent(b.Snapshot)
 	return changes
 }
 
-// announceStep is by how much news must be fresher for peers to be told that
+// notifyStep is by how much news must be fresher for peers to be told that
 // nothing has changed.
-const announceStep = 100 * time.Millisecond
+const notifyStep = 100 * time.Millisecond
 
-// announce lets the calls of peers that wait return. The caller holds mu.
-func (m *Mirror) announce() {
-	m.announced = m.contact
+// notifyPeers lets the calls of peers that wait return. The caller holds mu.
+func (m *Mirror) notifyPeers() {
+	m.notifiedAsOf = m.asOf
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// missing returns the deletions that a whole implies.
-func (m *Mirror) missing(b Batch) []Item {
+// impliedDeletions returns the deletions that a whole implies.
+func (m *Mirror) impliedDeletions(b Batch) []Item {
 	present := make(map[string]bool, len(b.Items))
 	for _, item := range b.Items {
 		present[item.Key] = true
@@ -392,15 +392,15 @@
 	return gone
 }
 
-// trim bounds the changes that are kept. After a whole the steps between are
+// trimRecent bounds the changes that are kept. After a whole the steps between are
 // not known, so peers that lag behind it need the whole too.
-func (m *Mirror) trim(whole bool) {
+func (m *Mirror) trimRecent(whole bool) {
 	if whole {
 		m.recent, m.recentFrom = nil, m.revision
 	}
 	// Two for each key: when all servers of a large deployment announce
 	// themselves, peers must not need the whole for every few of them.
-	if surplus := len(m.recent) - max(kept, 2*len(m.items)); surplus > 0 {
+	if surplus := len(m.recent) - max(minRecentChanges, 2*len(m.items)); surplus > 0 {
 		m.recentFrom = m.recent[surplus-1].Revision
 		m.recent = slices.Clone(m.recent[surplus:])
 	}
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -32,7 +32,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, timers := run(t)
+				ctx, timers := newEnv(t)
 				good, own := newStore(), newStore()
 				peer := mirror.New(good, &peers{}, timers)
 				m := mirror.New(own, &peers{mirrors: []*mirror.Mirror{peer}}, timers)
@@ -45,7 +45,7 @@
 				}
 				go peer.Run(ctx)
 				go m.Run(ctx)
-				settle(time.Second)
+				advance(time.Second)
 				must.Len(t, 2, seen)
 				reads := own.reads
 				tt.before(own)
@@ -53,7 +53,7 @@
 					s.put("a/1", true)
 					s.put("a/3", false)
 				}
-				settle(1500*time.Millisecond + tt.late)
+				advance(1500*time.Millisecond + tt.late)
 				must.Len(t, 4, seen, must.Sprint(seen))
 				// Out of a whole, deletions come last.
 				must.SliceContainsAll(t, []string{"a/1 true", "a/3 false"}, []string{
@@ -72,9 +72,9 @@
 
 // TestOlderWholeChangesNothing: a peer that lags behind must not take away
 // what is known already.
-func TestOlderWholeChangesNothing(t *testing.T) {
+func TestOlderSnapshotIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, timers := run(t)
+		ctx, timers := newEnv(t)
 		lagging, own := newStore(), newStore()
 		peer := mirror.New(lagging, &peers{}, timers)
 		m := mirror.New(own, &peers{mirrors: []*mirror.Mirror{peer}}, timers)
@@ -83,9 +83,9 @@
 		own.put("b", false)
 		go peer.Run(ctx)
 		go m.Run(ctx)
-		settle(time.Second)
+		advance(time.Second)
 		own.set(errStore, false, false)
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		_, ok := m.Get("b")
 		must.True(t, ok)
 		must.Eq(t, 2, m.Revision())
@@ -96,24 +96,24 @@
 // that had heard nothing yet told of the greatest age there is; the time that the call took
 // was added to it, and the sum was a time to come: whoever had asked was never in doubt
 // of its news again.
-func TestPeerThatKnowsNothing(t *testing.T) {
+func TestEmptyPeer(t *testing.T) {
 	for _, age := range []time.Duration{0, -time.Hour, math.MinInt64, math.MaxInt64 - 1, math.MaxInt64} {
 		t.Run(fmt.Sprint("that tells ", age), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, timers := run(t)
+				ctx, timers := newEnv(t)
 				store := newStore()
 				store.put("a", false)
 				store.set(errStore, false, false)
-				p := &peers{mirrors: []*mirror.Mirror{mirror.New(newStore(), &peers{}, timers)}, tells: &age}
+				p := &peers{mirrors: []*mirror.Mirror{mirror.New(newStore(), &peers{}, timers)}, reportedAge: &age}
 				m := mirror.New(store, p, timers)
 				go m.Run(ctx)
-				settle(2 * time.Second)
+				advance(2 * time.Second)
 				must.GreaterEq(t, 0, m.ChangesAfter(0).Age, must.Sprint("what it tells others"))
 				store.set(nil, false, false)
-				settle(5 * time.Second)
+				advance(5 * time.Second)
 				must.Between(t, 0, m.Age(), 2*time.Second)
 				store.set(nil, true, false)
-				settle(5 * time.Second)
+				advance(5 * time.Second)
 				must.Between(t, 2*time.Second, m.Age(), time.Minute, must.Sprint("of news that grows old"))
 			})
 		})
@@ -124,7 +124,7 @@
 // seemed as young as before.
 func TestSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, _ := run(t)
+		ctx, _ := newEnv(t)
 		asleep := time.Duration(0)
 		timers := timer.New(timer.WithSuspended(func() time.Duration { return asleep }))
 		defer timers.Close()
@@ -132,7 +132,7 @@
 		store.put("a", false)
 		m := mirror.New(store, &peers{}, timers)
 		go m.Run(ctx)
-		settle(time.Second)
+		advance(time.Second)
 		must.False(t, m.NeedsRefresh())
 		asleep = time.Minute
 		must.True(t, m.NeedsRefresh())
@@ -144,9 +144,9 @@
 	})
 }
 
-// TestUpstream lists how a node's upstream may fail while the store serves the
+// TestUpstreamFailures lists how a node's upstream may fail while the store serves the
 // node, and what the node then calls.
-func TestUpstream(t *testing.T) {
+func TestUpstreamFailures(t *testing.T) {
 	tests := []struct {
 		name string
 		// fail makes the upstream useless after a second.
@@ -162,7 +162,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, timers := run(t)
+				ctx, timers := newEnv(t)
 				stored, own := newStore(), newStore()
 				upstream := mirror.New(stored, &peers{}, timers)
 				p := &peers{mirrors: []*mirror.Mirror{upstream}, upstream: []string{"0"}}
@@ -171,9 +171,9 @@
 					s.put("a", false)
 				}
 				go upstream.Run(ctx)
-				settle(100 * time.Millisecond)
+				advance(100 * time.Millisecond)
 				go m.Run(ctx)
-				settle(time.Second)
+				advance(time.Second)
 				must.Eq(t, 1, own.reads)
 				must.Eq(t, 0, own.follows)
 				tt.fail(stored, p)
@@ -181,18 +181,18 @@
 					s.put("b", false)
 				}
 				// The change must be known 2 s later.
-				settle(2 * time.Second)
+				advance(2 * time.Second)
 				_, ok := m.Get("b")
 				must.True(t, ok)
-				settle(time.Second)
+				advance(time.Second)
 				must.Eq(t, tt.follows, own.follows == 0)
 				must.Less(t, 3*time.Second, m.Age())
 				// With the upstream back, the node follows it again.
 				p.set(nil)
 				stored.set(nil, false, false)
-				settle(10 * time.Second)
+				advance(10 * time.Second)
 				follows := own.follows
-				settle(time.Minute)
+				advance(time.Minute)
 				must.Eq(t, follows, own.follows)
 			})
 		})
@@ -202,8 +202,8 @@
 // TestSilentConnections: when every connection open now goes silent for good,
 // while new ones work, a change made then is known everywhere 2 s later.
 func TestSilentConnections(t *testing.T) {
-	atMoments(t, 50*time.Millisecond, func(t *testing.T, after time.Duration) {
-		ctx, timers := run(t)
+	atOffsets(t, 50*time.Millisecond, func(t *testing.T, after time.Duration) {
+		ctx, timers := newEnv(t)
 		// The first node follows the store, the others follow it.
 		var stores [4]*fakeStore
 		var links [4]*peers
@@ -220,17 +220,17 @@
 			}
 			go node.Run(ctx)
 		}
-		settle(5*time.Second + after)
+		advance(5*time.Second + after)
 		for i := range nodes {
-			stores[i].line.silence()
-			for j := range links[i].lines {
-				links[i].lines[j].silence()
+			stores[i].conn.silence()
+			for j := range links[i].conns {
+				links[i].conns[j].silence()
 			}
 		}
 		for _, s := range stores {
 			s.put("b", false)
 		}
-		settle(2 * time.Second)
+		advance(2 * time.Second)
 		for i, node := range nodes {
 			_, ok := node.Get("b")
 			must.True(t, ok, must.Sprint("node ", i))
@@ -240,18 +240,18 @@
 
 // TestStart: a node that starts while the store is silent has what its peers
 // know at once.
-func TestStart(t *testing.T) {
+func TestStartDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, timers := run(t)
+		ctx, timers := newEnv(t)
 		stored, own := newStore(), newStore()
 		stored.put("a", false)
 		peer := mirror.New(stored, &peers{}, timers)
 		go peer.Run(ctx)
-		settle(time.Second)
+		advance(time.Second)
 		own.set(nil, true, false)
 		m := mirror.New(own, &peers{mirrors: []*mirror.Mirror{peer}}, timers)
 		go m.Run(ctx)
-		settle(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		_, ok := m.Get("a")
 		must.True(t, ok)
 	})
@@ -260,7 +260,7 @@
 // TestRegained: subscribers of the store's return are told before what lapsed
 // in the outage, whether the store itself, the upstream, or any peer tells it;
 // a short outage, in which nothing lapses, is none.
-func TestRegained(t *testing.T) {
+func TestOnStoreRecovered(t *testing.T) {
 	tests := []struct {
 		name string
 		// back makes the news reach the node again.
@@ -277,7 +277,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, timers := run(t)
+				ctx, timers := newEnv(t)
 				own, stored := newStore(), newStore()
 				peer := mirror.New(stored, &peers{}, timers)
 				p := &peers{mirrors: []*mirror.Mirror{peer}, upstream: tt.upstream}
@@ -291,14 +291,14 @@
 				}
 				go peer.Run(ctx)
 				go m.Run(ctx)
-				settle(time.Second)
+				advance(time.Second)
 				for _, s := range []*fakeStore{own, stored} {
 					s.set(errStore, false, false)
 					s.put("a", true)
 				}
-				settle(tt.outage)
+				advance(tt.outage)
 				tt.back(own, stored, p)
-				settle(3 * time.Second)
+				advance(3 * time.Second)
 				must.Eq(t, tt.want, order)
 			})
 		})
@@ -309,16 +309,16 @@
 // little behind still gets changes, and not the whole.
 func TestManyKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, timers := run(t)
+		ctx, timers := newEnv(t)
 		own := newStore()
 		m := mirror.New(own, &peers{}, timers)
 		own.put("first", false)
 		go m.Run(ctx)
-		settle(time.Second)
+		advance(time.Second)
 		for i := range 5000 {
 			own.put(fmt.Sprint("k", i), false)
 		}
-		settle(time.Second)
+		advance(time.Second)
 		must.False(t, m.ChangesAfter(1).Snapshot)
 		must.Len(t, 5000, m.ChangesAfter(1).Items)
 	})
@@ -326,7 +326,7 @@
 
 // TestStartAsksTheStore: a node that starts while the store answers asks no
 // peer for what the store tells.
-func TestStartAsksTheStore(t *testing.T) {
+func TestStartPrefersStore(t *testing.T) {
 	tests := []struct {
 		name string
 		// comes is how long the whole takes to come.
@@ -338,20 +338,20 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, timers := run(t)
+				ctx, timers := newEnv(t)
 				stored, own := newStore(), newStore()
 				stored.put("a", false)
 				own.put("a", false)
-				own.comes = tt.comes
+				own.transferTime = tt.comes
 				peer := mirror.New(stored, &peers{}, timers)
 				go peer.Run(ctx)
-				settle(time.Second)
+				advance(time.Second)
 				p := &peers{mirrors: []*mirror.Mirror{peer}}
 				m := mirror.New(own, p, timers)
 				go m.Run(ctx)
-				settle(time.Second)
+				advance(time.Second)
 				must.Eq(t, 1, m.Revision())
-				must.Eq(t, 0, p.asked())
+				must.Eq(t, 0, p.callCount())
 			})
 		})
 	}
@@ -359,18 +359,18 @@
 
 // TestAfter: a peer that is a little behind gets changes, one that is far
 // behind the whole.
-func TestAfter(t *testing.T) {
+func TestChangesAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, timers := run(t)
+		ctx, timers := newEnv(t)
 		own := newStore()
 		own.put("a", false)
 		m := mirror.New(own, &peers{}, timers)
 		go m.Run(ctx)
-		settle(time.Second)
+		advance(time.Second)
 		for i := range 3000 {
 			own.put(fmt.Sprint("k", i%10), false)
 		}
-		settle(time.Second)
+		advance(time.Second)
 		must.False(t, m.ChangesAfter(3000).Snapshot)
 		must.Len(t, 1, m.ChangesAfter(3000).Items)
 		must.True(t, m.ChangesAfter(1).Snapshot)
--- a/mirror/pages_test.go
+++ b/mirror/pages_test.go
@@ -20,7 +20,7 @@
 // change, and never heard of it again.
 func TestChangeBetweenPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, timers := run(t)
+		ctx, timers := newEnv(t)
 		const first = 5
 		before := mirror.Batch{Revision: first, Snapshot: true, Items: []mirror.Item{
 			{Key: "declaration", Value: []byte("old"), Revision: 2},
@@ -31,19 +31,19 @@
 			{Key: "server", Revision: first + 2, Deleted: true},
 		}
 		reader := &pagedStore{
-			whole:   mirror.Batch{Revision: first, Snapshot: true, Items: between[:1]},
-			changes: mirror.Batch{Revision: first + 2, Items: between},
+			snapshot: mirror.Batch{Revision: first, Snapshot: true, Items: between[:1]},
+			changes:  mirror.Batch{Revision: first + 2, Items: between},
 		}
 		upstream := mirror.New(reader, &peers{}, timers)
-		follower := mirror.New(&pagedStore{whole: before}, &peers{mirrors: []*mirror.Mirror{upstream}, upstream: []string{"0"}}, timers)
+		follower := mirror.New(&pagedStore{snapshot: before}, &peers{mirrors: []*mirror.Mirror{upstream}, upstream: []string{"0"}}, timers)
 		go follower.Run(ctx)
-		settle(100 * time.Millisecond)
+		advance(100 * time.Millisecond)
 		must.Eq(t, first, follower.Revision())
 
 		go upstream.Run(ctx)
-		settle(time.Second)
-		reader.tell()
-		settle(time.Second)
+		advance(time.Second)
+		reader.release()
+		advance(time.Second)
 
 		must.Eq(t, first+2, follower.Revision())
 		item, _ := follower.Get("declaration")
@@ -56,23 +56,23 @@
 // pagedStore answers the whole and, once it has been told to, one watch with
 // changes.
 type pagedStore struct {
-	whole, changes mirror.Batch
+	snapshot, changes mirror.Batch
 
-	mu   sync.Mutex
-	told bool
+	mu       sync.Mutex
+	released bool
 }
 
-func (s *pagedStore) tell() {
+func (s *pagedStore) release() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told = true
+	s.released = true
 }
 
-func (s *pagedStore) ReadAll(context.Context) (mirror.Batch, error) { return s.whole, nil }
+func (s *pagedStore) ReadAll(context.Context) (mirror.Batch, error) { return s.snapshot, nil }
 
 func (s *pagedStore) Follow(ctx context.Context, after int64, wait time.Duration) (mirror.Batch, error) {
 	s.mu.Lock()
-	told := s.told
+	told := s.released
 	s.mu.Unlock()
 	if told && after < s.changes.Revision {
 		return s.changes, nil
--- a/mirror/schedules_test.go
+++ b/mirror/schedules_test.go
@@ -23,10 +23,10 @@
 	faultTime    = 6 * time.Second
 	// changeGap lies between two changes of the store.
 	changeGap = 150 * time.Millisecond
-	// touchTime must have passed since the last harm to a node for it to be judged.
-	touchTime = 3 * time.Second
-	// entryTime is how long the entry of a node without power stays.
-	entryTime = 5 * time.Second
+	// faultFreeTime must have passed since the last harm to a node for it to be judged.
+	faultFreeTime = 3 * time.Second
+	// entryTTL is how long the entry of a node without power stays.
+	entryTTL = 5 * time.Second
 )
 
 // TestSchedules draws faults that meet in all ways: nodes of a hall lose power, half of
@@ -39,7 +39,7 @@
 func TestSchedules(t *testing.T) {
 	for seed := range uint64(*scheduleCount) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { newSchedule(t, seed).play() })
+			synctest.Test(t, func(t *testing.T) { newSchedule(t, seed).run() })
 		})
 	}
 }
@@ -49,29 +49,29 @@
 	t      *testing.T
 	h      *hall
 	random *rand.Rand
-	// harmed is when something was last done to a node, or still is.
-	harmed []time.Time
-	// store is the same of the store.
-	store time.Time
+	// lastFault is when something was last done to a node, or still is.
+	lastFault []time.Time
+	// lastStoreFault is the same of the store.
+	lastStoreFault time.Time
 }
 
 func newSchedule(t *testing.T, seed uint64) *schedule {
 	random := rand.New(rand.NewPCG(seed, 0))
 	h := newHall(t, 2+random.IntN(24))
-	return &schedule{t: t, h: h, random: random, harmed: make([]time.Time, len(h.nodes))}
+	return &schedule{t: t, h: h, random: random, lastFault: make([]time.Time, len(h.nodes))}
 }
 
-func (s *schedule) play() {
-	settle(touchTime)
+func (s *schedule) run() {
+	advance(faultFreeTime)
 	end := time.Now().Add(scheduleTime)
 	go s.faults(end)
 	for n := 0; time.Now().Before(end); n++ {
 		key := fmt.Sprint("change-", n)
 		s.h.store.put(key, false)
-		go s.judge(key, time.Now())
+		go s.check(key, time.Now())
 		time.Sleep(changeGap)
 	}
-	settle(faultTime + entryTime + learnTime)
+	advance(faultTime + entryTTL + propagationLimit)
 }
 
 // faults begins faults until the time is over.
@@ -81,21 +81,21 @@
 		lasts := time.Duration(s.random.Int64N(int64(faultTime)))
 		switch kind := s.random.IntN(7); kind {
 		case 0, 1:
-			s.power(s.some(kind == 1), lasts)
+			s.powerOff(s.pickNodes(kind == 1), lasts)
 		case 2, 3:
-			s.apply(s.h.cut, s.some(kind == 3), lasts, true)
+			s.apply(s.h.cutOff, s.pickNodes(kind == 3), lasts, true)
 		case 4:
-			s.apply(s.h.parted, s.some(false), lasts, false)
+			s.apply(s.h.partitioned, s.pickNodes(false), lasts, false)
 		case 5:
 			s.freeze(s.random.IntN(len(s.h.nodes)), lasts)
 		case 6:
-			s.away(lasts / 2)
+			s.failStore(lasts / 2)
 		}
 	}
 }
 
-// some returns one node, or the first ones of the hall, whom the others follow.
-func (s *schedule) some(many bool) []int {
+// pickNodes returns one node, or the first ones of the hall, whom the others follow.
+func (s *schedule) pickNodes(many bool) []int {
 	if !many {
 		return []int{s.random.IntN(len(s.h.nodes))}
 	}
@@ -112,27 +112,27 @@
 	go func() {
 		for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(changeGap) {
 			if harms {
-				s.harm(nodes...)
+				s.markFault(nodes...)
 			}
 		}
 		if harms {
-			s.harm(nodes...)
+			s.markFault(nodes...)
 		}
 		s.h.set(state, false, nodes...)
 	}()
 }
 
-// power lets nodes lose power. Their entries go later, and are back with them.
-func (s *schedule) power(nodes []int, lasts time.Duration) {
-	s.apply(s.h.silent, nodes, lasts, true)
-	if lasts < entryTime {
+// powerOff lets nodes lose power. Their entries go later, and are back with them.
+func (s *schedule) powerOff(nodes []int, lasts time.Duration) {
+	s.apply(s.h.down, nodes, lasts, true)
+	if lasts < entryTTL {
 		return
 	}
 	go func() {
-		time.Sleep(entryTime)
-		s.h.set(s.h.gone, true, nodes...)
-		time.Sleep(lasts - entryTime)
-		s.h.set(s.h.gone, false, nodes...)
+		time.Sleep(entryTTL)
+		s.h.set(s.h.deregistered, true, nodes...)
+		time.Sleep(lasts - entryTTL)
+		s.h.set(s.h.deregistered, false, nodes...)
 	}()
 }
 
@@ -142,16 +142,16 @@
 		return
 	}
 	thaw := s.h.freeze(i)
-	s.harm(i)
+	s.markFault(i)
 	go func() {
 		time.Sleep(lasts)
-		s.harm(i)
+		s.markFault(i)
 		thaw()
 	}()
 }
 
-// away lets the store fail, or only forget its history.
-func (s *schedule) away(lasts time.Duration) {
+// failStore lets the store fail, or only forget its history.
+func (s *schedule) failStore(lasts time.Duration) {
 	if s.random.IntN(2) == 0 {
 		s.h.store.set(nil, false, true)
 		return
@@ -159,69 +159,69 @@
 	s.h.store.set(errStore, false, false)
 	go func() {
 		for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(changeGap) {
-			s.harmStore()
+			s.markStoreFault()
 		}
-		s.harmStore()
+		s.markStoreFault()
 		s.h.store.set(nil, false, false)
 	}()
-	s.harmStore()
+	s.markStoreFault()
 }
 
-func (s *schedule) harm(nodes ...int) {
+func (s *schedule) markFault(nodes ...int) {
 	s.h.mu.Lock()
 	defer s.h.mu.Unlock()
 	for _, i := range nodes {
-		s.harmed[i] = time.Now()
+		s.lastFault[i] = time.Now()
 	}
 }
 
-func (s *schedule) harmStore() {
+func (s *schedule) markStoreFault() {
 	s.h.mu.Lock()
 	defer s.h.mu.Unlock()
-	s.store = time.Now()
+	s.lastStoreFault = time.Now()
 }
 
-// judge looks whether all nodes in touch know a change in time.
-func (s *schedule) judge(key string, at time.Time) {
-	time.Sleep(learnTime)
+// check looks whether all nodes in touch know a change in time.
+func (s *schedule) check(key string, at time.Time) {
+	time.Sleep(propagationLimit)
 	s.h.mu.Lock()
-	calm := func(last time.Time) bool { return at.Sub(last) > touchTime }
+	calm := func(last time.Time) bool { return at.Sub(last) > faultFreeTime }
 	var judged []int
-	for i := range s.harmed {
-		if calm(s.harmed[i]) && calm(s.store) && s.h.frozen[i] == nil {
+	for i := range s.lastFault {
+		if calm(s.lastFault[i]) && calm(s.lastStoreFault) && s.h.frozen[i] == nil {
 			judged = append(judged, i)
 		}
 	}
 	s.h.mu.Unlock()
 	for _, i := range judged {
 		if _, ok := s.h.nodes[i].Get(key); !ok {
-			s.t.Errorf("node %d of %d does not know %s of %s after %s, its news is %s old", i, len(s.h.nodes), key, at.Format("05.000"), learnTime, s.h.nodes[i].Age())
+			s.t.Errorf("node %d of %d does not know %s of %s after %s, its news is %s old", i, len(s.h.nodes), key, at.Format("05.000"), propagationLimit, s.h.nodes[i].Age())
 		}
 	}
 }
 
 // TestOnlyFirstIsFollowed: whoever is passed over is followed again once it answers.
-func TestOnlyFirstIsFollowed(t *testing.T) {
+func TestSkippedUpstreamFollowedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHall(t, 12)
-		settle(5 * time.Second)
-		h.silence(0, 1)
-		settle(10 * time.Second)
-		h.set(h.silent, false, 0, 1)
-		settle(15 * time.Second)
+		advance(5 * time.Second)
+		h.powerOff(0, 1)
+		advance(10 * time.Second)
+		h.set(h.down, false, 0, 1)
+		advance(15 * time.Second)
 		// All but the first do not reach the store any more, and hear all the same.
 		for i := range h.nodes[1:] {
-			h.set(h.cut, true, i+1)
+			h.set(h.cutOff, true, i+1)
 		}
 		h.store.put("b", false)
-		settle(time.Second)
-		must.SliceEmpty(t, h.without("b", 0))
-		must.Less(t, learnTime, slowest(h.nodes))
+		advance(time.Second)
+		must.SliceEmpty(t, h.missing("b", 0))
+		must.Less(t, propagationLimit, maxAge(h.nodes))
 	})
 }
 
-// slowest returns the greatest age of news.
-func slowest(nodes []*mirror.Mirror) time.Duration {
+// maxAge returns the greatest age of news.
+func maxAge(nodes []*mirror.Mirror) time.Duration {
 	var age time.Duration
 	for _, m := range nodes {
 		age = max(age, m.Age())
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -5,7 +5,7 @@
 // calls Put and Drop. A server whose entry says that it is leaving, or whose
 // entry is gone, gets no new work from then on. There is one exception:
 // entries lapse while the platform's store is away, because nobody can renew
-// them, and come back within [returnTime] if their server lives. What is
+// them, and come back within [recoveryGrace] if their server lives. What is
 // dropped just after the store has come back is therefore kept that long. An entry
 // that names no server to use takes the server out of use at once, until the next.
 //
@@ -26,9 +26,9 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// returnTime is how long an entry that lapsed while the store was away may
+// recoveryGrace is how long an entry that lapsed while the store was away may
 // take to come back. The platform's word is "about two seconds".
-const returnTime = 2 * time.Second
+const recoveryGrace = 2 * time.Second
 
 // Server is one backend server as it announced itself. The fields are exported for
 // the adapters.
@@ -54,12 +54,12 @@
 	mu sync.Mutex
 	// servers are by ID.
 	servers map[string]Server
-	// lapsed holds by ID until when servers without an entry are kept.
-	lapsed map[string]time.Time
-	// withdrawn holds by ID why the last entry names no server to use.
-	withdrawn map[string]string
-	// returned is when the store last came back.
-	returned time.Time
+	// graceUntil holds by ID until when servers without an entry are kept.
+	graceUntil map[string]time.Time
+	// invalid holds by ID why the last entry names no server to use.
+	invalid map[string]string
+	// storeRecovered is when the store last came back.
+	storeRecovered time.Time
 	// byService is rebuilt after a change; the lists are never written to.
 	byService map[string][]Server
 }
@@ -67,10 +67,10 @@
 // New returns an empty registry.
 func New(timers *timer.Service) *Registry {
 	return &Registry{
-		timers:    timers,
-		servers:   make(map[string]Server),
-		lapsed:    make(map[string]time.Time),
-		withdrawn: make(map[string]string),
+		timers:     timers,
+		servers:    make(map[string]Server),
+		graceUntil: make(map[string]time.Time),
+		invalid:    make(map[string]string),
 	}
 }
 
@@ -83,8 +83,8 @@
 		return PutResultOld
 	}
 	r.servers[s.ID] = s
-	delete(r.lapsed, s.ID)
-	delete(r.withdrawn, s.ID)
+	delete(r.graceUntil, s.ID)
+	delete(r.invalid, s.ID)
 	r.byService = nil
 	if ok && s.Incarnation() != known.Incarnation() {
 		return PutResultRestart
@@ -99,8 +99,8 @@
 func (r *Registry) MarkInvalid(id, reason string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before, ok := r.withdrawn[id]
-	r.withdrawn[id] = reason
+	before, ok := r.invalid[id]
+	r.invalid[id] = reason
 	r.byService = nil
 	return !ok || before != reason
 }
@@ -111,18 +111,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, known := r.servers[id]
-	_, withdrawn := r.withdrawn[id]
-	delete(r.withdrawn, id)
+	_, withdrawn := r.invalid[id]
+	delete(r.invalid, id)
 	if !known {
 		return 0
 	}
 	r.byService = nil
-	if left := returnTime - r.timers.Steady().Sub(r.returned); left > 0 && !withdrawn {
-		r.lapsed[id] = r.timers.Steady().Add(left)
+	if left := recoveryGrace - r.timers.Steady().Sub(r.storeRecovered); left > 0 && !withdrawn {
+		r.graceUntil[id] = r.timers.Steady().Add(left)
 		return left
 	}
 	delete(r.servers, id)
-	delete(r.lapsed, id)
+	delete(r.graceUntil, id)
 	return 0
 }
 
@@ -130,7 +130,7 @@
 func (r *Registry) StoreRecovered() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.returned = r.timers.Steady()
+	r.storeRecovered = r.timers.Steady()
 }
 
 // Incarnations returns those of all servers that are known, leaving ones too.
@@ -149,7 +149,7 @@
 func (r *Registry) Servers(service string) []Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.expire()
+	r.removeExpired()
 	if r.byService == nil {
 		r.index()
 	}
@@ -160,18 +160,18 @@
 func (r *Registry) Usable(i Incarnation) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.expire()
+	r.removeExpired()
 	s, known := r.servers[i.ID]
-	_, withdrawn := r.withdrawn[i.ID]
+	_, withdrawn := r.invalid[i.ID]
 	return known && s.Incarnation() == i && !s.Leaving && !withdrawn
 }
 
-// expire removes entries that did not come back.
-func (r *Registry) expire() {
+// removeExpired removes entries that did not come back.
+func (r *Registry) removeExpired() {
 	now := r.timers.Steady()
-	for id, until := range r.lapsed {
+	for id, until := range r.graceUntil {
 		if now.After(until) {
-			delete(r.lapsed, id)
+			delete(r.graceUntil, id)
 			delete(r.servers, id)
 			r.byService = nil
 		}
@@ -182,7 +182,7 @@
 func (r *Registry) index() {
 	r.byService = make(map[string][]Server)
 	for _, s := range slices.SortedFunc(maps.Values(r.servers), func(a, b Server) int { return cmp.Compare(a.ID, b.ID) }) {
-		if _, withdrawn := r.withdrawn[s.ID]; !withdrawn && !s.Leaving {
+		if _, withdrawn := r.invalid[s.ID]; !withdrawn && !s.Leaving {
 			r.byService[s.Service] = append(r.byService[s.Service], s)
 		}
 	}
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -53,7 +53,7 @@
 
 // TestLapsedEntries: what is dropped just after the store has come back is
 // kept for two seconds, or until it is back; what is dropped later is gone.
-func TestLapsedEntries(t *testing.T) {
+func TestRecoveryGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := registry.New(timer.New())
 		for _, id := range []string{"back", "lost", "later"} {
@@ -75,7 +75,7 @@
 
 // TestLeavingLapsed: a server that said that it leaves does not come back by
 // the rule for lapsed entries.
-func TestLeavingLapsed(t *testing.T) {
+func TestNoGraceWhenLeaving(t *testing.T) {
 	r := registry.New(timer.New())
 	r.Put(registry.Server{ID: "a", Service: "s", Leaving: true})
 	r.StoreRecovered()
@@ -111,7 +111,7 @@
 
 // TestWithdrawn: a server whose entry names none is out of use until the next good
 // one, and the rule for lapsed entries does not bring it back.
-func TestWithdrawn(t *testing.T) {
+func TestInvalidEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := registry.New(timer.New())
 		r.Put(registry.Server{ID: "a", Service: "s", Born: 1})
