--- a/mirror/bench_test.go
+++ b/mirror/bench_test.go
@@ -7,7 +7,8 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// BenchmarkNeedsRefresh is the look at the news before a request's first byte.
+// BenchmarkNeedsRefresh measures the check of the copy's age before a request's first
+// byte.
 func BenchmarkNeedsRefresh(b *testing.B) {
 	m := mirror.New(newStore(), &peers{}, timer.New())
 	b.ReportAllocs()
--- a/mirror/follow.go
+++ b/mirror/follow.go
@@ -14,49 +14,50 @@
 )
 
 const (
-	// watchWait is how long a watch waits at the store. A path that is cut
-	// in silence is noticed after it. Since few nodes watch, short waits cost
-	// little.
+	// watchWait is how long the store holds a watch without changes. A connection that
+	// has silently broken is noticed after it. Only few nodes watch, so a short wait
+	// costs little.
 	watchWait = 600 * time.Millisecond
-	// watchSlack is how late the store may answer a watch that ran out, and how
-	// long nothing may come of an answer that has begun; it answers in 4 ms.
+	// watchSlack is how late the store may answer a watch that ran out, and how long an
+	// answer that has begun may pause; the store answers in 4 ms.
 	watchSlack = 300 * time.Millisecond
-	// peerWait is how long a call to the upstream waits.
+	// peerWait is how long the upstream holds a call without changes.
 	peerWait = 500 * time.Millisecond
-	// skipTime is how long an upstream is passed over: the entry of one that has
-	// lost power is gone by then, or soon after.
+	// skipTime is how long an upstream is skipped. The entry of one that has lost power
+	// is gone by then, or soon after.
 	skipTime = 3 * time.Second
-	// retryPause lies between two tries at the store of a node that followed
-	// a peer before: in an outage not all nodes should call at once.
+	// retryPause lies between two calls to a failing store by a node that has an
+	// upstream, so that not all nodes call at once in an outage.
 	retryPause = time.Second
-	// coalesceTime lies between two watches. Changes that come close together
-	// are then fetched by one call; 300 ms halved the calls in a trial.
+	// coalesceTime lies between two watches, so that one call fetches changes that come
+	// close together. 300 ms halved the number of calls.
 	coalesceTime = 250 * time.Millisecond
-	// readTimeout bounds reading the whole until something of it comes.
+	// readTimeout is how long a snapshot may take until its first bytes arrive.
 	readTimeout = 2 * time.Second
-	// transferTimeout bounds what keeps coming: a large declaration needs longer than
-	// a call that brings nothing may take, and given up half-way it would be sent
-	// again over the same link. Past this time the next upstream is the better
-	// choice, since a change must be in force 2 to 4 s after it.
+	// transferTimeout bounds an answer that keeps arriving. A large declaration takes
+	// longer than a call without changes may, and an aborted transfer would be repeated
+	// over the same link. After this time the next upstream is the better choice, since
+	// a change has to be in force within 2 to 4 s.
 	transferTimeout = 2 * time.Second
-	// startupPeerDelay is how long a node that starts waits for the store before
-	// it asks peers too. The store answers a page in 4 ms.
+	// startupPeerDelay is how long a node that starts waits for the store before it
+	// queries peers, too. The store answers a page in 4 ms.
 	startupPeerDelay = 60 * time.Millisecond
-	// peerInterval lies between two questions to peers while the store is
-	// out of reach.
+	// peerInterval lies between two queries of peers while the store is unreachable.
 	peerInterval = 300 * time.Millisecond
-	// peerTimeout is how late a peer may answer, beyond the time that it was
-	// told to wait, and how long nothing may come of an answer that has begun.
+	// peerTimeout is how late a peer may answer, beyond the time that it was asked to
+	// wait, and how long an answer that has begun may pause.
 	peerTimeout = 300 * time.Millisecond
-	// peersQueried at once, so that one silent peer costs no time.
+	// peersQueried is the number of peers that are queried at once, so that a silent
+	// one causes no delay.
 	peersQueried = 2
 )
 
-// Run follows the upstream, the store, or any peer, until the context ends.
+// Run keeps the copy current from the upstream, the store, or any peer, until the
+// context ends.
 func (m *Mirror) Run(ctx context.Context) {
-	var fresh sync.WaitGroup
-	fresh.Go(func() { m.keepFresh(ctx) })
-	defer fresh.Wait()
+	var polling sync.WaitGroup
+	polling.Go(func() { m.keepFresh(ctx) })
+	defer polling.Wait()
 	for ctx.Err() == nil {
 		upstream, ok := m.upstream()
 		m.followsStore.Store(!ok || m.Revision() == 0)
@@ -68,7 +69,7 @@
 	}
 }
 
-// upstream returns the first upstream that is not passed over.
+// upstream returns the first upstream that is not skipped.
 func (m *Mirror) upstream() (address string, ok bool) {
 	now := m.timers.Steady()
 	for _, address := range m.peers.Upstream() {
@@ -80,14 +81,14 @@
 	return "", false
 }
 
-// skipUpstream lets the next upstream be followed for a while.
+// skipUpstream excludes an upstream for skipTime, so that the next one is followed.
 func (m *Mirror) skipUpstream(address string) {
 	m.skippedUntil[address] = m.timers.Steady().Add(skipTime)
 	m.lastUpstream = ""
 }
 
-// followStore does one round with the store. If it does not answer, peers may know
-// more.
+// followStore makes one round of calls to the store. If it does not answer, peers are
+// queried, which may know more.
 func (m *Mirror) followStore(ctx context.Context) {
 	err := m.fetchNext(ctx)
 	if err == nil {
@@ -106,12 +107,12 @@
 	}
 }
 
-// followPeer takes one answer of an upstream. One that gave none in time is asked
-// once more: a connection that was open may be silent for good while a new one works.
+// followPeer takes one answer of an upstream. If a long poll runs out of time, it is
+// repeated once without waiting: the open connection may be dead while a new one works.
 func (m *Mirror) followPeer(ctx context.Context, address string) {
 	wait := peerWait
 	if m.lastUpstream != address {
-		wait = 0 // whether it answers at all should show at once
+		wait = 0 // shows at once whether a new upstream answers at all
 	}
 	batch, err := m.callPeer(ctx, address, wait)
 	if wait > 0 && errors.Is(err, context.DeadlineExceeded) {
@@ -122,10 +123,10 @@
 	}
 	if err != nil {
 		m.count(EventUpstreamSilent)
-		slog.Info("upstream did not answer; passed over", "peer", address, "age_ms", m.Age().Milliseconds(), "error", err)
+		slog.Info("upstream did not answer; skipping it", "peer", address, "age_ms", m.Age().Milliseconds(), "error", err)
 		m.skipUpstream(address)
 		if m.Age() > pollAge {
-			m.queryPeers(ctx) // many upstreams may be lost, one after the other
+			m.queryPeers(ctx) // several upstreams may be down, each found out in turn
 		}
 		return
 	}
@@ -136,17 +137,19 @@
 		m.markStoreReachable()
 	case m.Age() <= pollAge:
 		m.count(EventUpstreamStale)
-		slog.Info("upstream has old news; passed over", "peer", address, "its_age_ms", batch.Age.Milliseconds(), "its_revision", batch.Revision,
+		slog.Info("upstream has stale data; skipping it", "peer", address, "its_age_ms", batch.Age.Milliseconds(), "its_revision", batch.Revision,
 			"age_ms", m.Age().Milliseconds(), "revision", m.Revision())
 		m.skipUpstream(address)
 	default:
-		// The store may be away, so that nobody knows better.
+		// The store may be down, so that no node has fresher data.
 		m.lastUpstream = address
 		m.queryPeers(ctx)
 	}
 }
 
-// callPeer asks a peer that may wait that long.
+// callPeer asks a peer for changes and lets it wait that long for some. The age of the
+// returned batch is an upper bound: the reported age, plus the time of the call without
+// the time that the peer says it waited.
 func (m *Mirror) callPeer(ctx context.Context, address string, wait time.Duration) (Batch, error) {
 	batch, took, err := m.callWithBounds(ctx, longPollBounds(wait, peerTimeout), func(ctx context.Context) (Batch, error) {
 		return m.peers.Follow(ctx, address, m.Revision(), wait)
@@ -155,22 +158,22 @@
 	return batch, err
 }
 
-// maxReportedAge bounds the age that a peer is believed to tell, which counts as any age from
-// which nothing is gone by. A peer that has heard nothing yet tells of no beginning.
+// maxReportedAge bounds the age that a peer reports; any age from which data is stale
+// has the same effect. A peer without data reports an age without bound.
 const maxReportedAge = 24 * time.Hour
 
-// longPollBounds returns the bounds of a call that may wait that long, and may be silent for
-// the slack beside it.
+// longPollBounds returns the bounds of a call that the other side may hold for wait,
+// and whose answer may be late or pause by the slack.
 func longPollBounds(wait, slack time.Duration) progress.Bounds {
 	return progress.Bounds{First: wait + slack, Silence: slack, Whole: wait + transferTimeout}
 }
 
-// stallSlack is by how much a call may outlast its bounds before that is this
-// process's doing.
+// stallSlack is how far a call may exceed its bounds before the delay is attributed to
+// this process.
 const stallSlack = 250 * time.Millisecond
 
-// callWithBounds makes a call and tells how long it took. An error of one that ran out of
-// time is a context's, or Stalled.
+// callWithBounds makes a call and returns how long it took. A call that runs out of
+// time fails with the context's cause, or with Stalled if this process did not run.
 func (m *Mirror) callWithBounds(ctx context.Context, b progress.Bounds, call func(context.Context) (Batch, error)) (batch Batch, took time.Duration, err error) {
 	ctx, cancel := progress.WithTimeout(ctx, b)
 	defer cancel()
@@ -193,7 +196,7 @@
 	return batch, took, err
 }
 
-// stalled reports whether a call failed since this process did not run.
+// stalled reports whether a call failed because this process did not run.
 func (m *Mirror) stalled(err error) bool {
 	if !errorx.IsOfType(err, Stalled) {
 		return false
@@ -202,7 +205,8 @@
 	return true
 }
 
-// fetchNext waits for what the store tells next.
+// fetchNext waits for the next changes from the store. It reads a snapshot if this node
+// has no data or the store was unreachable.
 func (m *Mirror) fetchNext(ctx context.Context) error {
 	if m.Revision() == 0 || m.isUnreachable() {
 		return m.readAll(ctx)
@@ -210,16 +214,17 @@
 	return m.fetchChanges(ctx, watchWait)
 }
 
-// fetchChanges takes the changes since what this node knows, for which the store may wait.
+// fetchChanges takes the changes after the known revision from the store, which may
+// hold the call for wait.
 func (m *Mirror) fetchChanges(ctx context.Context, wait time.Duration) error {
 	after := m.Revision()
 	batch, err := m.watch(ctx, after, wait)
 	if errors.Is(err, context.DeadlineExceeded) {
-		// The connection may be silent for good while a new one works.
+		// The open connection may be dead while a new one works.
 		batch, err = m.watch(ctx, after, 0)
 	}
 	if errorx.IsOfType(err, HistoryGone) {
-		slog.Info("history of the store is gone; reading the whole", "after", after)
+		slog.Info("history of the store is gone; reading a snapshot", "after", after)
 		return m.readAll(ctx)
 	}
 	if err != nil {
@@ -229,8 +234,9 @@
 	return nil
 }
 
-// watch asks the store for changes, which may wait that long. An answer that came
-// later than that was on its way, or lay unread.
+// watch asks the store for changes and lets it wait that long for some. An answer that
+// took longer than that was in transit, or lay unread in this process, so that time
+// counts as its age.
 func (m *Mirror) watch(ctx context.Context, after int64, wait time.Duration) (Batch, error) {
 	batch, took, err := m.callWithBounds(ctx, longPollBounds(wait, watchSlack), func(ctx context.Context) (Batch, error) {
 		return m.store.Follow(ctx, after, wait)
@@ -239,13 +245,13 @@
 	return batch, err
 }
 
-// readAll reads the whole, which also tells what was removed meanwhile.
+// readAll reads a snapshot, from which deletions follow as well.
 func (m *Mirror) readAll(ctx context.Context) error {
 	bounds := progress.Bounds{First: readTimeout, Silence: watchSlack, Whole: readTimeout + transferTimeout}
 	batch, took, err := m.callWithBounds(ctx, bounds, func(ctx context.Context) (Batch, error) {
 		if m.Revision() == 0 {
-			// A node that starts during an outage need not wait for the store to time
-			// out.
+			// A node that starts during an outage does not have to wait until the call
+			// to the store times out.
 			go m.queryPeersAfterDelay(ctx)
 		}
 		return m.store.ReadAll(ctx)
@@ -259,10 +265,10 @@
 	return nil
 }
 
-// queryPeersAfterDelay asks peers unless the store has told something by then in a read of
-// the whole that is under way. Many nodes that start at once share its link, and
-// the whole from peers as well would fill theirs: those of the few whose addresses
-// a node starts with.
+// queryPeersAfterDelay queries peers unless an answer of the store has begun by then in
+// the read of the snapshot that is under way. Many nodes that start at once share the
+// link of the store, and snapshots from peers would also fill the links of the few
+// peers whose addresses a node starts with.
 func (m *Mirror) queryPeersAfterDelay(read context.Context) {
 	m.pause(read, startupPeerDelay)
 	if m.Revision() == 0 && read.Err() == nil && !progress.Begun(read) {
@@ -270,7 +276,7 @@
 	}
 }
 
-// queryPeers takes what the first of the peers know.
+// queryPeers takes what the first peers know.
 func (m *Mirror) queryPeers(ctx context.Context) {
 	addresses := m.peers.Addresses()
 	ctx, cancel := progress.WithTimeout(ctx, progress.Bounds{First: peerTimeout, Silence: peerTimeout, Whole: transferTimeout})
@@ -289,17 +295,19 @@
 	calls.Wait()
 }
 
-// minOutage without fresh news is an outage of the store if the store was asked
-// meanwhile, in vain: entries lapse in it, which takes three heartbeats of a second
-// and more. Without that an upstream was lost, or this process did not run, and
-// what is gone from the store is gone.
+// minOutage is the time without fresh data from which an outage of the store is
+// assumed, if a call to the store also failed in that time. Entries expire in an
+// outage, after three heartbeats of a second or more. If no call to the store failed,
+// an upstream was down or this process did not run, and what is gone from the store is
+// really gone.
 const minOutage = 2 * time.Second
 
-// accept takes news. Fresh news after an outage is told to those who asked for that
-// first, since what lapsed meanwhile stands in it.
+// accept takes a batch. If it is the first fresh one after an outage, the callbacks of
+// OnStoreRecovered run first, since the batch contains the deletions of entries that
+// expired in the outage.
 func (m *Mirror) accept(b Batch) {
 	if b.Revision == 0 {
-		return // who knows nothing confirms nothing
+		return // a sender without data confirms nothing
 	}
 	now := m.timers.Steady()
 	m.mu.Lock()
@@ -307,21 +315,22 @@
 	m.mu.Unlock()
 	if outage && b.Age <= pollAge {
 		m.count(EventOutage)
-		for _, do := range m.storeRecovered {
+		for _, do := range m.onStoreRecovered {
 			do()
 		}
 	}
 	m.deliver(b, now.Add(-b.Age))
 }
 
-// isUnreachable reports whether the store is out of reach as far as is known.
+// isUnreachable reports whether a call to the store failed, and neither the store nor
+// an upstream that reaches it has answered since.
 func (m *Mirror) isUnreachable() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.unreachable
 }
 
-// markStoreUnreachable notes that the store did not answer.
+// markStoreUnreachable records that the store did not answer.
 func (m *Mirror) markStoreUnreachable(err error) {
 	m.mu.Lock()
 	before := m.unreachable
@@ -331,11 +340,12 @@
 	m.mu.Unlock()
 	if !before {
 		m.count(EventStoreLost)
-		slog.Warn("store is out of reach; following peers", "revision", revision, "error", err)
+		slog.Warn("store is unreachable; following peers", "revision", revision, "error", err)
 	}
 }
 
-// markStoreReachable notes that the store, or an upstream that reaches it, has answered.
+// markStoreReachable records that the store, or an upstream that reaches it, has
+// answered.
 func (m *Mirror) markStoreReachable() {
 	m.mu.Lock()
 	before := m.unreachable
@@ -343,7 +353,7 @@
 	m.mu.Unlock()
 	if before {
 		m.count(EventStoreBack)
-		slog.Info("store is reached again", "away_ms", m.Age().Milliseconds())
+		slog.Info("store is reachable again", "away_ms", m.Age().Milliseconds())
 	}
 }
 
--- a/mirror/fresh.go
+++ b/mirror/fresh.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	// pollAge is the age of news at which a node looks at the store itself, whatever
-	// those do that it follows. News that comes by an upstream is younger if all is
-	// well: the wait of the upstream's watch, the gathering after it, and some delay.
+	// pollAge is the age of the copy from which a node polls the store itself, whatever
+	// its upstream does. In normal operation data that comes by way of an upstream is
+	// younger: the wait of the upstream's watch, the pause after it, and pollSlack.
 	pollAge = watchWait + coalesceTime + pollSlack
-	// pollSlack is that delay.
+	// pollSlack is the delay in transit and processing that pollAge allows for.
 	pollSlack = 250 * time.Millisecond
-	// pollRetry lies between two looks while the store does not answer. It grows with
-	// the number of nodes that are to look before this one, since in an outage a call is
-	// paid for and tells nothing, up to lookPauseMax: a node that reaches the store again,
-	// and nobody else, must have caught up within the 3 s after which its knowledge
-	// counts and the 2 s that a change may take.
+	// pollRetry lies between two polls while the store does not answer. It is
+	// multiplied by the number of upstreams, which poll as well, since in an outage
+	// each call costs money and brings nothing, up to pollRetryMax: a node that is the
+	// only one to reach the store again must have caught up within the 3 s after which
+	// it is expected to be up to date, and the 2 s that a change may take.
 	pollRetry    = 1500 * time.Millisecond
 	pollRetryMax = 4 * time.Second
-	// staleAge is the age from which a node does not go by its news any more, unless
-	// the store did not answer it: a look has told by then, also on a connection that
-	// is silent, but for a process that did not run.
+	// staleAge is the age from which a node does not use its copy for decisions, unless
+	// the store did not answer it. A poll has brought an answer by then, even over a
+	// dead connection, unless this process did not run.
 	staleAge = pollAge + 2*watchSlack
 )
 
-// MaxStaleness is the age of news from which requests don't go by it. A change that the
-// store has taken is in force that much later at the latest, at a node that reaches the
-// store, but for the time of one call.
+// MaxStaleness is the greatest age of the copy by which requests are decided while the
+// store answers. At a node that reaches the store, a change is in force at most that
+// much later than the store took it, plus the time of one call.
 const MaxStaleness = staleAge
 
-// keepFresh looks at the store whenever the news of this node has grown old, until
-// the context ends. It is what bounds the age of the news that a node goes by; what
-// Run does only makes looks rare.
+// keepFresh polls the store whenever the copy has grown old, until the context ends.
+// This is what bounds the age of the data that a node uses; what Run does only makes
+// polls rare.
 func (m *Mirror) keepFresh(ctx context.Context) {
 	for ctx.Err() == nil {
 		if left := m.untilPoll(); left > 0 && !m.pollRequested(ctx, left) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// pollRequested waits that long and reports whether a look was asked for meanwhile.
+// pollRequested waits for d and reports whether a poll was requested meanwhile.
 func (m *Mirror) pollRequested(ctx context.Context, d time.Duration) bool {
 	ticks := m.timers.Subscribe(d)
 	defer ticks.Stop()
@@ -62,61 +62,61 @@
 	return false
 }
 
-// NeedsRefresh reports whether the news is too old to go by, though the store might tell
-// what is new. While the store does not answer nobody knows better, and old news is
-// gone by. Where nothing is known there is nothing to doubt.
+// NeedsRefresh reports whether the copy is too old to use although the store may have
+// newer data. It is false while the store does not answer: no node has better data
+// then, and the old copy is used. It is also false before the first data.
 func (m *Mirror) NeedsRefresh() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.needsRefresh()
 }
 
-// needsRefresh is InDoubt for a caller that holds mu.
+// needsRefresh is NeedsRefresh for a caller that holds mu.
 func (m *Mirror) needsRefresh() bool {
 	known := !m.deliveredAsOf.IsZero()
 	return known && m.timers.Steady().Sub(m.deliveredAsOf) > staleAge && !m.lastFailure.After(m.asOf)
 }
 
-// AwaitRefresh returns once the news is in doubt no more. It returns at once if it is not,
-// and waits no longer than a look takes.
+// AwaitRefresh requests a poll of the store and returns once NeedsRefresh is false. It
+// returns at once if no refresh is needed, and waits no longer than a poll may take.
 func (m *Mirror) AwaitRefresh(ctx context.Context) {
 	if !m.NeedsRefresh() {
 		return
 	}
 	select {
 	case m.pollNow <- struct{}{}:
-	default: // one is due already
+	default: // a poll is requested already
 	}
 	ctx, cancel := context.WithTimeout(ctx, 2*watchSlack)
 	defer cancel()
 	for {
 		m.mu.Lock()
-		doubt, settled := m.needsRefresh(), m.refreshed
+		stale, refreshed := m.needsRefresh(), m.refreshed
 		m.mu.Unlock()
-		if !doubt {
+		if !stale {
 			return
 		}
 		select {
-		case <-settled:
+		case <-refreshed:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// signalRefresh lets those look again who wait in Settle. The caller holds mu.
+// signalRefresh wakes those that wait in AwaitRefresh. The caller holds mu.
 func (m *Mirror) signalRefresh() {
 	close(m.refreshed)
 	m.refreshed = make(chan struct{})
 }
 
-// untilPoll returns how long no look is due. It is asked for again by then, since what
-// it goes by changes meanwhile.
+// untilPoll returns how long to wait until the next poll, or until this function is to
+// be called again, since the time of the poll changes meanwhile.
 func (m *Mirror) untilPoll() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.revision == 0 || m.followsStore.Load() {
-		return pollSlack // Run's own calls tell as soon
+		return pollSlack // Run calls the store itself, and learns as much as soon
 	}
 	due := m.asOf.Add(pollAge)
 	if m.lastFailure.After(m.asOf) && m.nextPoll.After(due) {
@@ -125,12 +125,13 @@
 	return min(pollAge, due.Sub(m.timers.Steady()))
 }
 
-// notePollFailure notes that the store did not answer a look.
+// notePollFailure records that the store did not answer a poll, and schedules the next
+// one.
 func (m *Mirror) notePollFailure(err error) {
 	m.count(EventPollFailed)
-	before := len(m.peers.Upstream())
+	upstreams := len(m.peers.Upstream())
 	m.markStoreUnreachable(err)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.nextPoll = m.timers.Steady().Add(min(pollRetryMax, time.Duration(max(1, before))*pollRetry))
+	m.nextPoll = m.timers.Steady().Add(min(pollRetryMax, time.Duration(max(1, upstreams))*pollRetry))
 }
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -1,32 +1,32 @@
-// Package mirror keeps a node's copy of what the platform's store holds, so
-// that no request has to ask the store.
+// Package mirror keeps a local copy of the platform store on each node, so that no
+// request has to wait for a call to the store.
 //
-// The store counts its revisions in one row, so what a node knows is named by
-// one number: all changes up to that revision. A copy with a higher revision
-// always replaces one with a lower, never the other way round.
+// The store counts its changes with a single revision number, so one number describes
+// what a node knows: all changes up to that revision. A batch with a lower revision
+// never replaces a copy with a higher one.
 //
-// Every call to the store is paid for, so one node of each data hall follows
-// it by waiting watches, and the others follow that node, by calls that wait
-// in the same way. Each answer tells how long ago the store was last heard of.
-// An upstream that does not answer, or knows less than the store tells, is
-// passed over for a while: the next one is followed, and a node without any
-// follows the store.
+// Every call to the store costs money. In each data hall, therefore, one node follows
+// the store with long polls, and the other nodes follow that node, their upstream, in
+// the same way. Each answer carries its age: the time since the store confirmed it. An
+// upstream that does not answer, or whose data is stale while the node's own is not, is
+// skipped for a while and the next one is followed. A node without any upstream follows
+// the store.
 //
-// However that goes, news is not to be older than [pollAge]: a node whose news
-// would be looks at the store itself, whatever its upstream does. So a node that
-// reaches the store knows of a change within that time and one call. In an outage
-// of the store looks get rarer, and nodes take what any peer knows. A node that
-// starts asks the store first, and peers soon after.
+// Independently of that, a node polls the store itself as soon as its copy is older
+// than [pollAge]. A node that can reach the store therefore learns of a change within
+// that time and the time of one call. During an outage of the store, polls become rarer
+// and nodes take what any peer knows. A node that starts asks the store first, and
+// peers soon after.
 //
 // # Usage
 //
 //	m := mirror.New(store, peers, timers)
-//	m.OnRegained(func() { … })
+//	m.OnStoreRecovered(func() { … })
 //	m.Subscribe("servers/", func(c mirror.Change) { … })
 //	go m.Run(ctx)
 //	…
-//	item, ok := m.Get("rollouts")            // what this node knows
-//	batch := m.Await(ctx, revision, wait)    // what it tells a peer
+//	item, ok := m.Get("rollouts")            // from the local copy
+//	batch := m.Await(ctx, revision, wait)    // the answer to a peer
 package mirror
 
 import (
@@ -46,133 +46,137 @@
 var (
 	namespace = errs.Namespace("mirror")
 
-	// HistoryGone says that the changes since a revision are not kept any
-	// more; the whole has to be read anew.
+	// HistoryGone says that the changes since a revision are no longer kept, so that a
+	// full snapshot has to be read.
 	HistoryGone = namespace.NewType("history_gone")
-	// Stalled says that this process did not run while a call was under way, so that
-	// its failure tells nothing of whoever was called.
+	// Stalled says that this process did not run during a call, so that the failure of
+	// the call says nothing about whoever was called.
 	Stalled = namespace.NewType("stalled")
 )
 
-// Item is one key as it was last written. The fields are exported for the
-// codec by which peers exchange it.
+// Item is the last write of a key. The fields are exported for the codec by which peers
+// exchange items.
 type Item struct {
 	Key      string `cbor:"1,keyasint"`
 	Value    []byte `cbor:"2,keyasint,omitempty"`
 	Revision int64  `cbor:"3,keyasint"`
-	// Deleted marks a key that is gone since Revision.
+	// Deleted marks a key that was deleted at Revision.
 	Deleted bool `cbor:"4,keyasint,omitempty"`
-	// Lease is the one that the key goes with; zero for none, or if a peer of an
-	// earlier version told of the key.
+	// Lease is the lease with which the key expires; zero if it has none, or if the
+	// item came from a peer of an earlier version.
 	Lease int64 `cbor:"6,keyasint,omitempty"`
 }
 
-// Batch is a run of changes up to a revision, or the whole. The fields are
-// exported for the codec by which peers exchange it.
+// Batch is a list of changes up to a revision, or a full snapshot. The fields are
+// exported for the codec by which peers exchange batches.
 type Batch struct {
 	Items []Item `cbor:"1,keyasint"`
-	// Revision up to which nothing is missing.
+	// Revision is the revision up to which the batch is complete.
 	Revision int64 `cbor:"2,keyasint"`
 	// Snapshot says that keys which are not among Items do not exist.
 	Snapshot bool `cbor:"3,keyasint,omitempty"`
-	// Age is how long ago the store confirmed this: as the sender knew it, or once
-	// it has come, at the least that the receiver can prove.
+	// Age is the time since the store confirmed the batch: as reported by the sender,
+	// or, once it has been received, the smallest upper bound that the receiver can
+	// prove.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
-	// Waited is for how long the sender let the call wait.
+	// Waited is how long the sender held the call before it answered.
 	Waited time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
-// Change is one key's change as subscribers see it: the item as it now is, or
+// Change is a changed key as subscribers see it: the current item, or one that is
 // marked as deleted.
 type Change struct {
 	Item
 }
 
-// Store is what the package needs of the platform's store.
+// Store is the part of the platform store that this package uses.
 type Store interface {
-	// ReadAll returns the whole.
+	// ReadAll returns a full snapshot.
 	ReadAll(ctx context.Context) (Batch, error)
-	// Follow returns the changes after a revision as soon as there are some,
-	// none after wait, or HistoryGone.
+	// Follow returns the changes after a revision as soon as there are any, an empty
+	// batch after wait, or HistoryGone.
 	Follow(ctx context.Context, after int64, wait time.Duration) (Batch, error)
 }
 
-// Peers is what the package needs of the other nodes.
+// Peers gives access to the other nodes.
 type Peers interface {
-	// Addresses returns the peers to ask, in the order in which they should be.
+	// Addresses returns the peers to query, in the order in which to query them.
 	Addresses() []string
 	// Upstream returns the peers of this node's data hall that it may follow, the
-	// one to follow if all is well first; none if this node is to follow the store.
+	// preferred one first; none if this node has to follow the store.
 	Upstream() []string
-	// Follow asks a peer for what it knows beyond a revision. The peer waits
-	// that long for something to tell.
+	// Follow asks a peer for the changes after a revision. The peer holds the call for
+	// up to wait until there are any.
 	Follow(ctx context.Context, address string, after int64, wait time.Duration) (Batch, error)
 }
 
-// minRecentChanges is the least number of changes that are kept for peers; it covers the few
-// seconds by which peers lie apart.
+// minRecentChanges is the least number of changes that are kept for peers. It covers
+// the few seconds by which peers are behind each other.
 const minRecentChanges = 2048
 
-// LargeValueBytes is the size in bytes from which a value counts as large: declarations
-// are, entries are not. What is smaller fits into a few packets, and is not worth
-// telling in fewer.
+// LargeValueBytes is the size from which a value counts as large: declarations are
+// large, entries are not. Smaller values fit into a few packets, so compressing them or
+// sending only a difference is not worthwhile.
 const LargeValueBytes = 8 << 10
 
-// Mirror is the copy. It is safe for concurrent use.
+// Mirror is the local copy of the store. It is safe for concurrent use.
 type Mirror struct {
 	store  Store
 	peers  Peers
 	timers *timer.Service
 	count  func(Event)
 
-	// subscribers and regained do not change any more once Run has begun.
-	subscribers    []subscriber
-	storeRecovered []func()
+	// subscribers and onStoreRecovered do not change after Run has begun.
+	subscribers      []subscriber
+	onStoreRecovered []func()
 
-	// delivery keeps changes in order for subscribers. It is taken before mu.
+	// delivery serialises the delivery of changes to subscribers. It is locked before
+	// mu.
 	delivery sync.Mutex
 
 	mu    sync.Mutex
 	items map[string]Item
-	// previous are the large values that keys held before their last change.
+	// previous holds the large values that keys had before their last change.
 	previous map[string]Item
 	revision int64
-	// delivered is the revision up to which subscribers have been told.
+	// delivered is the revision up to which changes were delivered to subscribers.
 	delivered int64
-	// recent are the last changes, all of those after revision recentFrom.
+	// recent holds the last changes: all those after revision recentFrom.
 	recent     []Item
 	recentFrom int64
-	// synced is closed once subscribers have been told the first whole.
+	// synced is closed once the first snapshot was delivered to subscribers.
 	synced chan struct{}
-	// changed is closed, and made anew, when there is something to tell a peer: the
-	// revision rises, or the store has confirmed it anew.
+	// changed is closed and replaced when peers that wait are to be answered: the
+	// revision has risen, or the store has confirmed it again.
 	changed chan struct{}
-	// asOf is when the store confirmed what this node knows, by its own
-	// word or a peer's, and inForce the same of what subscribers have been told.
+	// asOf is when the store confirmed the copy, directly or by way of a peer;
+	// deliveredAsOf is the same for what was delivered to subscribers.
 	asOf, deliveredAsOf time.Time
-	// notifiedAsOf is the contact when peers were last told.
+	// notifiedAsOf is the value of asOf when waiting peers were last answered.
 	notifiedAsOf time.Time
-	// unreachable says that the store did not answer, and that neither it nor an
-	// upstream that reaches it has since.
+	// unreachable says that the store did not answer, and that since then neither the
+	// store nor an upstream that reaches it has answered.
 	unreachable bool
-	// lastFailure is when a call to the store last failed: without one, silence is not the
-	// store's. nextLook is when another look may follow one that failed.
+	// lastFailure is when a call to the store last failed. Without a later failure, an
+	// old copy does not mean that the store is down. nextPoll is the earliest time of
+	// the poll after a failed one.
 	lastFailure, nextPoll time.Time
 
-	// refreshed is closed, and made anew, when subscribers have been told what the store
-	// confirmed, or the store did not answer; urgent asks for a look at once.
+	// refreshed is closed and replaced when a confirmed copy was delivered to
+	// subscribers, or a call to the store failed. pollNow requests a poll at once.
 	refreshed chan struct{}
 	pollNow   chan struct{}
 
-	// followsStore says that Run's task follows the store.
+	// followsStore says that the goroutine of Run follows the store.
 	followsStore atomic.Bool
-	// Only Run's task uses these. followed is the upstream that answered last; passed
-	// holds until when upstreams are passed over.
+	// lastUpstream and skippedUntil are used by the goroutine of Run only. lastUpstream
+	// is the upstream that answered last; skippedUntil holds by address until when an
+	// upstream is skipped.
 	lastUpstream string
 	skippedUntil map[string]time.Time
 }
 
-// subscriber is told of the changes under a prefix.
+// subscriber receives the changes under a prefix.
 type subscriber struct {
 	prefix  string
 	changed func(Change)
@@ -199,34 +203,35 @@
 	return m
 }
 
-// Subscribe calls changed with each change of a key under the prefix, one at
-// a time and in the order of revisions. It must be called before Run.
+// Subscribe calls changed with each change of a key under the prefix, one at a time and
+// in the order of revisions. It must be called before Run.
 func (m *Mirror) Subscribe(prefix string, changed func(Change)) {
 	m.subscribers = append(m.subscribers, subscriber{prefix, changed})
 }
 
-// OnStoreRecovered calls do when there is fresh news after an outage of the store,
-// from the store itself or from a peer, before the changes that it tells. It
-// must be called before Run.
-func (m *Mirror) OnStoreRecovered(do func()) { m.storeRecovered = append(m.storeRecovered, do) }
+// OnStoreRecovered calls do when fresh data arrives after an outage of the store, from
+// the store or from a peer, before the changes in that data are delivered. It must be
+// called before Run.
+func (m *Mirror) OnStoreRecovered(do func()) { m.onStoreRecovered = append(m.onStoreRecovered, do) }
 
-// Revision returns the revision up to which this node knows everything.
+// Revision returns the revision up to which this node knows all changes.
 func (m *Mirror) Revision() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.revision
 }
 
-// Delivered returns the revision up to which all subscribers have been told
-// everything; zero until they have been told the first whole. It lags behind
-// Revision while they are being told.
+// Delivered returns the revision up to which all changes were delivered to all
+// subscribers; zero until the first snapshot was. It lags behind Revision during a
+// delivery.
 func (m *Mirror) Delivered() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.delivered
 }
 
-// Synced is closed once all subscribers have been told the first whole.
+// Synced returns a channel that is closed once the first snapshot was delivered to all
+// subscribers.
 func (m *Mirror) Synced() <-chan struct{} { return m.synced }
 
 // Get returns a key's item.
@@ -237,7 +242,8 @@
 	return item, ok
 }
 
-// Previous returns what a key held before its last change, if that was large.
+// Previous returns the item that a key had before its last change, if its value was
+// large.
 func (m *Mirror) Previous(key string) (Item, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -245,15 +251,15 @@
 	return item, ok
 }
 
-// Age returns how long ago the store, or a peer that had heard from it, last
-// confirmed what subscribers have been told.
+// Age returns the time since the store, directly or by way of a peer, last confirmed
+// what was delivered to subscribers.
 func (m *Mirror) Age() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.timers.Steady().Sub(m.deliveredAsOf)
 }
 
-// ChangesAfter answers a peer: what this node knows beyond a revision.
+// ChangesAfter returns what this node knows beyond a revision, as the answer to a peer.
 func (m *Mirror) ChangesAfter(after int64) Batch {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -272,10 +278,10 @@
 	return b
 }
 
-// Await is After, but waits until there is something beyond the revision, the
-// store has confirmed that there is nothing, or the time is over. It waits no longer
-// than this package's own callers ask, so that no peer can hold a call for as long
-// as it likes.
+// Await is ChangesAfter, but first waits until there are changes after the revision,
+// the store has confirmed that there are none, or the time is over. It waits no longer
+// than this package's own calls ask for, so that no peer can hold a call open for as
+// long as it likes.
 func (m *Mirror) Await(ctx context.Context, after int64, wait time.Duration) Batch {
 	begun := m.timers.Steady()
 	m.mu.Lock()
@@ -295,8 +301,8 @@
 	return b
 }
 
-// deliver puts a batch in force that the store confirmed at a time, if it brings
-// anything new.
+// deliver applies a batch that the store confirmed at the given time, and delivers what
+// changed to subscribers.
 func (m *Mirror) deliver(b Batch, at time.Time) {
 	m.delivery.Lock()
 	defer m.delivery.Unlock()
@@ -316,7 +322,7 @@
 	m.signalRefresh()
 }
 
-// apply changes the copy and returns what changed.
+// apply applies a batch to the copy and returns what changed.
 func (m *Mirror) apply(b Batch, at time.Time) []Change {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -340,8 +346,8 @@
 	var changes []Change
 	for _, item := range items {
 		if item.Revision > m.revision {
-			// Also what is known already, from a later page of a whole: peers at
-			// the revision of its first page may not know it.
+			// This includes items that are known already, from a later page of a
+			// snapshot: peers at the revision of its first page may lack them.
 			m.recent = append(m.recent, item)
 		}
 		known, ok := m.items[item.Key]
@@ -366,18 +372,18 @@
 	return changes
 }
 
-// notifyStep is by how much news must be fresher for peers to be told that
-// nothing has changed.
+// notifyStep is how much more recent a confirmation without changes must be than the
+// last one for waiting peers to be answered.
 const notifyStep = 100 * time.Millisecond
 
-// notifyPeers lets the calls of peers that wait return. The caller holds mu.
+// notifyPeers lets the waiting calls of peers return. The caller holds mu.
 func (m *Mirror) notifyPeers() {
 	m.notifiedAsOf = m.asOf
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// impliedDeletions returns the deletions that a whole implies.
+// impliedDeletions returns deletions for the keys that a snapshot lacks.
 func (m *Mirror) impliedDeletions(b Batch) []Item {
 	present := make(map[string]bool, len(b.Items))
 	for _, item := range b.Items {
@@ -392,14 +398,14 @@
 	return gone
 }
 
-// trimRecent bounds the changes that are kept. After a whole the steps between are
-// not known, so peers that lag behind it need the whole too.
-func (m *Mirror) trimRecent(whole bool) {
-	if whole {
+// trimRecent bounds the changes that are kept. The changes that led to a snapshot are
+// not known, so peers that are behind it need a snapshot, too.
+func (m *Mirror) trimRecent(snapshot bool) {
+	if snapshot {
 		m.recent, m.recentFrom = nil, m.revision
 	}
-	// Two for each key: when all servers of a large deployment announce
-	// themselves, peers must not need the whole for every few of them.
+	// Two changes are kept for each key: when all servers of a large deployment
+	// register at once, peers must not need a snapshot for every few of them.
 	if surplus := len(m.recent) - max(minRecentChanges, 2*len(m.items)); surplus > 0 {
 		m.recentFrom = m.recent[surplus-1].Revision
 		m.recent = slices.Clone(m.recent[surplus:])
