--- a/registry/incarnation.go
+++ b/registry/incarnation.go
@@ -4,22 +4,23 @@
 
 //go:generate go tool enumer -type=PutResult -trimprefix=PutResult -transform=snake -output=registry_enumer.go
 
-// Incarnation names one run of a server, from its start to its end. A server may
-// start again under its ID: it then holds and knows nothing of before, so whatever is
-// believed of a server is believed of one incarnation of it.
+// Incarnation identifies one run of a server process, from its start to its end. A
+// server may restart under the same ID without any of its former state, so whatever is
+// known of a server holds for one incarnation only.
 type Incarnation struct {
 	ID string
-	// Born is when it started, in Unix milliseconds by its own clock; zero if its
-	// entry doesn't tell. It orders the incarnations under one ID and nothing else:
-	// no clock of this node is compared with it.
+	// Born is when the server started, in Unix milliseconds by the server's own clock;
+	// zero if its entry does not say. It only orders the incarnations under one ID, and
+	// is never compared with a clock of this node.
 	Born int64
 }
 
-// Incarnation returns which one of the server the entry is of.
+// Incarnation returns the incarnation of the server that the entry describes.
 func (s Server) Incarnation() Incarnation { return Incarnation{s.ID, s.Born} }
 
-// Hash is by which nodes tell each other of an incarnation. One that doesn't tell
-// when it started is named by its ID alone, as by nodes that know of no incarnations.
+// Hash returns the hash by which nodes refer to an incarnation in messages. Without a
+// start time it is the hash of the ID alone, as nodes use that do not know
+// incarnations.
 func (i Incarnation) Hash() uint64 {
 	hash := rendezvous.Hash(i.ID)
 	if i.Born != 0 {
@@ -28,19 +29,21 @@
 	return hash
 }
 
-// before reports whether it is known to be the earlier one under the same ID.
+// before reports whether i is known to be earlier than another incarnation under the
+// same ID.
 func (i Incarnation) before(other Incarnation) bool { return i.Born != 0 && i.Born < other.Born }
 
-// PutResult is what a server's entry brings.
+// PutResult is the outcome of [Registry.Put].
 type PutResult int
 
-// The kinds of news.
+// The outcomes of Put.
 const (
-	// PutResultUpdate is of a server that is new, or whose incarnation is known.
+	// PutResultUpdate is the entry of a new server, or of the known incarnation of a
+	// server.
 	PutResultUpdate PutResult = iota
-	// PutResultRestart is of a server that has started again.
+	// PutResultRestart is the entry of a server that has restarted.
 	PutResultRestart
-	// PutResultOld is of an earlier incarnation than the known one: a write that was under
-	// way when the server ended. It changes nothing.
+	// PutResultOld is the entry of an earlier incarnation than the known one: a write
+	// that was under way when the server ended. It changes nothing.
 	PutResultOld
 )
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -1,13 +1,14 @@
-// Package registry knows the backend servers that have announced themselves,
-// and which of them may get new work.
+// Package registry keeps the backend servers that have registered at the platform, and
+// which of them may get new requests.
 //
-// Servers announce themselves at the platform; whoever follows the platform
-// calls Put and Drop. A server whose entry says that it is leaving, or whose
-// entry is gone, gets no new work from then on. There is one exception:
-// entries lapse while the platform's store is away, because nobody can renew
-// them, and come back within [recoveryGrace] if their server lives. What is
-// dropped just after the store has come back is therefore kept that long. An entry
-// that names no server to use takes the server out of use at once, until the next.
+// Servers write their entries at the platform; the code that follows the platform calls
+// Put and Drop. A server whose entry is marked as leaving, or has been deleted, gets no
+// new requests from then on. There is one exception: while the platform's store is
+// down, entries expire because no server can renew them, and they are written again
+// within [recoveryGrace] by servers that are alive. A server whose entry is deleted
+// just after the store has recovered is therefore kept until the end of that time. An
+// entry that cannot be used takes its server out of use at once, until the next valid
+// entry.
 //
 // # Usage
 //
@@ -26,41 +27,40 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// recoveryGrace is how long an entry that lapsed while the store was away may
-// take to come back. The platform's word is "about two seconds".
+// recoveryGrace is how long after the recovery of the store an entry that expired in
+// the outage may take to be written again. The platform specifies "about two seconds".
 const recoveryGrace = 2 * time.Second
 
-// Server is one backend server as it announced itself. The fields are exported for
-// the adapters.
+// Server is a backend server as its entry describes it. The fields are exported for the
+// adapters.
 type Server struct {
 	ID string
-	// Born tells this incarnation of the server from others (see [Incarnation]).
+	// Born is the start time that identifies the incarnation (see [Incarnation]).
 	Born     int64
 	Service  string
 	Address  string
 	DataHall string
-	// Version is that of the server's software, which roll-outs replace.
+	// Version is the version of the server's software, which roll-outs replace.
 	Version string
-	// Slots is the number of requests that it runs at once.
+	// Slots is the number of requests that the server runs at once.
 	Slots   int
 	Leaving bool
 }
 
-// Registry is one node's knowledge of the servers. It is safe for concurrent
-// use.
+// Registry is one node's view of the servers. It is safe for concurrent use.
 type Registry struct {
 	timers *timer.Service
 
 	mu sync.Mutex
-	// servers are by ID.
+	// servers holds the known servers by ID.
 	servers map[string]Server
-	// graceUntil holds by ID until when servers without an entry are kept.
+	// graceUntil holds by ID until when a server without an entry is kept.
 	graceUntil map[string]time.Time
-	// invalid holds by ID why the last entry names no server to use.
+	// invalid holds by ID why the last entry cannot be used.
 	invalid map[string]string
-	// storeRecovered is when the store last came back.
+	// storeRecovered is when the store last recovered from an outage.
 	storeRecovered time.Time
-	// byService is rebuilt after a change; the lists are never written to.
+	// byService is rebuilt after a change. The lists are never modified.
 	byService map[string][]Server
 }
 
@@ -74,7 +74,8 @@
 	}
 }
 
-// Put takes a server's entry, unless it is of an earlier incarnation than the known one.
+// Put stores the entry of a server, unless it is of an earlier incarnation than the
+// known one.
 func (r *Registry) Put(s Server) PutResult {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,32 +93,32 @@
 	return PutResultUpdate
 }
 
-// MarkInvalid takes a server out of use until its next entry, since its last one names
-// none, for the reason given. What is known of the server is kept meanwhile, and
-// what it runs goes on: the server itself may be well. It reports whether the
-// reason is new.
+// MarkInvalid takes a server out of use until its next valid entry, because its last
+// entry cannot be used for the given reason. The registry keeps what it knows of the
+// server, and requests that run there go on, since the server itself may be healthy. It
+// reports whether the reason is new.
 func (r *Registry) MarkInvalid(id, reason string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	before, ok := r.invalid[id]
+	previous, ok := r.invalid[id]
 	r.invalid[id] = reason
 	r.byService = nil
-	return !ok || before != reason
+	return !ok || previous != reason
 }
 
-// Drop takes the news that a server's entry is gone. It returns how long the
-// server may still get work.
+// Drop handles the deletion of a server's entry. It returns for how long the server may
+// still get requests.
 func (r *Registry) Drop(id string) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	_, known := r.servers[id]
-	_, withdrawn := r.invalid[id]
+	_, invalid := r.invalid[id]
 	delete(r.invalid, id)
 	if !known {
 		return 0
 	}
 	r.byService = nil
-	if left := recoveryGrace - r.timers.Steady().Sub(r.storeRecovered); left > 0 && !withdrawn {
+	if left := recoveryGrace - r.timers.Steady().Sub(r.storeRecovered); left > 0 && !invalid {
 		r.graceUntil[id] = r.timers.Steady().Add(left)
 		return left
 	}
@@ -126,14 +127,15 @@
 	return 0
 }
 
-// StoreRecovered marks the moment at which the platform's store came back.
+// StoreRecovered records that the platform's store has just recovered from an outage.
 func (r *Registry) StoreRecovered() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.storeRecovered = r.timers.Steady()
 }
 
-// Incarnations returns those of all servers that are known, leaving ones too.
+// Incarnations returns the incarnations of all known servers, including those that are
+// leaving.
 func (r *Registry) Incarnations() map[Incarnation]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,8 +146,8 @@
 	return incarnations
 }
 
-// Servers returns the servers of a service that may get new work, by ID. The
-// list must not be changed.
+// Servers returns the servers of a service that may get new requests, sorted by ID. The
+// list must not be modified.
 func (r *Registry) Servers(service string) []Server {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,17 +158,17 @@
 	return r.byService[service]
 }
 
-// Usable reports whether an incarnation of a server may still get new work.
+// Usable reports whether an incarnation of a server may still get new requests.
 func (r *Registry) Usable(i Incarnation) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.removeExpired()
 	s, known := r.servers[i.ID]
-	_, withdrawn := r.invalid[i.ID]
-	return known && s.Incarnation() == i && !s.Leaving && !withdrawn
+	_, invalid := r.invalid[i.ID]
+	return known && s.Incarnation() == i && !s.Leaving && !invalid
 }
 
-// removeExpired removes entries that did not come back.
+// removeExpired removes servers whose entries were not written again in time.
 func (r *Registry) removeExpired() {
 	now := r.timers.Steady()
 	for id, until := range r.graceUntil {
@@ -178,11 +180,11 @@
 	}
 }
 
-// index makes the lists by service anew.
+// index rebuilds the lists by service.
 func (r *Registry) index() {
 	r.byService = make(map[string][]Server)
 	for _, s := range slices.SortedFunc(maps.Values(r.servers), func(a, b Server) int { return cmp.Compare(a.ID, b.ID) }) {
-		if _, withdrawn := r.invalid[s.ID]; !withdrawn && !s.Leaving {
+		if _, invalid := r.invalid[s.ID]; !invalid && !s.Leaving {
 			r.byService[s.Service] = append(r.byService[s.Service], s)
 		}
 	}
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -39,7 +39,7 @@
 	must.Eq(t, map[registry.Incarnation]bool{{ID: "a"}: true, {ID: "c"}: true}, r.Incarnations())
 }
 
-// BenchmarkUsable is the look at a server before a request's first byte.
+// BenchmarkUsable measures the check of a server before a request's first byte.
 func BenchmarkUsable(b *testing.B) {
 	r := registry.New(timer.New())
 	for i := range 2800 {
@@ -51,30 +51,31 @@
 	}
 }
 
-// TestLapsedEntries: what is dropped just after the store has come back is
-// kept for two seconds, or until it is back; what is dropped later is gone.
+// TestRecoveryGrace: a server whose entry is deleted just after the store has recovered
+// is kept for two seconds, or until its entry is back. One that is deleted later is
+// gone at once.
 func TestRecoveryGrace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := registry.New(timer.New())
-		for _, id := range []string{"back", "lost", "later"} {
+		for _, id := range []string{"renewed", "lost", "late"} {
 			r.Put(registry.Server{ID: id, Service: "s"})
 		}
 		time.Sleep(time.Minute)
 		r.StoreRecovered()
 		time.Sleep(500 * time.Millisecond)
-		must.Eq(t, 1500*time.Millisecond, r.Drop("back"))
+		must.Eq(t, 1500*time.Millisecond, r.Drop("renewed"))
 		must.Eq(t, 1500*time.Millisecond, r.Drop("lost"))
-		must.Eq(t, []string{"back", "later", "lost"}, ids(r))
-		r.Put(registry.Server{ID: "back", Service: "s"})
+		must.Eq(t, []string{"late", "lost", "renewed"}, ids(r))
+		r.Put(registry.Server{ID: "renewed", Service: "s"})
 		time.Sleep(1600 * time.Millisecond)
-		must.Eq(t, []string{"back", "later"}, ids(r))
-		must.Eq(t, 0, r.Drop("later"))
-		must.Eq(t, []string{"back"}, ids(r))
+		must.Eq(t, []string{"late", "renewed"}, ids(r))
+		must.Eq(t, 0, r.Drop("late"))
+		must.Eq(t, []string{"renewed"}, ids(r))
 	})
 }
 
-// TestLeavingLapsed: a server that said that it leaves does not come back by
-// the rule for lapsed entries.
+// TestNoGraceWhenLeaving: a server that was leaving gets no grace period after an
+// outage of the store.
 func TestNoGraceWhenLeaving(t *testing.T) {
 	r := registry.New(timer.New())
 	r.Put(registry.Server{ID: "a", Service: "s", Leaving: true})
@@ -83,34 +84,34 @@
 	must.SliceEmpty(t, ids(r))
 }
 
-// TestIncarnations lists entries under one ID, and what each brings.
+// TestIncarnations puts successive entries under one ID and checks the result of each.
 func TestIncarnations(t *testing.T) {
 	r := registry.New(timer.New())
 	for _, tt := range []struct {
 		name    string
 		born    int64
 		leaving bool
-		news    registry.PutResult
-		used    bool
+		result  registry.PutResult
+		usable  bool
 	}{
 		{"new", 1000, false, registry.PutResultUpdate, true},
-		{"as it was", 1000, false, registry.PutResultUpdate, true},
-		{"leaves", 1000, true, registry.PutResultUpdate, false},
-		{"starts again, and does not leave", 2000, false, registry.PutResultRestart, true},
-		{"late write of the first start", 1000, true, registry.PutResultOld, true},
-		{"by a writer that tells no start", 0, false, registry.PutResultRestart, true},
-		{"by one that does", 1500, false, registry.PutResultRestart, true},
+		{"unchanged", 1000, false, registry.PutResultUpdate, true},
+		{"leaving", 1000, true, registry.PutResultUpdate, false},
+		{"restarted and not leaving", 2000, false, registry.PutResultRestart, true},
+		{"late write of the first incarnation", 1000, true, registry.PutResultOld, true},
+		{"without a start time", 0, false, registry.PutResultRestart, true},
+		{"with a start time again", 1500, false, registry.PutResultRestart, true},
 	} {
-		must.Eq(t, tt.news, r.Put(registry.Server{ID: "a", Service: "s", Born: tt.born, Leaving: tt.leaving}), must.Sprint(tt.name))
-		must.Eq(t, tt.used, len(ids(r)) == 1, must.Sprint(tt.name))
+		must.Eq(t, tt.result, r.Put(registry.Server{ID: "a", Service: "s", Born: tt.born, Leaving: tt.leaving}), must.Sprint(tt.name))
+		must.Eq(t, tt.usable, len(ids(r)) == 1, must.Sprint(tt.name))
 	}
 	must.Eq(t, map[registry.Incarnation]bool{{ID: "a", Born: 1500}: true}, r.Incarnations())
 	r.Drop("a")
 	must.Eq(t, registry.PutResultUpdate, r.Put(registry.Server{ID: "a", Service: "s", Born: 1000}))
 }
 
-// TestWithdrawn: a server whose entry names none is out of use until the next good
-// one, and the rule for lapsed entries does not bring it back.
+// TestInvalidEntry: a server with an invalid entry is out of use until its next valid
+// one, and gets no grace period after an outage of the store.
 func TestInvalidEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := registry.New(timer.New())
@@ -134,8 +135,8 @@
 	})
 }
 
-// TestIncarnationHash: those under one ID are told apart, and one that is not told is
-// named as by those who know of none.
+// TestIncarnationHash: incarnations under one ID have different hashes; one without a
+// start time has the hash of its ID, as nodes use that do not know incarnations.
 func TestIncarnationHash(t *testing.T) {
 	hashes := make(map[uint64]bool)
 	for _, s := range []registry.Incarnation{{ID: "a"}, {ID: "a", Born: 1}, {ID: "a", Born: 2}, {ID: "b", Born: 1}} {
