--- a/mirror/hall_test.go
+++ b/mirror/hall_test.go
@@ -15,19 +15,18 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// propagationLimit is when a node must know at the latest what the store has taken: the
-// shortest bound that deployments agree on.
+// propagationLimit is the time within which a node must know a change that the store
+// has taken: the shortest such limit that deployments agree on.
 const propagationLimit = 2 * time.Second
 
-// TestUpstreamsGone: the nodes that a data hall follows lose power one and all, and
-// the others, which reach the store the whole time, must know in time what it takes
-// in that moment. They learned it after 2.6 s, and sent requests to servers that had
-// left: upstreams were asked one after the other, 1.7 s in all ("upstream did not
-// answer", three times), the store after that in one round of four, and news of an age
-// of 1.3 s was good enough to wait for more ("upstream has old news", "age_ms":1403, was
-// the first that was not). Each step had a bound and the age of the news none, so the
-// steps added up. Now a node whose news grows old looks at the store, whatever it waits
-// for.
+// TestUpstreamsGone: all upstreams of a data hall lose power at once, and the nodes
+// that still reach the store must learn in time of a change made at that moment. If
+// only each step has a limit and the age of the copy has none, the steps add up:
+// upstreams tried one after the other took 1.7 s, the store was asked in one round out
+// of four after that, and data of an age of 1.3 s was good enough to wait for more.
+// Nodes then learned of the change after 2.6 s, and sent requests to servers that had
+// left. A node whose copy grows old must therefore poll the store, whatever it is
+// waiting for.
 func TestUpstreamsGone(t *testing.T) {
 	atOffsets(t, 100*time.Millisecond, func(t *testing.T, after time.Duration) {
 		h := newHall(t, 12)
@@ -39,12 +38,11 @@
 	})
 }
 
-// TestLostUpstreamIsNoOutage: a node whose upstreams are gone takes news from the
-// store, which has been well all the time. It took its own silence for an outage of
-// the store, in which entries lapse that their servers can't renew, and kept servers
-// that were really gone for 2 s more ("server is gone … kept_ms 1999"; a request
-// went to one "by revision 329, 432 ms old", and its entry was gone since revision 249).
-// An outage is now what the node itself has asked the store in and got no answer.
+// TestLostUpstreamIsNoOutage: nodes lose their upstreams while the store works. A node
+// that takes this for an outage of the store, in which servers cannot renew their
+// entries, keeps servers that are really gone for another 2 s and sends requests to
+// them. Only an interval in which the node's own call to the store failed counts as an
+// outage.
 func TestLostUpstreamIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHall(t, 12)
@@ -55,10 +53,10 @@
 	})
 }
 
-// TestStalledProcess: a process that does not run for 3 s, with the store well, finds
-// that calls of its own ran out of time. It took its silence for an outage of the store,
-// and kept servers that were really gone for 2 s more. A call that outlasted its bounds
-// is now this process's own doing, and says nothing of the store.
+// TestStalledProcess: a process does not run for 3 s while the store works, and then
+// finds that its calls have timed out. If it takes this for an outage of the store, it
+// keeps servers that are really gone for another 2 s. A call that exceeds its bounds is
+// attributed to this process and says nothing about the store.
 func TestStalledProcess(t *testing.T) {
 	const stalled = 5
 	atOffsets(t, 50*time.Millisecond, func(t *testing.T, after time.Duration) {
@@ -74,9 +72,9 @@
 	})
 }
 
-// TestSettle: a process that runs again after 3 s does not go by what it knew, and knows
-// more as soon as the store has answered. While the store does not answer, old news is
-// no reason to wait.
+// TestAwaitRefresh: a process that runs again after 3 s must not use its old copy, and
+// has a fresh one as soon as the store has answered. While the store does not answer,
+// an old copy is no reason to wait.
 func TestAwaitRefresh(t *testing.T) {
 	const stalled = 5
 	synctest.Test(t, func(t *testing.T) {
@@ -103,31 +101,31 @@
 	})
 }
 
-// TestAnswerReadLate: an answer lies in the socket of a process that does not run for
-// 3 s. The process took it for news of the moment in which it read it (an age of 1 ms
-// here), and so went by news that was 3 s older than it knew. An age now counts from what
-// can be proved: an answer was made no earlier than the call began, less what whoever
-// made it says that it let the call wait.
+// TestDelayedAnswer: an answer lies in the socket of a process that does not run for 3
+// s. If its age counted from the moment of reading, the node would believe its data to
+// be 3 s younger than it is. The age must be one that can be proved: the answer was
+// made no earlier than the start of the call, plus the time for which its sender says
+// that it held the call.
 func TestDelayedAnswer(t *testing.T) {
 	const late = 3 * time.Second
-	for _, name := range []string{"of the store", "of an upstream"} {
+	for _, name := range []string{"from the store", "from an upstream"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, timers := newEnv(t)
 				own := newStore()
 				own.put("a", false)
 				p := &peers{}
-				if name == "of an upstream" {
+				if name == "from an upstream" {
 					upstream := mirror.New(own, &peers{}, timers)
 					go upstream.Run(ctx)
 					p.mirrors, p.upstream = []*mirror.Mirror{upstream}, []string{"0"}
 				}
-				held := &delayedAnswers{}
-				m := mirror.New(delayedStore{own, held}, delayedPeers{p, held}, timers)
+				answers := &delayedAnswers{}
+				m := mirror.New(delayedStore{own, answers}, delayedPeers{p, answers}, timers)
 				go m.Run(ctx)
 				advance(time.Second)
-				// Answers are held from now on, and the next ones never come.
-				held.delay(late)
+				// Answers under way are delayed from now on; later calls fail.
+				answers.delay(late)
 				advance(late + time.Millisecond)
 				must.Greater(t, late-propagationLimit/2, m.Age())
 			})
@@ -135,8 +133,7 @@
 	}
 }
 
-// delayedAnswers hands the answer to a call that is under way over late, and none to a
-// later call.
+// delayedAnswers delays the answers to calls that are under way, and fails later calls.
 type delayedAnswers struct {
 	mu    sync.Mutex
 	until time.Time
@@ -150,9 +147,9 @@
 
 func (h *delayedAnswers) call(do func() (mirror.Batch, error)) (mirror.Batch, error) {
 	h.mu.Lock()
-	over := !h.until.IsZero()
+	delayed := !h.until.IsZero()
 	h.mu.Unlock()
-	if over {
+	if delayed {
 		return mirror.Batch{}, errStore
 	}
 	b, err := do()
@@ -163,7 +160,7 @@
 	return b, err
 }
 
-// delayedStore is a store whose answers are held.
+// delayedStore is a store whose answers are delayed.
 type delayedStore struct {
 	mirror.Store
 	answers *delayedAnswers
@@ -177,7 +174,7 @@
 	return s.answers.call(func() (mirror.Batch, error) { return s.Store.Follow(ctx, after, wait) })
 }
 
-// delayedPeers are peers whose answers are held.
+// delayedPeers are peers whose answers are delayed.
 type delayedPeers struct {
 	mirror.Peers
 	answers *delayedAnswers
@@ -187,9 +184,9 @@
 	return p.answers.call(func() (mirror.Batch, error) { return p.Peers.Follow(ctx, address, after, wait) })
 }
 
-// TestCallsInOutage: in an outage each node calls the store once to learn of it, and
-// after that a hall of 30 nodes makes at most ten calls a second, whose answers tell
-// nothing. All of them have the news soon after the store's return.
+// TestCallsInOutage: in an outage, each node calls the store once to notice it; after
+// that a data hall of 30 nodes makes at most ten calls a second, since they bring
+// nothing. All nodes are up to date soon after the store has recovered.
 func TestCallsInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 30
@@ -206,7 +203,8 @@
 	})
 }
 
-// TestCalmCalls: while all is well only the first node of a hall calls the store.
+// TestOnlyFirstNodeCallsStore: in normal operation only the first node of a data hall
+// calls the store.
 func TestOnlyFirstNodeCallsStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHall(t, 30)
@@ -221,24 +219,24 @@
 	})
 }
 
-// hall is the nodes of one data hall before one store.
+// hall is the nodes of one data hall that share a store.
 type hall struct {
 	store  *fakeStore
 	timers *timer.Service
 	nodes  []*mirror.Mirror
 
 	mu sync.Mutex
-	// down are the nodes that answer nobody, cut those that do not reach the
-	// store, parted those that reach no other node; gone are the nodes whose entries
-	// have lapsed.
+	// down holds the nodes that neither answer nor reach anything, cutOff those that do
+	// not reach the store, partitioned those that do not reach other nodes, and
+	// deregistered those whose entries have expired.
 	down, cutOff, partitioned, deregistered map[int]bool
-	// frozen holds by node what is closed when its process runs again.
+	// frozen holds by node a channel that is closed when its process runs again.
 	frozen map[int]chan struct{}
-	// recoveries counts by node how often it took the store for back.
+	// recoveries counts by node how often it found the store recovered from an outage.
 	recoveries map[int]int
 }
 
-// newHall returns a hall whose nodes run until the test ends.
+// newHall returns a data hall whose nodes run until the test ends.
 func newHall(t *testing.T, size int) *hall {
 	ctx, timers := newEnv(t)
 	h := &hall{store: newStore(), timers: timers, down: make(map[int]bool), cutOff: make(map[int]bool), partitioned: make(map[int]bool), deregistered: make(map[int]bool), frozen: make(map[int]chan struct{}), recoveries: make(map[int]int)}
@@ -258,7 +256,7 @@
 	return h
 }
 
-// powerOff lets nodes lose power.
+// powerOff cuts the power of nodes.
 func (h *hall) powerOff(nodes ...int) { h.set(h.down, true, nodes...) }
 
 func (h *hall) set(state map[int]bool, value bool, nodes ...int) {
@@ -275,7 +273,7 @@
 	return state[i]
 }
 
-// freeze lets a node's process not run until thaw is called.
+// freeze stops a node's process until thaw is called.
 func (h *hall) freeze(i int) (thaw func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -295,8 +293,9 @@
 	return h.frozen[i] != nil
 }
 
-// call makes a call of a node's. One that the process makes while it is frozen is not
-// sent; the answer to one made before lies in the socket.
+// call makes a call on behalf of a node. A call made while its process is frozen is
+// sent after the thaw, unless its context has ended by then; the answer to one made
+// before the freeze is returned after the thaw.
 func (h *hall) call(ctx context.Context, i int, call func() (mirror.Batch, error)) (mirror.Batch, error) {
 	h.awaitThaw(i)
 	if ctx.Err() != nil {
@@ -316,18 +315,19 @@
 	}
 }
 
-// missing returns the nodes from one on that do not know a key.
+// missing returns the nodes, starting with node from, that do not know a key.
 func (h *hall) missing(key string, from int) []int {
-	var without []int
+	var missing []int
 	for i, m := range h.nodes[from:] {
 		if _, ok := m.Get(key); !ok {
-			without = append(without, from+i)
+			missing = append(missing, from+i)
 		}
 	}
-	return without
+	return missing
 }
 
-// outages is how often nodes from one on took the store for back.
+// outages returns how often the nodes, starting with node from, found the store
+// recovered.
 func (h *hall) outages(from int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -340,7 +340,7 @@
 	return count
 }
 
-// hallStore is the store as one node reaches it.
+// hallStore is the store as node i reaches it.
 type hallStore struct {
 	h *hall
 	i int
@@ -362,7 +362,7 @@
 	return s.h.call(ctx, s.i, func() (mirror.Batch, error) { return s.h.store.Follow(ctx, after, wait) })
 }
 
-// hallPeers are the other nodes as one of them knows them.
+// hallPeers are the other nodes as node i knows them.
 type hallPeers struct {
 	h *hall
 	i int
@@ -406,7 +406,7 @@
 	return b, err
 }
 
-// unreachable reports whether the node does not reach another one.
+// unreachable reports whether the node cannot reach node i.
 func (p hallPeers) unreachable(i int) bool {
 	for _, state := range []map[int]bool{p.h.down, p.h.partitioned} {
 		if p.h.is(state, i) || p.h.is(state, p.i) {
--- a/mirror/harness_test.go
+++ b/mirror/harness_test.go
@@ -27,46 +27,46 @@
 	err         error
 	hang        bool
 	conn        connection
-	// transferTime is how long the whole takes to come, piece by piece.
+	// transferTime is how long a snapshot takes to arrive, chunk by chunk.
 	transferTime time.Duration
 	reads        int
 	follows      int
 }
 
-// chunkTime lies between two pieces of an answer.
+// chunkTime lies between two chunks of an answer.
 const chunkTime = 20 * time.Millisecond
 
-// connection is a kept connection to one place: once it is silent, calls on it get no
-// answer, and after the first one that ran out of time they go on a new one.
+// connection is a persistent connection to one address. Once it is silent, calls on it
+// get no answer; after the first of them has timed out, calls use a new connection.
 type connection struct {
 	mu sync.Mutex
-	// silences counts how often the connection open then went silent, used the
-	// connections that calls have left for it.
+	// silences counts how often the current connection went silent, abandoned how many
+	// connections calls have given up for that.
 	silences, abandoned int
 }
 
-func (l *connection) silence() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.silences++
+func (c *connection) silence() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.silences++
 }
 
-// call makes a call, which may return before the time is over.
-func (l *connection) call(ctx context.Context, do func() (mirror.Batch, error)) (mirror.Batch, error) {
-	l.mu.Lock()
-	on := l.abandoned
-	l.mu.Unlock()
+// call makes a call, which may return before its time is over.
+func (c *connection) call(ctx context.Context, do func() (mirror.Batch, error)) (mirror.Batch, error) {
+	c.mu.Lock()
+	used := c.abandoned
+	c.mu.Unlock()
 	b, err := do()
-	l.mu.Lock()
-	silent := l.silences > on
-	l.mu.Unlock()
+	c.mu.Lock()
+	silent := c.silences > used
+	c.mu.Unlock()
 	if !silent {
 		return b, err
 	}
 	<-ctx.Done()
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.abandoned = l.silences
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.abandoned = c.silences
 	return mirror.Batch{}, ctx.Err()
 }
 
@@ -85,7 +85,7 @@
 	}
 }
 
-// calls is how often the store was called.
+// calls returns how often the store was called.
 func (s *fakeStore) calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -161,20 +161,20 @@
 	return b, nil
 }
 
-// peers are mirrors that answer by their place.
+// peers are mirrors whose addresses are their indexes.
 type peers struct {
 	mirrors  []*mirror.Mirror
 	upstream []string
-	// conns are the connections to peers by their places.
+	// conns are the connections to the peers, by index.
 	conns [3]connection
 
 	mu sync.Mutex
 	// err fails all calls.
 	err error
-	// calls is how often a peer was asked.
+	// calls counts the calls to peers.
 	calls int
-	// reportedAge is the age that peers tell in place of their own, after a network's way; nil
-	// for their own.
+	// reportedAge is the age that peers report in place of their own, after a
+	// millisecond of delay; nil for their own.
 	reportedAge *time.Duration
 }
 
@@ -225,7 +225,7 @@
 	return b, err
 }
 
-// newEnv returns what mirrors run by until the test ends.
+// newEnv returns the context and the timers with which mirrors run until the test ends.
 func newEnv(t *testing.T) (context.Context, *timer.Service) {
 	ctx, cancel := context.WithCancel(t.Context())
 	timers := timer.New()
@@ -236,18 +236,18 @@
 	return ctx, timers
 }
 
-// atOffsets plays a test at the moments of a second, since what a node waits for in that
-// moment decides how soon it hears.
-func atOffsets(t *testing.T, step time.Duration, play func(t *testing.T, after time.Duration)) {
+// atOffsets runs a test at offsets within one second, since a node learns of a change
+// sooner or later depending on what it is waiting for at the time.
+func atOffsets(t *testing.T, step time.Duration, test func(t *testing.T, after time.Duration)) {
 	for after := time.Duration(0); after < time.Second; after += step {
 		t.Run(fmt.Sprint("after ", after), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { play(t, after) })
+			synctest.Test(t, func(t *testing.T) { test(t, after) })
 		})
 	}
 }
 
-// advance lets time pass and every task rest, so that a test may look at what
-// they wrote.
+// advance lets time pass and waits until all goroutines are blocked, so that a test may
+// read what they wrote.
 func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
@@ -255,8 +255,8 @@
 
 var errStore = errors.New("store fails")
 
-// under returns the items that a mirror has below a prefix.
+// under returns the items of a mirror under a prefix.
 func under(m *mirror.Mirror, prefix string) []mirror.Item {
-	const nothing = -1 // a peer that knows nothing gets the whole
+	const nothing = -1 // a peer without data gets a snapshot
 	return slices.DeleteFunc(m.ChangesAfter(nothing).Items, func(item mirror.Item) bool { return !strings.HasPrefix(item.Key, prefix) })
 }
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -13,14 +13,14 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// TestMirror lists what happens to the store between two changes, and looks
-// at what a mirror beside a healthy peer then knows.
+// TestMirror makes the store fail in several ways between two changes, and checks what
+// a mirror with a healthy peer then knows.
 func TestMirror(t *testing.T) {
 	tests := []struct {
 		name   string
 		before func(*fakeStore)
-		// wholes is how often the whole is read.
-		wholes int
+		// snapshots is how often a snapshot is read from the store.
+		snapshots int
 		// late is how much later than usual the change is known.
 		late time.Duration
 	}{
@@ -55,14 +55,14 @@
 				}
 				advance(1500*time.Millisecond + tt.late)
 				must.Len(t, 4, seen, must.Sprint(seen))
-				// Out of a whole, deletions come last.
+				// In a snapshot, deletions come last.
 				must.SliceContainsAll(t, []string{"a/1 true", "a/3 false"}, []string{
 					fmt.Sprint(seen[2].Key, " ", seen[2].Deleted), fmt.Sprint(seen[3].Key, " ", seen[3].Deleted),
 				})
 				must.Len(t, 2, under(m, "a/"))
 				must.Eq(t, 5, m.Revision())
-				if tt.wholes > 0 && tt.late == 0 {
-					must.Eq(t, tt.wholes-1, own.reads-reads)
+				if tt.snapshots > 0 && tt.late == 0 {
+					must.Eq(t, tt.snapshots-1, own.reads-reads)
 				}
 				must.Less(t, 4*time.Second, m.Age())
 			})
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestOlderWholeChangesNothing: a peer that lags behind must not take away
-// what is known already.
+// TestOlderSnapshotIgnored: a peer that is behind must not remove what is known
+// already.
 func TestOlderSnapshotIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, timers := newEnv(t)
@@ -92,13 +92,13 @@
 	})
 }
 
-// TestPeerThatKnowsNothing: nodes that start while the store is silent ask each other. One
-// that had heard nothing yet told of the greatest age there is; the time that the call took
-// was added to it, and the sum was a time to come: whoever had asked was never in doubt
-// of its news again.
+// TestEmptyPeer: nodes that start while the store is silent query each other. A peer
+// without data reports the greatest possible age. If the time of the call is added
+// without a bound, the sum overflows into the future, and the node that asked never
+// again finds its copy too old.
 func TestEmptyPeer(t *testing.T) {
 	for _, age := range []time.Duration{0, -time.Hour, math.MinInt64, math.MaxInt64 - 1, math.MaxInt64} {
-		t.Run(fmt.Sprint("that tells ", age), func(t *testing.T) {
+		t.Run(fmt.Sprint("that reports ", age), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, timers := newEnv(t)
 				store := newStore()
@@ -108,25 +108,25 @@
 				m := mirror.New(store, p, timers)
 				go m.Run(ctx)
 				advance(2 * time.Second)
-				must.GreaterEq(t, 0, m.ChangesAfter(0).Age, must.Sprint("what it tells others"))
+				must.GreaterEq(t, 0, m.ChangesAfter(0).Age, must.Sprint("the age reported to others"))
 				store.set(nil, false, false)
 				advance(5 * time.Second)
 				must.Between(t, 0, m.Age(), 2*time.Second)
 				store.set(nil, true, false)
 				advance(5 * time.Second)
-				must.Between(t, 2*time.Second, m.Age(), time.Minute, must.Sprint("of news that grows old"))
+				must.Between(t, 2*time.Second, m.Age(), time.Minute, must.Sprint("the age of a copy that is not confirmed"))
 			})
 		})
 	}
 }
 
-// TestSuspended: a machine was suspended, the steady clock had stood still, and its news
-// seemed as young as before.
+// TestSuspended: the monotonic clock stands still while a machine is suspended, and the
+// copy must not seem as young as before.
 func TestSuspended(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, _ := newEnv(t)
-		asleep := time.Duration(0)
-		timers := timer.New(timer.WithSuspended(func() time.Duration { return asleep }))
+		suspended := time.Duration(0)
+		timers := timer.New(timer.WithSuspended(func() time.Duration { return suspended }))
 		defer timers.Close()
 		store := newStore()
 		store.put("a", false)
@@ -134,30 +134,30 @@
 		go m.Run(ctx)
 		advance(time.Second)
 		must.False(t, m.NeedsRefresh())
-		asleep = time.Minute
+		suspended = time.Minute
 		must.True(t, m.NeedsRefresh())
 		must.GreaterEq(t, time.Minute, m.Age())
-		must.GreaterEq(t, time.Minute, m.ChangesAfter(0).Age, must.Sprint("what peers are told"))
+		must.GreaterEq(t, time.Minute, m.ChangesAfter(0).Age, must.Sprint("the age reported to peers"))
 		m.AwaitRefresh(ctx)
 		must.False(t, m.NeedsRefresh())
 		must.Less(t, 2*time.Second, m.Age())
 	})
 }
 
-// TestUpstreamFailures lists how a node's upstream may fail while the store serves the
-// node, and what the node then calls.
+// TestUpstreamFailures lists how an upstream may fail while the store serves the node,
+// and whether the node then calls the store.
 func TestUpstreamFailures(t *testing.T) {
 	tests := []struct {
 		name string
-		// fail makes the upstream useless after a second.
+		// fail breaks the upstream after a second.
 		fail func(upstreamStore *fakeStore, p *peers)
 		// follows says that the node goes on without the store.
 		follows bool
 	}{
 		{"nothing", func(*fakeStore, *peers) {}, true},
 		{"does not answer", func(_ *fakeStore, p *peers) { p.set(errStore) }, false},
-		{"is cut from the store", func(s *fakeStore, _ *peers) { s.set(errStore, false, false) }, false},
-		{"is cut in silence", func(s *fakeStore, _ *peers) { s.set(nil, true, false) }, false},
+		{"is cut off from the store", func(s *fakeStore, _ *peers) { s.set(errStore, false, false) }, false},
+		{"gets no answer from the store", func(s *fakeStore, _ *peers) { s.set(nil, true, false) }, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -187,7 +187,7 @@
 				advance(time.Second)
 				must.Eq(t, tt.follows, own.follows == 0)
 				must.Less(t, 3*time.Second, m.Age())
-				// With the upstream back, the node follows it again.
+				// Once the upstream works again, the node follows it.
 				p.set(nil)
 				stored.set(nil, false, false)
 				advance(10 * time.Second)
@@ -199,8 +199,8 @@
 	}
 }
 
-// TestSilentConnections: when every connection open now goes silent for good,
-// while new ones work, a change made then is known everywhere 2 s later.
+// TestSilentConnections: all open connections go silent for good, while new ones work.
+// A change made at that moment must be known everywhere 2 s later.
 func TestSilentConnections(t *testing.T) {
 	atOffsets(t, 50*time.Millisecond, func(t *testing.T, after time.Duration) {
 		ctx, timers := newEnv(t)
@@ -238,8 +238,8 @@
 	})
 }
 
-// TestStart: a node that starts while the store is silent has what its peers
-// know at once.
+// TestStartDuringOutage: a node that starts while the store is silent gets the data of
+// its peers at once.
 func TestStartDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, timers := newEnv(t)
@@ -257,22 +257,23 @@
 	})
 }
 
-// TestRegained: subscribers of the store's return are told before what lapsed
-// in the outage, whether the store itself, the upstream, or any peer tells it;
-// a short outage, in which nothing lapses, is none.
+// TestOnStoreRecovered: the callbacks for the recovery of the store run before the
+// deletion of entries that expired in the outage is delivered, whether that comes from
+// the store, the upstream or any peer. A short outage, in which no entry expires, does
+// not count.
 func TestOnStoreRecovered(t *testing.T) {
 	tests := []struct {
 		name string
-		// back makes the news reach the node again.
-		back     func(own, stored *fakeStore, p *peers)
+		// restore lets data reach the node again.
+		restore  func(own, stored *fakeStore, p *peers)
 		upstream []string
 		outage   time.Duration
 		want     []string
 	}{
-		{"by the store", func(own, _ *fakeStore, _ *peers) { own.set(nil, false, false) }, nil, 4 * time.Second, []string{"afalse", "regained", "atrue"}},
-		{"by the upstream", func(_, stored *fakeStore, p *peers) { stored.set(nil, false, false); p.set(nil) }, []string{"0"}, 4 * time.Second, []string{"afalse", "regained", "atrue"}},
-		{"by a peer", func(_, stored *fakeStore, p *peers) { stored.set(nil, false, false); p.set(nil) }, nil, 4 * time.Second, []string{"afalse", "regained", "atrue"}},
-		{"short", func(own, _ *fakeStore, _ *peers) { own.set(nil, false, false) }, nil, time.Second, []string{"afalse", "atrue"}},
+		{"from the store", func(own, _ *fakeStore, _ *peers) { own.set(nil, false, false) }, nil, 4 * time.Second, []string{"afalse", "recovered", "atrue"}},
+		{"from the upstream", func(_, stored *fakeStore, p *peers) { stored.set(nil, false, false); p.set(nil) }, []string{"0"}, 4 * time.Second, []string{"afalse", "recovered", "atrue"}},
+		{"from a peer", func(_, stored *fakeStore, p *peers) { stored.set(nil, false, false); p.set(nil) }, nil, 4 * time.Second, []string{"afalse", "recovered", "atrue"}},
+		{"short outage", func(own, _ *fakeStore, _ *peers) { own.set(nil, false, false) }, nil, time.Second, []string{"afalse", "atrue"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -284,7 +285,7 @@
 				p.set(errStore)
 				m := mirror.New(own, p, timers)
 				var order []string
-				m.OnStoreRecovered(func() { order = append(order, "regained") })
+				m.OnStoreRecovered(func() { order = append(order, "recovered") })
 				m.Subscribe("", func(c mirror.Change) { order = append(order, fmt.Sprint(c.Key, c.Deleted)) })
 				for _, s := range []*fakeStore{own, stored} {
 					s.put("a", false)
@@ -297,7 +298,7 @@
 					s.put("a", true)
 				}
 				advance(tt.outage)
-				tt.back(own, stored, p)
+				tt.restore(own, stored, p)
 				advance(3 * time.Second)
 				must.Eq(t, tt.want, order)
 			})
@@ -305,8 +306,8 @@
 	}
 }
 
-// TestManyKeys: when thousands of servers announce themselves, a peer that is a
-// little behind still gets changes, and not the whole.
+// TestManyKeys: when thousands of servers register, a peer that is a little behind
+// still gets changes and not a snapshot.
 func TestManyKeys(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, timers := newEnv(t)
@@ -324,16 +325,16 @@
 	})
 }
 
-// TestStartAsksTheStore: a node that starts while the store answers asks no
-// peer for what the store tells.
+// TestStartPrefersStore: a node that starts while the store answers does not query
+// peers.
 func TestStartPrefersStore(t *testing.T) {
 	tests := []struct {
 		name string
-		// comes is how long the whole takes to come.
-		comes time.Duration
+		// transferTime is how long the snapshot takes to arrive.
+		transferTime time.Duration
 	}{
 		{"at once", 0},
-		{"among the starts of a whole deployment", 400 * time.Millisecond},
+		{"while a whole deployment starts", 400 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -342,7 +343,7 @@
 				stored, own := newStore(), newStore()
 				stored.put("a", false)
 				own.put("a", false)
-				own.transferTime = tt.comes
+				own.transferTime = tt.transferTime
 				peer := mirror.New(stored, &peers{}, timers)
 				go peer.Run(ctx)
 				advance(time.Second)
@@ -357,8 +358,8 @@
 	}
 }
 
-// TestAfter: a peer that is a little behind gets changes, one that is far
-// behind the whole.
+// TestChangesAfter: a peer that is a little behind gets changes, one that is far behind
+// a snapshot.
 func TestChangesAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, timers := newEnv(t)
--- a/mirror/pages_test.go
+++ b/mirror/pages_test.go
@@ -12,12 +12,11 @@
 	"github.com/violettally/violettally/mirror"
 )
 
-// TestChangeBetweenPages: the whole is read in pages, and its revision is that of
-// the first, so a later page may hold a change that came after this revision, or
-// lack a key that went after it. The watch then tells of that change a second time.
-// A node passed over what it had already and told its peers nothing of it: one that
-// knew all up to the first page's revision went on to the next revision without the
-// change, and never heard of it again.
+// TestChangeBetweenPages: a snapshot is read in pages and has the revision of the first
+// one, so a later page may contain a change after that revision, or lack a key that was
+// deleted after it. The watch then returns that change again. If the node ignores it as
+// known and does not pass it on, a peer that is at the revision of the first page moves
+// on to the next revision without the change and never learns of it.
 func TestChangeBetweenPages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, timers := newEnv(t)
@@ -48,13 +47,12 @@
 		must.Eq(t, first+2, follower.Revision())
 		item, _ := follower.Get("declaration")
 		must.Eq(t, "new", string(item.Value))
-		_, there := follower.Get("server")
-		must.False(t, there)
+		_, ok := follower.Get("server")
+		must.False(t, ok)
 	})
 }
 
-// pagedStore answers the whole and, once it has been told to, one watch with
-// changes.
+// pagedStore answers with a snapshot and, once released, one watch with changes.
 type pagedStore struct {
 	snapshot, changes mirror.Batch
 
@@ -72,9 +70,9 @@
 
 func (s *pagedStore) Follow(ctx context.Context, after int64, wait time.Duration) (mirror.Batch, error) {
 	s.mu.Lock()
-	told := s.released
+	released := s.released
 	s.mu.Unlock()
-	if told && after < s.changes.Revision {
+	if released && after < s.changes.Revision {
 		return s.changes, nil
 	}
 	select {
--- a/mirror/schedules_test.go
+++ b/mirror/schedules_test.go
@@ -16,26 +16,27 @@
 var scheduleCount = flag.Int("schedules", 60, "how many schedules TestSchedules draws")
 
 const (
-	// scheduleTime is how long a schedule lasts, with a fault up to every faultGap, each
-	// up to faultTime long.
+	// scheduleTime is how long a schedule lasts. Pauses between faults are up to
+	// faultGap, faults up to faultTime long.
 	scheduleTime = 25 * time.Second
 	faultGap     = 800 * time.Millisecond
 	faultTime    = 6 * time.Second
 	// changeGap lies between two changes of the store.
 	changeGap = 150 * time.Millisecond
-	// faultFreeTime must have passed since the last harm to a node for it to be judged.
+	// faultFreeTime is how long a node and the store must have been free of faults for
+	// a change to be checked at that node.
 	faultFreeTime = 3 * time.Second
-	// entryTTL is how long the entry of a node without power stays.
+	// entryTTL is how long the entry of a node without power remains.
 	entryTTL = 5 * time.Second
 )
 
-// TestSchedules draws faults that meet in all ways: nodes of a hall lose power, half of
-// them at once, are cut off from the store or parted from their peers, or do not run;
-// the store is away, or forgets its history. A node to which nothing was done for 3 s,
-// while the store was well as long, knows each change 2 s later. Being parted from peers
-// is no excuse, nor is what becomes of others. It found that a node which had looked in
-// vain in an outage looked again only 10 s later, while those it followed were gone
-// ("node 22 of 24 … its news is 7.388626178s old").
+// TestSchedules draws random faults that overlap in all ways: nodes of a data hall lose
+// power, up to all of them at once, are cut off from the store, partitioned from their
+// peers, or do not run; the store is down, or forgets its history. A node that had no
+// fault for 3 s, while the store had none either, must know each change 2 s later. A
+// partition from peers does not count as a fault of the node, and neither does a fault
+// of other nodes. One failure it guards against: a node whose poll failed in an outage
+// polls again only 10 s later, while its upstreams are down.
 func TestSchedules(t *testing.T) {
 	for seed := range uint64(*scheduleCount) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -44,14 +45,14 @@
 	}
 }
 
-// schedule is one seed's faults.
+// schedule plays one seed's faults.
 type schedule struct {
 	t      *testing.T
 	h      *hall
 	random *rand.Rand
-	// lastFault is when something was last done to a node, or still is.
+	// lastFault holds by node when a fault last began, continued or ended.
 	lastFault []time.Time
-	// lastStoreFault is the same of the store.
+	// lastStoreFault is the same for the store.
 	lastStoreFault time.Time
 }
 
@@ -74,27 +75,28 @@
 	advance(faultTime + entryTTL + propagationLimit)
 }
 
-// faults begins faults until the time is over.
+// faults begins faults until the end.
 func (s *schedule) faults(end time.Time) {
 	for time.Now().Before(end) {
 		time.Sleep(time.Duration(s.random.Int64N(int64(faultGap))))
-		lasts := time.Duration(s.random.Int64N(int64(faultTime)))
+		duration := time.Duration(s.random.Int64N(int64(faultTime)))
 		switch kind := s.random.IntN(7); kind {
 		case 0, 1:
-			s.powerOff(s.pickNodes(kind == 1), lasts)
+			s.powerOff(s.pickNodes(kind == 1), duration)
 		case 2, 3:
-			s.apply(s.h.cutOff, s.pickNodes(kind == 3), lasts, true)
+			s.apply(s.h.cutOff, s.pickNodes(kind == 3), duration, true)
 		case 4:
-			s.apply(s.h.partitioned, s.pickNodes(false), lasts, false)
+			s.apply(s.h.partitioned, s.pickNodes(false), duration, false)
 		case 5:
-			s.freeze(s.random.IntN(len(s.h.nodes)), lasts)
+			s.freeze(s.random.IntN(len(s.h.nodes)), duration)
 		case 6:
-			s.failStore(lasts / 2)
+			s.failStore(duration / 2)
 		}
 	}
 }
 
-// pickNodes returns one node, or the first ones of the hall, whom the others follow.
+// pickNodes returns one node, or the first ones of the data hall, which the others
+// follow.
 func (s *schedule) pickNodes(many bool) []int {
 	if !many {
 		return []int{s.random.IntN(len(s.h.nodes))}
@@ -106,59 +108,61 @@
 	return first
 }
 
-// apply puts nodes into a state for some time.
-func (s *schedule) apply(state map[int]bool, nodes []int, lasts time.Duration, harms bool) {
+// apply puts nodes into a state for some time; marked says that the fault exempts the
+// nodes from checks.
+func (s *schedule) apply(state map[int]bool, nodes []int, duration time.Duration, marked bool) {
 	s.h.set(state, true, nodes...)
 	go func() {
-		for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(changeGap) {
-			if harms {
+		for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(changeGap) {
+			if marked {
 				s.markFault(nodes...)
 			}
 		}
-		if harms {
+		if marked {
 			s.markFault(nodes...)
 		}
 		s.h.set(state, false, nodes...)
 	}()
 }
 
-// powerOff lets nodes lose power. Their entries go later, and are back with them.
-func (s *schedule) powerOff(nodes []int, lasts time.Duration) {
-	s.apply(s.h.down, nodes, lasts, true)
-	if lasts < entryTTL {
+// powerOff cuts the power of nodes. Their entries expire later, and are back with the
+// power.
+func (s *schedule) powerOff(nodes []int, duration time.Duration) {
+	s.apply(s.h.down, nodes, duration, true)
+	if duration < entryTTL {
 		return
 	}
 	go func() {
 		time.Sleep(entryTTL)
 		s.h.set(s.h.deregistered, true, nodes...)
-		time.Sleep(lasts - entryTTL)
+		time.Sleep(duration - entryTTL)
 		s.h.set(s.h.deregistered, false, nodes...)
 	}()
 }
 
-// freeze lets a node not run.
-func (s *schedule) freeze(i int, lasts time.Duration) {
+// freeze stops a node's process for some time.
+func (s *schedule) freeze(i int, duration time.Duration) {
 	if s.h.isFrozen(i) {
 		return
 	}
 	thaw := s.h.freeze(i)
 	s.markFault(i)
 	go func() {
-		time.Sleep(lasts)
+		time.Sleep(duration)
 		s.markFault(i)
 		thaw()
 	}()
 }
 
-// failStore lets the store fail, or only forget its history.
-func (s *schedule) failStore(lasts time.Duration) {
+// failStore makes the store fail for some time, or only forget its history.
+func (s *schedule) failStore(duration time.Duration) {
 	if s.random.IntN(2) == 0 {
 		s.h.store.set(nil, false, true)
 		return
 	}
 	s.h.store.set(errStore, false, false)
 	go func() {
-		for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(changeGap) {
+		for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(changeGap) {
 			s.markStoreFault()
 		}
 		s.markStoreFault()
@@ -181,26 +185,27 @@
 	s.lastStoreFault = time.Now()
 }
 
-// check looks whether all nodes in touch know a change in time.
+// check reports the nodes without recent faults that do not know a change in time.
 func (s *schedule) check(key string, at time.Time) {
 	time.Sleep(propagationLimit)
 	s.h.mu.Lock()
-	calm := func(last time.Time) bool { return at.Sub(last) > faultFreeTime }
-	var judged []int
+	faultFree := func(last time.Time) bool { return at.Sub(last) > faultFreeTime }
+	var checked []int
 	for i := range s.lastFault {
-		if calm(s.lastFault[i]) && calm(s.lastStoreFault) && s.h.frozen[i] == nil {
-			judged = append(judged, i)
+		if faultFree(s.lastFault[i]) && faultFree(s.lastStoreFault) && s.h.frozen[i] == nil {
+			checked = append(checked, i)
 		}
 	}
 	s.h.mu.Unlock()
-	for _, i := range judged {
+	for _, i := range checked {
 		if _, ok := s.h.nodes[i].Get(key); !ok {
-			s.t.Errorf("node %d of %d does not know %s of %s after %s, its news is %s old", i, len(s.h.nodes), key, at.Format("05.000"), propagationLimit, s.h.nodes[i].Age())
+			s.t.Errorf("node %d of %d does not know %s of %s after %s; its copy is %s old", i, len(s.h.nodes), key, at.Format("05.000"), propagationLimit, s.h.nodes[i].Age())
 		}
 	}
 }
 
-// TestOnlyFirstIsFollowed: whoever is passed over is followed again once it answers.
+// TestSkippedUpstreamFollowedAgain: an upstream that was skipped is followed again once
+// it answers.
 func TestSkippedUpstreamFollowedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHall(t, 12)
@@ -209,7 +214,7 @@
 		advance(10 * time.Second)
 		h.set(h.down, false, 0, 1)
 		advance(15 * time.Second)
-		// All but the first do not reach the store any more, and hear all the same.
+		// Nodes that no longer reach the store still learn of changes from the first node.
 		for i := range h.nodes[1:] {
 			h.set(h.cutOff, true, i+1)
 		}
@@ -220,7 +225,7 @@
 	})
 }
 
-// maxAge returns the greatest age of news.
+// maxAge returns the greatest age of the copies of the nodes.
 func maxAge(nodes []*mirror.Mirror) time.Duration {
 	var age time.Duration
 	for _, m := range nodes {
