--- a/mirror/hall_test.go
+++ b/mirror/hall_test.go
@@ -15,144 +15,141 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// learnTime is when a node must know at the latest what the store has taken: the
-// shortest bound that deployments agree on.
-const learnTime = 2 * time.Second
-
-// TestUpstreamsGone: the nodes that a data hall follows lose power one and all, and
-// the others, which reach the store the whole time, must know in time what it takes
-// in that moment. They learned it after 2.6 s, and sent requests to servers that had
-// left: upstreams were asked one after the other, 1.7 s in all ("upstream did not
-// answer", three times), the store after that in one round of four, and news of an age
-// of 1.3 s was good enough to wait for more ("upstream has old news", "age_ms":1403, was
-// the first that was not). Each step had a bound and the age of the news none, so the
-// steps added up. Now a node whose news grows old looks at the store, whatever it waits
-// for.
+// propagationLimit is the time within which a node must know a change that the store
+// has taken: the shortest such limit that deployments agree on.
+const propagationLimit = 2 * time.Second
+
+// TestUpstreamsGone: all upstreams of a data hall lose power at once, and the nodes
+// that still reach the store must learn in time of a change made at that moment. If
+// only each step has a limit and the age of the copy has none, the steps add up:
+// upstreams tried one after the other took 1.7 s, the store was asked in one round out
+// of four after that, and data of an age of 1.3 s was good enough to wait for more.
+// Nodes then learned of the change after 2.6 s, and sent requests to servers that had
+// left. A node whose copy grows old must therefore poll the store, whatever it is
+// waiting for.
 func TestUpstreamsGone(t *testing.T) {
-	atMoments(t, 100*time.Millisecond, func(t *testing.T, after time.Duration) {
+	atOffsets(t, 100*time.Millisecond, func(t *testing.T, after time.Duration) {
 		h := newHall(t, 12)
-		settle(5*time.Second + after)
-		h.silence(0, 1, 2)
+		advance(5*time.Second + after)
+		h.powerOff(0, 1, 2)
 		h.store.put("b", false)
-		settle(learnTime)
-		must.SliceEmpty(t, h.without("b", 3))
+		advance(propagationLimit)
+		must.SliceEmpty(t, h.missing("b", 3))
 	})
 }
 
-// TestLostUpstreamIsNoOutage: a node whose upstreams are gone takes news from the
-// store, which has been well all the time. It took its own silence for an outage of
-// the store, in which entries lapse that their servers can't renew, and kept servers
-// that were really gone for 2 s more ("server is gone … kept_ms 1999"; a request
-// went to one "by revision 329, 432 ms old", and its entry was gone since revision 249).
-// An outage is now what the node itself has asked the store in and got no answer.
+// TestLostUpstreamIsNoOutage: nodes lose their upstreams while the store works. A node
+// that takes this for an outage of the store, in which servers cannot renew their
+// entries, keeps servers that are really gone for another 2 s and sends requests to
+// them. Only an interval in which the node's own call to the store failed counts as an
+// outage.
 func TestLostUpstreamIsNoOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHall(t, 12)
-		settle(5 * time.Second)
-		h.silence(0, 1, 2)
-		settle(20 * time.Second)
+		advance(5 * time.Second)
+		h.powerOff(0, 1, 2)
+		advance(20 * time.Second)
 		must.Eq(t, 0, h.outages(3))
 	})
 }
 
-// TestStalledProcess: a process that does not run for 3 s, with the store well, finds
-// that calls of its own ran out of time. It took its silence for an outage of the store,
-// and kept servers that were really gone for 2 s more. A call that outlasted its bounds
-// is now this process's own doing, and says nothing of the store.
+// TestStalledProcess: a process does not run for 3 s while the store works, and then
+// finds that its calls have timed out. If it takes this for an outage of the store, it
+// keeps servers that are really gone for another 2 s. A call that exceeds its bounds is
+// attributed to this process and says nothing about the store.
 func TestStalledProcess(t *testing.T) {
 	const stalled = 5
-	atMoments(t, 50*time.Millisecond, func(t *testing.T, after time.Duration) {
+	atOffsets(t, 50*time.Millisecond, func(t *testing.T, after time.Duration) {
 		h := newHall(t, 12)
-		settle(5*time.Second + after)
+		advance(5*time.Second + after)
 		thaw := h.freeze(stalled)
-		settle(3 * time.Second)
+		advance(3 * time.Second)
 		h.store.put("b", false)
 		thaw()
-		settle(time.Second)
-		must.SliceEmpty(t, h.without("b", stalled))
+		advance(time.Second)
+		must.SliceEmpty(t, h.missing("b", stalled))
 		must.Eq(t, 0, h.outages(stalled))
 	})
 }
 
-// TestSettle: a process that runs again after 3 s does not go by what it knew, and knows
-// more as soon as the store has answered. While the store does not answer, old news is
-// no reason to wait.
-func TestSettle(t *testing.T) {
+// TestAwaitRefresh: a process that runs again after 3 s must not use its old copy, and
+// has a fresh one as soon as the store has answered. While the store does not answer,
+// an old copy is no reason to wait.
+func TestAwaitRefresh(t *testing.T) {
 	const stalled = 5
 	synctest.Test(t, func(t *testing.T) {
 		h := newHall(t, 12)
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		m := h.nodes[stalled]
-		must.False(t, m.InDoubt())
+		must.False(t, m.NeedsRefresh())
 		thaw := h.freeze(stalled)
-		settle(time.Second)
+		advance(time.Second)
 		h.store.put("b", false)
-		settle(2 * time.Second)
-		must.True(t, m.InDoubt())
+		advance(2 * time.Second)
+		must.True(t, m.NeedsRefresh())
 		thaw()
-		m.Settle(t.Context())
-		must.False(t, m.InDoubt())
+		m.AwaitRefresh(t.Context())
+		must.False(t, m.NeedsRefresh())
 		_, ok := m.Get("b")
 		must.True(t, ok)
 
 		h.store.set(errStore, false, false)
 		for range 500 {
 			time.Sleep(20 * time.Millisecond)
-			must.False(t, m.InDoubt())
+			must.False(t, m.NeedsRefresh())
 		}
 	})
 }
 
-// TestAnswerReadLate: an answer lies in the socket of a process that does not run for
-// 3 s. The process took it for news of the moment in which it read it (an age of 1 ms
-// here), and so went by news that was 3 s older than it knew. An age now counts from what
-// can be proved: an answer was made no earlier than the call began, less what whoever
-// made it says that it let the call wait.
-func TestAnswerReadLate(t *testing.T) {
+// TestDelayedAnswer: an answer lies in the socket of a process that does not run for 3
+// s. If its age counted from the moment of reading, the node would believe its data to
+// be 3 s younger than it is. The age must be one that can be proved: the answer was
+// made no earlier than the start of the call, plus the time for which its sender says
+// that it held the call.
+func TestDelayedAnswer(t *testing.T) {
 	const late = 3 * time.Second
-	for _, name := range []string{"of the store", "of an upstream"} {
+	for _, name := range []string{"from the store", "from an upstream"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, timers := run(t)
+				ctx, timers := newEnv(t)
 				own := newStore()
 				own.put("a", false)
 				p := &peers{}
-				if name == "of an upstream" {
+				if name == "from an upstream" {
 					upstream := mirror.New(own, &peers{}, timers)
 					go upstream.Run(ctx)
 					p.mirrors, p.upstream = []*mirror.Mirror{upstream}, []string{"0"}
 				}
-				held := &heldAnswers{}
-				m := mirror.New(heldStore{own, held}, heldPeers{p, held}, timers)
+				answers := &delayedAnswers{}
+				m := mirror.New(delayedStore{own, answers}, delayedPeers{p, answers}, timers)
 				go m.Run(ctx)
-				settle(time.Second)
-				// Answers are held from now on, and the next ones never come.
-				held.hold(late)
-				settle(late + time.Millisecond)
-				must.Greater(t, late-learnTime/2, m.Age())
+				advance(time.Second)
+				// Answers under way are delayed from now on; later calls fail.
+				answers.delay(late)
+				advance(late + time.Millisecond)
+				must.Greater(t, late-propagationLimit/2, m.Age())
 			})
 		})
 	}
 }
 
-// heldAnswers hands the answer to a call that is under way over late, and none to a
-// later call.
-type heldAnswers struct {
+// delayedAnswers delays the answers to calls that are under way, and fails later calls.
+type delayedAnswers struct {
 	mu    sync.Mutex
 	until time.Time
 }
 
-func (h *heldAnswers) hold(d time.Duration) {
+func (h *delayedAnswers) delay(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.until = time.Now().Add(d)
 }
 
-func (h *heldAnswers) call(do func() (mirror.Batch, error)) (mirror.Batch, error) {
+func (h *delayedAnswers) call(do func() (mirror.Batch, error)) (mirror.Batch, error) {
 	h.mu.Lock()
-	over := !h.until.IsZero()
+	delayed := !h.until.IsZero()
 	h.mu.Unlock()
-	if over {
+	if delayed {
 		return mirror.Batch{}, errStore
 	}
 	b, err := do()
@@ -163,92 +160,93 @@
 	return b, err
 }
 
-// heldStore is a store whose answers are held.
-type heldStore struct {
+// delayedStore is a store whose answers are delayed.
+type delayedStore struct {
 	mirror.Store
-	held *heldAnswers
+	answers *delayedAnswers
 }
 
-func (s heldStore) ReadAll(ctx context.Context) (mirror.Batch, error) {
-	return s.held.call(func() (mirror.Batch, error) { return s.Store.ReadAll(ctx) })
+func (s delayedStore) ReadAll(ctx context.Context) (mirror.Batch, error) {
+	return s.answers.call(func() (mirror.Batch, error) { return s.Store.ReadAll(ctx) })
 }
 
-func (s heldStore) Follow(ctx context.Context, after int64, wait time.Duration) (mirror.Batch, error) {
-	return s.held.call(func() (mirror.Batch, error) { return s.Store.Follow(ctx, after, wait) })
+func (s delayedStore) Follow(ctx context.Context, after int64, wait time.Duration) (mirror.Batch, error) {
+	return s.answers.call(func() (mirror.Batch, error) { return s.Store.Follow(ctx, after, wait) })
 }
 
-// heldPeers are peers whose answers are held.
-type heldPeers struct {
+// delayedPeers are peers whose answers are delayed.
+type delayedPeers struct {
 	mirror.Peers
-	held *heldAnswers
+	answers *delayedAnswers
 }
 
-func (p heldPeers) Follow(ctx context.Context, address string, after int64, wait time.Duration) (mirror.Batch, error) {
-	return p.held.call(func() (mirror.Batch, error) { return p.Peers.Follow(ctx, address, after, wait) })
+func (p delayedPeers) Follow(ctx context.Context, address string, after int64, wait time.Duration) (mirror.Batch, error) {
+	return p.answers.call(func() (mirror.Batch, error) { return p.Peers.Follow(ctx, address, after, wait) })
 }
 
-// TestCallsInOutage: in an outage each node calls the store once to learn of it, and
-// after that a hall of 30 nodes makes at most ten calls a second, whose answers tell
-// nothing. All of them have the news soon after the store's return.
+// TestCallsInOutage: in an outage, each node calls the store once to notice it; after
+// that a data hall of 30 nodes makes at most ten calls a second, since they bring
+// nothing. All nodes are up to date soon after the store has recovered.
 func TestCallsInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 30
 		h := newHall(t, size)
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		h.store.set(errStore, false, false)
 		calls := h.store.calls()
-		settle(20 * time.Second)
+		advance(20 * time.Second)
 		must.LessEq(t, size+20*10, h.store.calls()-calls)
 		h.store.set(nil, false, false)
 		h.store.put("b", false)
-		settle(learnTime)
-		must.SliceEmpty(t, h.without("b", 0))
+		advance(propagationLimit)
+		must.SliceEmpty(t, h.missing("b", 0))
 	})
 }
 
-// TestCalmCalls: while all is well only the first node of a hall calls the store.
-func TestCalmCalls(t *testing.T) {
+// TestOnlyFirstNodeCallsStore: in normal operation only the first node of a data hall
+// calls the store.
+func TestOnlyFirstNodeCallsStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHall(t, 30)
-		settle(5 * time.Second)
+		advance(5 * time.Second)
 		for i := range h.nodes[1:] {
-			h.set(h.cut, true, i+1)
+			h.set(h.cutOff, true, i+1)
 		}
-		settle(time.Minute)
+		advance(time.Minute)
 		h.store.put("b", false)
-		settle(500 * time.Millisecond)
-		must.SliceEmpty(t, h.without("b", 0))
+		advance(500 * time.Millisecond)
+		must.SliceEmpty(t, h.missing("b", 0))
 	})
 }
 
-// hall is the nodes of one data hall before one store.
+// hall is the nodes of one data hall that share a store.
 type hall struct {
 	store  *fakeStore
 	timers *timer.Service
 	nodes  []*mirror.Mirror
 
 	mu sync.Mutex
-	// silent are the nodes that answer nobody, cut those that do not reach the
-	// store, parted those that reach no other node; gone are the nodes whose entries
-	// have lapsed.
-	silent, cut, parted, gone map[int]bool
-	// frozen holds by node what is closed when its process runs again.
+	// down holds the nodes that neither answer nor reach anything, cutOff those that do
+	// not reach the store, partitioned those that do not reach other nodes, and
+	// deregistered those whose entries have expired.
+	down, cutOff, partitioned, deregistered map[int]bool
+	// frozen holds by node a channel that is closed when its process runs again.
 	frozen map[int]chan struct{}
-	// regained counts by node how often it took the store for back.
-	regained map[int]int
+	// recoveries counts by node how often it found the store recovered from an outage.
+	recoveries map[int]int
 }
 
-// newHall returns a hall whose nodes run until the test ends.
+// newHall returns a data hall whose nodes run until the test ends.
 func newHall(t *testing.T, size int) *hall {
-	ctx, timers := run(t)
-	h := &hall{store: newStore(), timers: timers, silent: make(map[int]bool), cut: make(map[int]bool), parted: make(map[int]bool), gone: make(map[int]bool), frozen: make(map[int]chan struct{}), regained: make(map[int]int)}
+	ctx, timers := newEnv(t)
+	h := &hall{store: newStore(), timers: timers, down: make(map[int]bool), cutOff: make(map[int]bool), partitioned: make(map[int]bool), deregistered: make(map[int]bool), frozen: make(map[int]chan struct{}), recoveries: make(map[int]int)}
 	h.store.put("a", false)
 	for i := range size {
 		m := mirror.New(hallStore{h, i}, hallPeers{h, i}, timers)
-		m.OnRegained(func() {
+		m.OnStoreRecovered(func() {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			h.regained[i]++
+			h.recoveries[i]++
 		})
 		h.nodes = append(h.nodes, m)
 	}
@@ -258,8 +256,8 @@
 	return h
 }
 
-// silence lets nodes lose power.
-func (h *hall) silence(nodes ...int) { h.set(h.silent, true, nodes...) }
+// powerOff cuts the power of nodes.
+func (h *hall) powerOff(nodes ...int) { h.set(h.down, true, nodes...) }
 
 func (h *hall) set(state map[int]bool, value bool, nodes ...int) {
 	h.mu.Lock()
@@ -275,7 +273,7 @@
 	return state[i]
 }
 
-// freeze lets a node's process not run until thaw is called.
+// freeze stops a node's process until thaw is called.
 func (h *hall) freeze(i int) (thaw func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -295,9 +293,10 @@
 	return h.frozen[i] != nil
 }
 
-// run makes a call of a node's. One that the process makes while it is frozen is not
-// sent; the answer to one made before lies in the socket.
-func (h *hall) run(ctx context.Context, i int, call func() (mirror.Batch, error)) (mirror.Batch, error) {
+// call makes a call on behalf of a node. A call made while its process is frozen is
+// sent after the thaw, unless its context has ended by then; the answer to one made
+// before the freeze is returned after the thaw.
+func (h *hall) call(ctx context.Context, i int, call func() (mirror.Batch, error)) (mirror.Batch, error) {
 	h.awaitThaw(i)
 	if ctx.Err() != nil {
 		return mirror.Batch{}, ctx.Err()
@@ -316,23 +315,24 @@
 	}
 }
 
-// without returns the nodes from one on that do not know a key.
-func (h *hall) without(key string, from int) []int {
-	var without []int
+// missing returns the nodes, starting with node from, that do not know a key.
+func (h *hall) missing(key string, from int) []int {
+	var missing []int
 	for i, m := range h.nodes[from:] {
 		if _, ok := m.Get(key); !ok {
-			without = append(without, from+i)
+			missing = append(missing, from+i)
 		}
 	}
-	return without
+	return missing
 }
 
-// outages is how often nodes from one on took the store for back.
+// outages returns how often the nodes, starting with node from, found the store
+// recovered.
 func (h *hall) outages(from int) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	count := 0
-	for i, n := range h.regained {
+	for i, n := range h.recoveries {
 		if i >= from {
 			count += n
 		}
@@ -340,29 +340,29 @@
 	return count
 }
 
-// hallStore is the store as one node reaches it.
+// hallStore is the store as node i reaches it.
 type hallStore struct {
 	h *hall
 	i int
 }
 
 func (s hallStore) ReadAll(ctx context.Context) (mirror.Batch, error) {
-	if s.h.is(s.h.cut, s.i) || s.h.is(s.h.silent, s.i) {
+	if s.h.is(s.h.cutOff, s.i) || s.h.is(s.h.down, s.i) {
 		<-ctx.Done()
 		return mirror.Batch{}, ctx.Err()
 	}
-	return s.h.run(ctx, s.i, func() (mirror.Batch, error) { return s.h.store.ReadAll(ctx) })
+	return s.h.call(ctx, s.i, func() (mirror.Batch, error) { return s.h.store.ReadAll(ctx) })
 }
 
 func (s hallStore) Follow(ctx context.Context, after int64, wait time.Duration) (mirror.Batch, error) {
-	if s.h.is(s.h.cut, s.i) || s.h.is(s.h.silent, s.i) {
+	if s.h.is(s.h.cutOff, s.i) || s.h.is(s.h.down, s.i) {
 		<-ctx.Done()
 		return mirror.Batch{}, ctx.Err()
 	}
-	return s.h.run(ctx, s.i, func() (mirror.Batch, error) { return s.h.store.Follow(ctx, after, wait) })
+	return s.h.call(ctx, s.i, func() (mirror.Batch, error) { return s.h.store.Follow(ctx, after, wait) })
 }
 
-// hallPeers are the other nodes as one of them knows them.
+// hallPeers are the other nodes as node i knows them.
 type hallPeers struct {
 	h *hall
 	i int
@@ -371,7 +371,7 @@
 func (p hallPeers) Addresses() []string {
 	var addresses []string
 	for i := range p.h.nodes {
-		if i != p.i && !p.h.is(p.h.gone, i) {
+		if i != p.i && !p.h.is(p.h.deregistered, i) {
 			addresses = append(addresses, fmt.Sprint(i))
 		}
 	}
@@ -382,7 +382,7 @@
 func (p hallPeers) Upstream() []string {
 	var upstream []string
 	for i := range p.i {
-		if !p.h.is(p.h.gone, i) {
+		if !p.h.is(p.h.deregistered, i) {
 			upstream = append(upstream, fmt.Sprint(i))
 		}
 	}
@@ -394,21 +394,21 @@
 	if _, err := fmt.Sscan(address, &i); err != nil {
 		return mirror.Batch{}, err
 	}
-	if p.unreached(i) {
+	if p.unreachable(i) {
 		<-ctx.Done()
 		return mirror.Batch{}, ctx.Err()
 	}
-	b, err := p.h.run(ctx, p.i, func() (mirror.Batch, error) { return p.h.nodes[i].Await(ctx, after, wait), nil })
-	if p.unreached(i) {
+	b, err := p.h.call(ctx, p.i, func() (mirror.Batch, error) { return p.h.nodes[i].Await(ctx, after, wait), nil })
+	if p.unreachable(i) {
 		<-ctx.Done()
 		return mirror.Batch{}, ctx.Err()
 	}
 	return b, err
 }
 
-// unreached reports whether the node does not reach another one.
-func (p hallPeers) unreached(i int) bool {
-	for _, state := range []map[int]bool{p.h.silent, p.h.parted} {
+// unreachable reports whether the node cannot reach node i.
+func (p hallPeers) unreachable(i int) bool {
+	for _, state := range []map[int]bool{p.h.down, p.h.partitioned} {
 		if p.h.is(state, i) || p.h.is(state, p.i) {
 			return true
 		}
