--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -172,19 +172,19 @@
 func (g *Gateway) makeRelay() {
 	g.records = decision.New(g.self.ID)
 	g.relay = relay.New(relay.Parts{
-		Started:  g.mirror.Told(),
-		Catalog:  g.Catalog,
-		Servers:  g.registry,
-		News:     g.mirror,
-		Versions: g.services,
-		Balancer: g.balancer,
-		Ladder:   cascade.NewLadder(),
-		Budgets:  g.makeBudgets(g.settings.Bounds.RetryRatio),
-		Moves:    g.makeBudgets(min(movesRatio, g.settings.Bounds.RetryRatio)),
-		Suspects: suspects{g},
-		Backends: g.runners,
-		Records:  g.records,
-		Counters: g.metrics.Relay(),
+		Ready:     g.mirror.Told(),
+		Catalog:   g.Catalog,
+		Servers:   g.registry,
+		StoreView: g.mirror,
+		Versions:  g.services,
+		Balancer:  g.balancer,
+		Cascade:   cascade.NewLadder(),
+		Budgets:   g.makeBudgets(g.settings.Bounds.RetryRatio),
+		Reroutes:  g.makeBudgets(min(movesRatio, g.settings.Bounds.RetryRatio)),
+		Suspects:  suspects{g},
+		Backends:  g.runners,
+		Records:   g.records,
+		Counters:  g.metrics.Relay(),
 	})
 }
 
@@ -268,7 +268,7 @@
 	grace := g.settings.Grace()
 	end := signal.Add(time.Duration(endShare * float64(grace)))
 	doorCloses := signal.Add(min(noticeTime, time.Duration(noticeShare*float64(grace))))
-	g.relay.Leave(relay.NewStop(signal, doorCloses, end))
+	g.relay.Drain(relay.NewShutdown(signal, doorCloses, end))
 	g.callers.Leave()
 	// Last, since who sees that this gateway is not ready counts on the rest: an
 	// answer that went out in between would keep its connection.
@@ -303,7 +303,7 @@
 		return
 	}
 	slog.Warn("requests were still under way", "count", len(g.records.Open()))
-	g.relay.End()
+	g.relay.Close()
 	flush, endFlush := context.WithTimeout(context.Background(), flushTime)
 	defer endFlush()
 	if err := g.callers.Wait(flush); err != nil {
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -19,17 +19,17 @@
 // Refuses reports whether a request is refused.
 func (s suspects) Refuses(digest uint64) bool { return s.g.suspects.Refuses(digest) }
 
-// Test reports whether a request that is refused is to be tested here and now.
-func (s suspects) Test(ctx context.Context, digest uint64) bool {
+// AllowTest reports whether a request that is refused is to be tested here and now.
+func (s suspects) AllowTest(ctx context.Context, digest uint64) bool {
 	return s.g.verdicts.Test(ctx, digest)
 }
 
 // Ends returns at how many servers a request was lost.
 func (s suspects) Ends(digest uint64) int { return s.g.suspects.Ends(digest) }
 
-// Lost notes a request that a server left without an answer, and tells the other
+// ReportLost notes a request that a server left without an answer, and tells the other
 // nodes: the client's next try comes to another one.
-func (s suspects) Lost(digest, server uint64) { s.g.lost(digest, server, 0) }
+func (s suspects) ReportLost(digest, server uint64) { s.g.lost(digest, server, 0) }
 
 // lost notes a request that was lost to this node, that long ago.
 func (g *Gateway) lost(digest, server uint64, ago time.Duration) {
@@ -54,16 +54,16 @@
 	}
 }
 
-// Left notes an attempt that this node has given up.
-func (s suspects) Left(digest, server uint64) {
+// ReportAbandoned notes an attempt that this node has given up.
+func (s suspects) ReportAbandoned(digest, server uint64) {
 	if s.g.suspects.Left(digest, server) {
 		s.g.lost(digest, server, 0)
 	}
 }
 
-// Answered clears a request, and tells the other nodes if anything was known against
+// ReportAnswered clears a request, and tells the other nodes if anything was known against
 // it.
-func (s suspects) Answered(digest uint64) {
+func (s suspects) ReportAnswered(digest uint64) {
 	ends := s.g.suspects.Ends(digest)
 	cleared := s.g.suspects.Answered(digest)
 	if cleared == suspect.ClearedNothing {
@@ -75,8 +75,8 @@
 	}
 }
 
-// Runs takes the word that a server answers.
-func (s suspects) Runs(server uint64, sent, opened time.Time) {
+// ReportProgress takes the word that a server answers.
+func (s suspects) ReportProgress(server uint64, sent, opened time.Time) {
 	s.g.withdrawn(s.g.suspects.Runs(server, time.Since(sent), time.Since(opened)))
 }
 
@@ -112,7 +112,7 @@
 	}
 	g.metrics.Suspects(suspect.EventVerdict)
 	slog.Warn("servers end under a request; it is refused", "content", suspect.Name(digest), "servers", g.suspects.Ends(digest), "own", own)
-	g.relay.TakeBack(digest)
+	g.relay.CancelPending(digest)
 	g.verdicts.Changed(digest, own)
 }
 
--- a/metrics/relay.go
+++ b/metrics/relay.go
@@ -34,9 +34,9 @@
 // platform's store by which the server was chosen.
 func (r Relay) Sent(age time.Duration) { r.m.newsAge.Record(context.Background(), age.Seconds()) }
 
-// Answered counts an answer and its times. The times are not told apart by
+// Completed counts an answer and its times. The times are not told apart by
 // status, which would multiply the histograms.
-func (r Relay) Answered(route string, status int, first, total time.Duration) {
+func (r Relay) Completed(route string, status int, first, total time.Duration) {
 	name := attribute.String("route", route)
 	add(r.m.answers, 1, name, attribute.String("status", strconv.Itoa(status)))
 	r.m.observe(first, total, name)
--- a/relay/body.go
+++ b/relay/body.go
@@ -36,19 +36,19 @@
 	return b, nil
 }
 
-// Head returns the beginning of the body, all of it unless it is long.
-func (b *Body) Head() []byte { return b.head }
+// Buffered returns the beginning of the body, all of it unless it is long.
+func (b *Body) Buffered() []byte { return b.head }
 
 // Length returns the body's length, -1 if it is not known.
 func (b *Body) Length() int64 { return b.length }
 
 // Replayable reports whether the body can be sent now: always if it was read
 // whole, otherwise once.
-func (b *Body) Replayable() bool { return b.Kept() || !b.used }
+func (b *Body) Replayable() bool { return b.FullyBuffered() || !b.used }
 
-// Kept reports whether the whole body is held, so that it can be sent again at
+// FullyBuffered reports whether the whole body is held, so that it can be sent again at
 // any time.
-func (b *Body) Kept() bool { return b.rest == nil }
+func (b *Body) FullyBuffered() bool { return b.rest == nil }
 
 // Reader returns the whole body for one attempt.
 func (b *Body) Reader() io.Reader {
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -44,7 +44,7 @@
 		return
 	}
 	mayEscalate := x.mayDrop(x.runs+1) && x.relay.Budgets.Allows(x.service, spareForRetries)
-	first := x.relay.Ladder.First(len(x.route.Models), mayEscalate)
+	first := x.relay.Cascade.First(len(x.route.Models), mayEscalate)
 	switch {
 	case first <= x.step:
 	case !x.pays(first, noConfidence):
@@ -71,7 +71,7 @@
 		Objective:  x.route.Objective,
 	}
 	length, known := x.length()
-	pays := x.relay.Ladder.Pays(offer) && x.relay.endsInTime(x.deadline, forecast.Total()+length, known)
+	pays := x.relay.Cascade.Pays(offer) && x.relay.endsInTime(x.deadline, forecast.Total()+length, known)
 	x.record.Note("offer", "%s for confidence %.0f: %d ms, of it %d waiting, %d left: %t", x.model(), confidence,
 		forecast.Total().Milliseconds(), forecast.Wait.Milliseconds(), offer.Left.Milliseconds(), pays)
 	return pays
--- a/relay/end_test.go
+++ b/relay/end_test.go
@@ -29,7 +29,7 @@
 //	broken off: stopped
 
 // play answers the n-th request that comes to a server.
-type play func(ctx context.Context, server string, n int) relay.Answer
+type play func(ctx context.Context, server string, n int) relay.Response
 
 // scripted are servers that answer as a play says.
 type scripted struct {
@@ -52,7 +52,7 @@
 	return len(b.sent)
 }
 
-func (b *scripted) Send(ctx context.Context, s registry.Server, _ relay.Call) (relay.Answer, error) {
+func (b *scripted) Send(ctx context.Context, s registry.Server, _ relay.Call) (relay.Response, error) {
 	b.mu.Lock()
 	b.sent = append(b.sent, s.ID)
 	play, n := b.play, len(b.sent)
@@ -65,7 +65,7 @@
 }
 
 // then is a stream of events with a pause before each but the first.
-func then(ctx context.Context, pauses ...time.Duration) relay.Answer {
+func then(ctx context.Context, pauses ...time.Duration) relay.Response {
 	parts := []io.Reader{strings.NewReader("id: 1\n\n")}
 	for i, d := range pauses {
 		parts = append(parts, &pause{ctx, d, nil}, strings.NewReader("id: "+string(rune('2'+i))+"\n\n"))
@@ -88,7 +88,7 @@
 
 // lasting is a stream that takes the given time.
 func lasting(d time.Duration) play {
-	return func(ctx context.Context, _ string, _ int) relay.Answer { return then(ctx, d) }
+	return func(ctx context.Context, _ string, _ int) relay.Response { return then(ctx, d) }
 }
 
 // usual is a stream of streamTime.
@@ -111,7 +111,7 @@
 // requests until then.
 func leave(r *relay.Relay, left time.Duration) {
 	end := time.Now().Add(left)
-	r.Leave(relay.NewStop(time.Now(), end, end))
+	r.Drain(relay.NewShutdown(time.Now(), end, end))
 }
 
 // TestNothingEndedInVain: what goes on, or is there whole, is given up only for
@@ -122,9 +122,9 @@
 			moves := &switched{}
 			b, servers := &scripted{}, &someServers{list: threeServers{}.Servers("")}
 			target := catalog.Route{MaxPause: 800 * time.Millisecond, Objective: 2 * time.Second}
-			r := taught(t, b, target, relay.Parts{Servers: servers, Moves: moves}, lasting(time.Second))
+			r := taught(t, b, target, relay.Parts{Servers: servers, Reroutes: moves}, lasting(time.Second))
 			servers.list = servers.list[1:]
-			b.follow(func(ctx context.Context, _ string, _ int) relay.Answer {
+			b.follow(func(ctx context.Context, _ string, _ int) relay.Response {
 				select {
 				case <-ctx.Done():
 				case <-time.After(30 * time.Second):
@@ -137,7 +137,7 @@
 			synctest.Wait()
 			servers.list = threeServers{}.Servers("")
 			moves.on.Store(true)
-			b.follow(func(ctx context.Context, server string, _ int) relay.Answer {
+			b.follow(func(ctx context.Context, server string, _ int) relay.Response {
 				return then(ctx, 1400*time.Millisecond)
 			})
 			leave(r, 2500*time.Millisecond)
@@ -151,9 +151,9 @@
 	t.Run("a stream that pauses late in its time", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			moves, b := &switched{}, &scripted{}
-			r := taught(t, b, catalog.Route{MaxPause: time.Second}, relay.Parts{Moves: moves}, usual)
+			r := taught(t, b, catalog.Route{MaxPause: time.Second}, relay.Parts{Reroutes: moves}, usual)
 			moves.on.Store(true)
-			b.follow(func(ctx context.Context, _ string, n int) relay.Answer {
+			b.follow(func(ctx context.Context, _ string, n int) relay.Response {
 				if n == 1 {
 					return then(ctx, time.Second, time.Second, 1500*time.Millisecond)
 				}
@@ -170,9 +170,9 @@
 		t.Run("a server's own failure", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := &scripted{}
-				r := taught(t, b, catalog.Route{}, relay.Parts{Moves: noMoves{}}, usual)
+				r := taught(t, b, catalog.Route{}, relay.Parts{Reroutes: noMoves{}}, usual)
 				const late = 5800 * time.Millisecond
-				b.follow(func(ctx context.Context, _ string, n int) relay.Answer {
+				b.follow(func(ctx context.Context, _ string, n int) relay.Response {
 					if n > 1 {
 						return then(ctx, streamTime)
 					}
@@ -195,7 +195,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			b := &slowLarge{}
 			target := catalog.Route{Kind: catalog.KindStream, Timeout: 2 * time.Hour, Attempts: 3, Models: threeModels}
-			r := newRelay(t, target, relay.Parts{Backends: b, Moves: noMoves{}})
+			r := newRelay(t, target, relay.Parts{Backends: b, Reroutes: noMoves{}})
 			for _, b.confidence = range []float64{90, 90, 90, 45, 45, 45} {
 				ask(t, r, relay.Request{AnyModel: true, Body: noBody(t)}, &received{})
 			}
@@ -227,10 +227,10 @@
 		left  time.Duration
 		taken bool
 	}{
-		{"a stream that was not found is no stream", func(ctx context.Context, _ string, _ int) relay.Answer {
+		{"a stream that was not found is no stream", func(ctx context.Context, _ string, _ int) relay.Response {
 			return given{404, strings.NewReader("no")}
 		}, 3 * time.Second, false},
-		{"two in three take longer than their clients wait", func(ctx context.Context, _ string, n int) relay.Answer {
+		{"two in three take longer than their clients wait", func(ctx context.Context, _ string, n int) relay.Response {
 			if n%3 == 0 {
 				return then(ctx, time.Second)
 			}
@@ -242,7 +242,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := &scripted{}
-				r := taught(t, b, catalog.Route{}, relay.Parts{Moves: noMoves{}}, usual)
+				r := taught(t, b, catalog.Route{}, relay.Parts{Reroutes: noMoves{}}, usual)
 				b.follow(tt.teach)
 				for range 30 {
 					ask(t, r, prompted(t), &received{})
@@ -257,9 +257,9 @@
 	t.Run("a stream that broke off after its first event", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			b := &scripted{}
-			r := taught(t, b, catalog.Route{}, relay.Parts{Moves: noMoves{}}, usual)
+			r := taught(t, b, catalog.Route{}, relay.Parts{Reroutes: noMoves{}}, usual)
 			// Waiting for the first event took most of the time.
-			b.follow(func(ctx context.Context, _ string, n int) relay.Answer {
+			b.follow(func(ctx context.Context, _ string, n int) relay.Response {
 				if n > 1 {
 					return then(ctx, streamTime)
 				}
--- a/relay/estimates_test.go
+++ b/relay/estimates_test.go
@@ -31,7 +31,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Attempts: tt.attempts, Models: threeModels}
 			records := decision.New("n")
-			parts := relay.Parts{Backends: &modelsAsked{}, Moves: noMoves{}, Records: records}
+			parts := relay.Parts{Backends: &modelsAsked{}, Reroutes: noMoves{}, Records: records}
 			serve(t, target, parts, relay.Request{AnyModel: tt.anyModel, Body: noBody(t)}, &received{})
 			summary, ok := records.Find("1")
 			must.True(t, ok)
--- a/relay/evidence_test.go
+++ b/relay/evidence_test.go
@@ -20,13 +20,15 @@
 
 func (h *heardRunning) Empty() bool { return false }
 
-func (h *heardRunning) Runs(server uint64, _, _ time.Time) { h.servers = append(h.servers, server) }
+func (h *heardRunning) ReportProgress(server uint64, _, _ time.Time) {
+	h.servers = append(h.servers, server)
+}
 
 // declining servers turn requests away, as does one that was started at the address of
 // another.
 type declining struct{ threeServers }
 
-func (declining) Send(context.Context, registry.Server, relay.Call) (relay.Answer, error) {
+func (declining) Send(context.Context, registry.Server, relay.Call) (relay.Response, error) {
 	return declined{}, nil
 }
 
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -18,7 +18,7 @@
 type exchange struct {
 	relay    *Relay
 	request  *Request
-	reply    Reply
+	reply    ResponseWriter
 	record   *decision.Record
 	route    *catalog.Route
 	account  string
@@ -60,7 +60,7 @@
 // returns is still to be told.
 func (x *exchange) run(ctx context.Context) *Refusal {
 	x.relay.Budgets.Paid(x.service)
-	x.relay.Moves.Paid(x.service)
+	x.relay.Reroutes.Paid(x.service)
 	x.chooseModel()
 	if !x.fits() {
 		return x.refuseLeaving("the answer would not be whole before its end")
@@ -84,7 +84,7 @@
 		if refusal := x.next(ctx, f); refusal != nil {
 			return x.give(refusal)
 		}
-		x.relay.News.Settle(ctx)
+		x.relay.StoreView.Settle(ctx)
 	}
 }
 
@@ -98,11 +98,11 @@
 	defer x.relay.Versions.End(x.service, version, x.request.key())
 	x.sends++
 	x.whole = x.after == ""
-	age := x.relay.News.Age()
+	age := x.relay.StoreView.Age()
 	x.relay.Counters.Sent(age)
 	x.record.Note("send", "to %s in %s, model %s, %d of %d tokens held, after event %q, %d ms left, by revision %d, %d ms old",
 		server.ID, server.DataHall, x.model(), use.Held(), x.request.Prompt.Tokens, x.after, time.Until(x.deadline).Milliseconds(),
-		x.relay.News.Revision(), age.Milliseconds())
+		x.relay.StoreView.Revision(), age.Milliseconds())
 	sent := time.Now()
 	stopWaiting := x.relay.waiting.add(x.request, cancel)
 	watch := x.watch(use, cancel)
@@ -113,15 +113,15 @@
 		}
 	}()
 	answer, err := x.relay.Backends.Send(ctx, server, Call{
-		Request:  x.request,
-		Account:  x.account,
-		TimeLeft: time.Until(x.deadline),
-		Model:    x.model(),
-		After:    x.after,
-		Quiet:    x.quiet,
+		Request:     x.request,
+		Account:     x.account,
+		TimeLeft:    time.Until(x.deadline),
+		Model:       x.model(),
+		LastEventID: x.after,
+		SilentSince: x.quiet,
 		// Between the choice and the first byte lie a dial, and whatever keeps this
 		// process from running.
-		Overtaken: func() bool { return x.relay.News.InDoubt() || !x.relay.Servers.Usable(server.Incarnation()) },
+		Stale: func() bool { return x.relay.StoreView.InDoubt() || !x.relay.Servers.Usable(server.Incarnation()) },
 	})
 	stopWaiting()
 	x.countVersion(ctx, use, version, answer, time.Since(sent))
--- a/relay/failure.go
+++ b/relay/failure.go
@@ -105,6 +105,6 @@
 	x.record.Note("broken off", "%s", refusal.Error())
 	x.finish("broken off: " + refusal.reason.String())
 	x.relay.Counters.Refused(refusal.reason, x.account)
-	x.reply.BreakOff()
+	x.reply.Abort()
 	return nil
 }
--- a/relay/gone_test.go
+++ b/relay/gone_test.go
@@ -19,12 +19,12 @@
 // as it is told.
 type leavesDuring struct {
 	leave context.CancelFunc
-	does  func(ctx context.Context) (relay.Answer, error)
+	does  func(ctx context.Context) (relay.Response, error)
 	sends int
 	ended context.Context
 }
 
-func (b *leavesDuring) Send(ctx context.Context, _ registry.Server, _ relay.Call) (relay.Answer, error) {
+func (b *leavesDuring) Send(ctx context.Context, _ registry.Server, _ relay.Call) (relay.Response, error) {
 	b.sends++
 	b.ended = ctx
 	b.leave()
@@ -54,15 +54,15 @@
 // broken answer makes a request be sent again, and the attempt's context has
 // ended.
 func TestNothingAfterLeaving(t *testing.T) {
-	answer := func(a relay.Answer) func(context.Context) (relay.Answer, error) {
-		return func(context.Context) (relay.Answer, error) { return a, nil }
+	answer := func(a relay.Response) func(context.Context) (relay.Response, error) {
+		return func(context.Context) (relay.Response, error) { return a, nil }
 	}
 	tests := []struct {
 		name string
-		does func(context.Context) (relay.Answer, error)
+		does func(context.Context) (relay.Response, error)
 	}{
-		{"failed", func(context.Context) (relay.Answer, error) { return nil, relay.Failed.New("reset") }},
-		{"not reached", func(context.Context) (relay.Answer, error) { return nil, relay.NotRun.New("refused") }},
+		{"failed", func(context.Context) (relay.Response, error) { return nil, relay.Failed.New("reset") }},
+		{"not reached", func(context.Context) (relay.Response, error) { return nil, relay.NotRun.New("refused") }},
 		{"declined", answer(declined{given{503, strings.NewReader("")}})},
 		{"server failed", answer(given{500, strings.NewReader("")})},
 		{"little confidence", answer(doubtful{given{200, strings.NewReader("id: 1\n\n")}})},
--- a/relay/harness_test.go
+++ b/relay/harness_test.go
@@ -22,22 +22,22 @@
 )
 
 // serve passes one request on a resumable route through a relay.
-func serve(t *testing.T, target catalog.Route, parts relay.Parts, request relay.Request, reply relay.Reply) {
+func serve(t *testing.T, target catalog.Route, parts relay.Parts, request relay.Request, reply relay.ResponseWriter) {
 	serveUntil(t.Context(), t, target, parts, request, reply)
 }
 
 // serveUntil is serve for a client that leaves when the context ends.
-func serveUntil(ctx context.Context, t *testing.T, target catalog.Route, parts relay.Parts, request relay.Request, reply relay.Reply) {
+func serveUntil(ctx context.Context, t *testing.T, target catalog.Route, parts relay.Parts, request relay.Request, reply relay.ResponseWriter) {
 	askUntil(ctx, newRelay(t, target, parts), request, reply)
 }
 
 // ask passes one request through a relay.
-func ask(t *testing.T, r *relay.Relay, request relay.Request, reply relay.Reply) {
+func ask(t *testing.T, r *relay.Relay, request relay.Request, reply relay.ResponseWriter) {
 	askUntil(t.Context(), r, request, reply)
 }
 
 // askUntil is ask for a client that leaves when the context ends.
-func askUntil(ctx context.Context, r *relay.Relay, request relay.Request, reply relay.Reply) {
+func askUntil(ctx context.Context, r *relay.Relay, request relay.Request, reply relay.ResponseWriter) {
 	request.ID, request.Host, request.Path, request.Arrived = "1", "h", "/", time.Now()
 	r.Serve(ctx, &request, reply)
 }
@@ -56,13 +56,13 @@
 	parts.Catalog = func() *catalog.Catalog { return c }
 	parts.Servers = cmp.Or[relay.Servers](parts.Servers, threeServers{})
 	parts.Budgets = cmp.Or[relay.Budgets](parts.Budgets, noBound{})
-	parts.Moves = cmp.Or[relay.Budgets](parts.Moves, noBound{})
-	parts.News = cmp.Or[relay.News](parts.News, noNews{})
+	parts.Reroutes = cmp.Or[relay.Budgets](parts.Reroutes, noBound{})
+	parts.StoreView = cmp.Or[relay.StoreView](parts.StoreView, noNews{})
 	parts.Suspects = cmp.Or[relay.Suspects](parts.Suspects, noSuspects{})
 	parts.Versions = cmp.Or[relay.Versions](parts.Versions, noRollout{})
 	parts.Counters = noCounters{}
 	parts.Balancer = cmp.Or(parts.Balancer, route.NewBalancer("", func(string) {}))
-	parts.Ladder = cascade.NewLadder()
+	parts.Cascade = cascade.NewLadder()
 	parts.Records = cmp.Or(parts.Records, decision.New("n"))
 	return relay.New(parts)
 }
@@ -77,14 +77,14 @@
 // noSuspects knows nothing against any request.
 type noSuspects struct{}
 
-func (noSuspects) Empty() bool                       { return true }
-func (noSuspects) Refuses(uint64) bool               { return false }
-func (noSuspects) Test(context.Context, uint64) bool { return false }
-func (noSuspects) Lost(uint64, uint64)               {}
-func (noSuspects) Left(uint64, uint64)               {}
-func (noSuspects) Ends(uint64) int                   { return 0 }
-func (noSuspects) Answered(uint64)                   {}
-func (noSuspects) Runs(uint64, time.Time, time.Time) {}
+func (noSuspects) Empty() bool                                 { return true }
+func (noSuspects) Refuses(uint64) bool                         { return false }
+func (noSuspects) AllowTest(context.Context, uint64) bool      { return false }
+func (noSuspects) ReportLost(uint64, uint64)                   {}
+func (noSuspects) ReportAbandoned(uint64, uint64)              {}
+func (noSuspects) Ends(uint64) int                             { return 0 }
+func (noSuspects) ReportAnswered(uint64)                       {}
+func (noSuspects) ReportProgress(uint64, time.Time, time.Time) {}
 
 // noNews is of a process that knows all there is.
 type noNews struct{}
@@ -130,12 +130,12 @@
 
 type noCounters struct{}
 
-func (noCounters) Refused(relay.Reason, string)                       {}
-func (noCounters) Retried(relay.Reason)                               {}
-func (noCounters) Escalated(string)                                   {}
-func (noCounters) Resumed()                                           {}
-func (noCounters) Sent(time.Duration)                                 {}
-func (noCounters) Answered(string, int, time.Duration, time.Duration) {}
+func (noCounters) Refused(relay.Reason, string)                        {}
+func (noCounters) Retried(relay.Reason)                                {}
+func (noCounters) Escalated(string)                                    {}
+func (noCounters) Resumed()                                            {}
+func (noCounters) Sent(time.Duration)                                  {}
+func (noCounters) Completed(string, int, time.Duration, time.Duration) {}
 
 // given is a server's answer.
 type given struct {
@@ -149,7 +149,7 @@
 func (a given) Confidence() (float64, bool) { return 0, false }
 func (a given) Load() (route.Load, bool)    { return route.Load{}, false }
 func (a given) RetryAfter() time.Duration   { return 0 }
-func (a given) Opened() time.Time           { return time.Time{} }
+func (a given) ConnOpened() time.Time       { return time.Time{} }
 func (a given) Body() io.Reader             { return a.body }
 func (a given) Close()                      {}
 
@@ -161,10 +161,10 @@
 	refusal *relay.Refusal
 }
 
-func (r *received) Begin(a relay.Answer) { r.status = a.Status() }
+func (r *received) WriteHeader(a relay.Response) { r.status = a.Status() }
 func (r *received) Write(p []byte) error {
 	r.Buffer.Write(p)
 	return nil
 }
 func (r *received) Refuse(refusal *relay.Refusal) { r.refusal = refusal }
-func (r *received) BreakOff()                     { r.broken = true }
+func (r *received) Abort()                        { r.broken = true }
--- a/relay/judge.go
+++ b/relay/judge.go
@@ -29,7 +29,7 @@
 // countVersion takes an answer as evidence on a version. Only what the server
 // itself answered counts, and how long it took to begin, or had taken when it
 // was given up as late.
-func (x *exchange) countVersion(ctx context.Context, use *route.Use, version string, answer Answer, wait time.Duration) {
+func (x *exchange) countVersion(ctx context.Context, use *route.Use, version string, answer Response, wait time.Duration) {
 	late := answer == nil && stalled(ctx)
 	if version == "" || (answer == nil && !late) || (answer != nil && answer.Declined()) {
 		return
@@ -45,7 +45,7 @@
 }
 
 // judge decides on the head of an answer. Nil lets the answer go out.
-func (x *exchange) judge(ctx context.Context, use *route.Use, sent time.Time, answer Answer, err error) *failure {
+func (x *exchange) judge(ctx context.Context, use *route.Use, sent time.Time, answer Response, err error) *failure {
 	if err != nil {
 		return x.judgeError(ctx, use, err)
 	}
@@ -84,7 +84,7 @@
 }
 
 // confidence shows a model's opinion of its answer.
-func confidence(answer Answer) string {
+func confidence(answer Response) string {
 	if value, told := answer.Confidence(); told {
 		return strconv.FormatFloat(value, 'f', 0, 64)
 	}
@@ -92,7 +92,7 @@
 }
 
 // failed reports whether an answer is a failure of the server's own.
-func failed(a Answer) bool { return a.Status() >= http.StatusInternalServerError }
+func failed(a Response) bool { return a.Status() >= http.StatusInternalServerError }
 
 // judgeError decides on an attempt without an answer.
 func (x *exchange) judgeError(ctx context.Context, use *route.Use, err error) *failure {
@@ -107,7 +107,7 @@
 		x.runs++
 		return &failure{reason: ReasonSuspected, ran: true, paid: true, cause: errTakenBack.Error()}
 	}
-	if errorx.IsOfType(err, Overtaken) {
+	if errorx.IsOfType(err, StaleChoice) {
 		use.End(route.OutcomeNeutral)
 		delete(x.tried, use.Server().Incarnation()) // it has got nothing
 		return &failure{reason: ReasonOvertaken, paid: true, cause: err.Error()}
@@ -134,13 +134,13 @@
 
 // escalation returns the model to ask in place of an answer that a model has
 // too little confidence in.
-func (x *exchange) escalation(answer Answer) (next int, ok bool) {
+func (x *exchange) escalation(answer Response) (next int, ok bool) {
 	confidence, told := answer.Confidence()
 	if !x.chooses() || !told || answer.Status() != http.StatusOK || x.begun || !x.mayRunAgain() {
 		return 0, false
 	}
 	last := !x.mayDrop(x.runs + 1)
-	next, ok = x.relay.Ladder.Next(len(x.route.Models), x.step, confidence, last)
+	next, ok = x.relay.Cascade.Next(len(x.route.Models), x.step, confidence, last)
 	if !ok {
 		return 0, false
 	}
--- a/relay/models_test.go
+++ b/relay/models_test.go
@@ -26,7 +26,7 @@
 
 func (unsure) Confidence() (float64, bool) { return 45, true }
 
-func (b *modelsAsked) Send(_ context.Context, _ registry.Server, call relay.Call) (relay.Answer, error) {
+func (b *modelsAsked) Send(_ context.Context, _ registry.Server, call relay.Call) (relay.Response, error) {
 	b.sent = append(b.sent, call.Model)
 	if len(b.sent) <= b.fail {
 		return given{500, strings.NewReader("")}, nil
@@ -61,7 +61,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Attempts: tt.attempts, Models: threeModels}
 			backends := &modelsAsked{fail: tt.fail}
-			parts := relay.Parts{Backends: backends, Budgets: tt.budgets, Moves: noMoves{}}
+			parts := relay.Parts{Backends: backends, Budgets: tt.budgets, Reroutes: noMoves{}}
 			serve(t, target, parts, relay.Request{AnyModel: true, Body: noBody(t)}, &received{})
 			must.Eq(t, tt.want, backends.sent)
 		})
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -29,7 +29,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				balancer, backends := route.NewBalancer("", func(string) {}), &modelsAsked{}
 				target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Objective: time.Second, Attempts: 3, Models: threeModels}
-				parts := relay.Parts{Balancer: balancer, Budgets: tt.budgets, Moves: noMoves{}, Backends: backends}
+				parts := relay.Parts{Balancer: balancer, Budgets: tt.budgets, Reroutes: noMoves{}, Backends: backends}
 				ask := func() []string {
 					backends.sent = nil
 					serve(t, target, parts, relay.Request{AnyModel: true, Body: noBody(t)}, &received{})
@@ -67,7 +67,7 @@
 		target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Objective: time.Second, Attempts: 3, Models: threeModels}
 		_, err := balancer.Choose(route.Task{Servers: threeServers{}.Servers("")[:1], Tokens: 1, Assumed: route.Assumption{Rate: 5000}})
 		must.NoError(t, err)
-		parts := relay.Parts{Balancer: balancer, Versions: firstOnly{}, Moves: noMoves{}, Backends: backends}
+		parts := relay.Parts{Balancer: balancer, Versions: firstOnly{}, Reroutes: noMoves{}, Backends: backends}
 		serve(t, target, parts, relay.Request{AnyModel: true, Body: noBody(t)}, &received{})
 		must.Eq(t, []string{"small"}, backends.sent)
 	})
--- a/relay/overtaken_test.go
+++ b/relay/overtaken_test.go
@@ -40,7 +40,7 @@
 				tt.before(l)
 			}
 			reply := &received{}
-			serve(t, catalog.Route{Kind: catalog.KindOnce, Attempts: 1, Timeout: time.Second}, relay.Parts{Servers: l, News: l, Backends: l, Budgets: noRepeats{}},
+			serve(t, catalog.Route{Kind: catalog.KindOnce, Attempts: 1, Timeout: time.Second}, relay.Parts{Servers: l, StoreView: l, Backends: l, Budgets: noRepeats{}},
 				relay.Request{Body: noBody(t)}, reply)
 			must.Eq(t, 200, reply.status, must.Sprint(reply.refusal))
 			must.Eq(t, tt.sent, l.sent)
@@ -79,12 +79,12 @@
 	}
 }
 
-func (l *leaving) Send(_ context.Context, s registry.Server, call relay.Call) (relay.Answer, error) {
+func (l *leaving) Send(_ context.Context, s registry.Server, call relay.Call) (relay.Response, error) {
 	if l.calls++; l.calls == 1 {
 		l.meanwhile(l)
 	}
-	if call.Overtaken() {
-		return nil, relay.Overtaken.New("nothing sent")
+	if call.Stale() {
+		return nil, relay.StaleChoice.New("nothing sent")
 	}
 	l.sent = append(l.sent, s.ID)
 	return given{200, strings.NewReader("")}, nil
--- a/relay/pass.go
+++ b/relay/pass.go
@@ -22,7 +22,7 @@
 )
 
 // pass hands a server's answer to the client as it comes.
-func (x *exchange) pass(ctx context.Context, use *route.Use, sent time.Time, answer Answer, watch *watch) *failure {
+func (x *exchange) pass(ctx context.Context, use *route.Use, sent time.Time, answer Response, watch *watch) *failure {
 	if x.route.Kind == catalog.KindStream && answer.Status() == http.StatusOK {
 		return x.passStream(ctx, use, sent, answer, watch)
 	}
@@ -31,7 +31,7 @@
 
 // passPlain hands on an answer as bytes. One that breaks off within the
 // headroom gave the client nothing yet.
-func (x *exchange) passPlain(ctx context.Context, use *route.Use, answer Answer, watch *watch) *failure {
+func (x *exchange) passPlain(ctx context.Context, use *route.Use, answer Response, watch *watch) *failure {
 	held, err := io.ReadAll(io.LimitReader(answer.Body(), headroom))
 	if err != nil {
 		return x.broken(ctx, use, err)
@@ -62,7 +62,7 @@
 
 // passStream hands on whole events only, so that a stream which breaks off in
 // the middle of one can be taken up after the one before.
-func (x *exchange) passStream(ctx context.Context, use *route.Use, sent time.Time, answer Answer, watch *watch) *failure {
+func (x *exchange) passStream(ctx context.Context, use *route.Use, sent time.Time, answer Response, watch *watch) *failure {
 	events := newEvents(answer.Body())
 	told := sent
 	for {
@@ -94,22 +94,22 @@
 }
 
 // begin sends the head of the first answer; later ones go on inside it.
-func (x *exchange) begin(answer Answer) {
+func (x *exchange) begin(answer Response) {
 	if !x.begun {
 		x.begun = true
 		x.first = max(1, x.elapsed())
-		x.reply.Begin(answer)
+		x.reply.WriteHeader(answer)
 	}
 }
 
 // answered ends an attempt whose answer the client has whole.
-func (x *exchange) answered(use *route.Use, answer Answer) {
+func (x *exchange) answered(use *route.Use, answer Response) {
 	use.End(route.OutcomeOK)
 	x.cleared()
 	if answer.Status() == http.StatusOK {
 		x.learnLength(x.relay.lengths.learn)
 	}
-	x.relay.Counters.Answered(x.route.Name, answer.Status(), x.first, x.elapsed())
+	x.relay.Counters.Completed(x.route.Name, answer.Status(), x.first, x.elapsed())
 }
 
 // clientLeft ends an attempt whose client does not read on.
--- a/relay/patience.go
+++ b/relay/patience.go
@@ -54,7 +54,7 @@
 	task.Exclude = nil // these have not been tried, and tried changes meanwhile
 	return &watch{from: time.Now(), timer: time.AfterFunc(x.patience(use), func() {
 		takes := x.relay.Balancer.Forecast(task).Total() + length
-		if x.relay.endsInTime(deadline, takes, known) && x.relay.Moves.Take(x.service, 0) && x.relay.Budgets.Take(x.service, spareForRetries) {
+		if x.relay.endsInTime(deadline, takes, known) && x.relay.Reroutes.Take(x.service, 0) && x.relay.Budgets.Take(x.service, spareForRetries) {
 			cancel(errStalled)
 		}
 	})}
@@ -93,7 +93,7 @@
 // mayMove reports whether there is another server that the request may be taken
 // to once the given number of servers has run it.
 func (x *exchange) mayMove(runs int) bool {
-	return x.others > 0 && x.mayDrop(runs) && x.sends < maxSends && x.request.Body.Kept()
+	return x.others > 0 && x.mayDrop(runs) && x.sends < maxSends && x.request.Body.FullyBuffered()
 }
 
 // stalled reports whether an attempt was ended for its lateness.
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -94,8 +94,8 @@
 	return &Refusal{reason: reason, status: statuses[reason], retryAfter: retryAfter, message: fmt.Sprintf(format, args...)}
 }
 
-// Refuse returns a refusal for a request that an adapter cannot read.
-func Refuse(reason Reason, message string) *Refusal { return refuse(reason, 0, "%s", message) }
+// NewRefusal returns a refusal for a request that an adapter cannot read.
+func NewRefusal(reason Reason, message string) *Refusal { return refuse(reason, 0, "%s", message) }
 
 // Status is the HTTP status.
 func (r *Refusal) Status() int { return r.status }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -15,7 +15,7 @@
 //	r := relay.New(relay.Parts{Catalog: …, Servers: …, Balancer: …, …})
 //	body, err := relay.NewBody(message.Body, message.ContentLength)
 //	if err != nil {
-//		reply.Refuse(relay.Refuse(relay.ReasonMalformed, err.Error()))
+//		reply.Refuse(relay.NewRefusal(relay.ReasonMalformed, err.Error()))
 //		return
 //	}
 //	request := &relay.Request{ID: …, Message: message, Body: body, …}
@@ -23,7 +23,7 @@
 //
 // Before the process ends:
 //
-//	r.Leave(relay.NewStop(signal, late, end)) // takes only what is answered by then
+//	r.Leave(relay.NewShutdown(signal, late, end)) // takes only what is answered by then
 //	…
 //	r.End() // gives the rest its final answers
 package relay
@@ -51,9 +51,9 @@
 	// NotRun says that a server surely has not run and will not run a
 	// request: it said so, or not a byte of the request reached it.
 	NotRun = namespace.NewType("not_run")
-	// Overtaken says that a request was not sent, since what it was to be sent by no
+	// StaleChoice says that a request was not sent, since what it was to be sent by no
 	// longer holds.
-	Overtaken = namespace.NewType("overtaken")
+	StaleChoice = namespace.NewType("overtaken")
 	// Failed says that a server may have run a request and gave no answer
 	// that can be used.
 	Failed = namespace.NewType("failed")
@@ -77,11 +77,11 @@
 	Prompt   Prompt
 	// Session ties requests that should stay on one version; "" for none.
 	Session string
-	// After is the last event that the client has of a stream; "" for none.
-	After string
-	// Message is the request as it came, for the adapter that passes it on.
-	Message *http.Request
-	Body    *Body
+	// LastEventID is the last event that the client has of a stream; "" for none.
+	LastEventID string
+	// HTTPRequest is the request as it came, for the adapter that passes it on.
+	HTTPRequest *http.Request
+	Body        *Body
 }
 
 // Prompt is what a request to a model tells of its size.
@@ -103,18 +103,18 @@
 	TimeLeft time.Duration
 	// Model is the one that the system chose; "" keeps the client's.
 	Model string
-	// After is the last event that the client has.
-	After string
-	// Quiet is since when an earlier attempt waited in vain; zero if none did.
+	// LastEventID is the last event that the client has.
+	LastEventID string
+	// SilentSince is since when an earlier attempt waited in vain; zero if none did.
 	// Connections that have brought nothing since may be as silent as its own.
-	Quiet time.Time
-	// Overtaken reports whether the choice of the server no longer holds. It is asked
+	SilentSince time.Time
+	// Stale reports whether the choice of the server no longer holds. It is asked
 	// just before the first byte is sent; the request is not sent then.
-	Overtaken func() bool
+	Stale func() bool
 }
 
-// Answer is the head of a server's answer, and its body as it comes.
-type Answer interface {
+// Response is the head of a server's answer, and its body as it comes.
+type Response interface {
 	Status() int
 	Header() http.Header
 	// Declined reports whether the server says that it did not run the
@@ -124,8 +124,8 @@
 	Confidence() (float64, bool)
 	Load() (route.Load, bool)
 	RetryAfter() time.Duration
-	// Opened is when the connection was opened on which it comes.
-	Opened() time.Time
+	// ConnOpened is when the connection was opened on which it comes.
+	ConnOpened() time.Time
 	Body() io.Reader
 	// Close ends the request at the server, if it still runs there.
 	Close()
@@ -133,19 +133,19 @@
 
 // Backends passes requests on. Errors are NotRun, Overtaken or Failed.
 type Backends interface {
-	Send(ctx context.Context, server registry.Server, call Call) (Answer, error)
+	Send(ctx context.Context, server registry.Server, call Call) (Response, error)
 }
 
-// Reply is where the answer to the client goes.
-type Reply interface {
-	// Begin sends the head of a server's answer.
-	Begin(a Answer)
+// ResponseWriter is where the answer to the client goes.
+type ResponseWriter interface {
+	// WriteHeader sends the head of a server's answer.
+	WriteHeader(a Response)
 	// Write sends a piece of the body at once.
 	Write(p []byte) error
 	// Refuse sends an answer of the system's own, in place of Begin.
 	Refuse(r *Refusal)
-	// BreakOff ends an answer so that it cannot look whole.
-	BreakOff()
+	// Abort ends an answer so that it cannot look whole.
+	Abort()
 }
 
 // Servers knows the backend servers.
@@ -155,9 +155,9 @@
 	Usable(i registry.Incarnation) bool
 }
 
-// News tells how far this process knows what the platform holds, which servers are
+// StoreView tells how far this process knows what the platform holds, which servers are
 // chosen by.
-type News interface {
+type StoreView interface {
 	Revision() int64
 	// Age is how long ago that was confirmed.
 	Age() time.Duration
@@ -181,8 +181,8 @@
 	Count(service, version string, a rollout.Answer)
 }
 
-// Ladder decides between the models of a route.
-type Ladder interface {
+// Cascade decides between the models of a route.
+type Cascade interface {
 	// First returns the index of the model that answers first, of n, if its
 	// answer may or may not be dropped for another one's.
 	First(n int, mayEscalate bool) int
@@ -213,7 +213,7 @@
 	// Sent counts a request that goes to a server, with the age of the news by
 	// which that was chosen.
 	Sent(age time.Duration)
-	Answered(route string, status int, first, total time.Duration)
+	Completed(route string, status int, first, total time.Duration)
 }
 
 // Suspects knows the requests under which servers end.
@@ -221,38 +221,38 @@
 	// Empty reports whether nothing is known against any request.
 	Empty() bool
 	Refuses(digest uint64) bool
-	// Test reports whether a request that is refused is to be sent once more all the
+	// AllowTest reports whether a request that is refused is to be sent once more all the
 	// same, to see whether servers still end under it.
-	Test(ctx context.Context, digest uint64) bool
-	// Lost takes the word that a server left a request without an answer.
-	Lost(digest, server uint64)
-	// Left takes the word that an attempt was given up at a server, which may run the
+	AllowTest(ctx context.Context, digest uint64) bool
+	// ReportLost takes the word that a server left a request without an answer.
+	ReportLost(digest, server uint64)
+	// ReportAbandoned takes the word that an attempt was given up at a server, which may run the
 	// request on.
-	Left(digest, server uint64)
+	ReportAbandoned(digest, server uint64)
 	// Ends returns at how many servers the request was lost.
 	Ends(digest uint64) int
-	Answered(digest uint64)
-	// Runs takes the word that something has come just now from a server, of its answer to
+	ReportAnswered(digest uint64)
+	// ReportProgress takes the word that something has come just now from a server, of its answer to
 	// what was sent at a time on a connection that was opened at another.
-	Runs(server uint64, sent, opened time.Time)
+	ReportProgress(server uint64, sent, opened time.Time)
 }
 
 // Parts is what a Relay is made of. All are needed, but for Started.
 type Parts struct {
-	// Started is closed once this process knows what it goes by; nil if it does
+	// Ready is closed once this process knows what it goes by; nil if it does
 	// from the beginning.
-	Started <-chan struct{}
+	Ready <-chan struct{}
 	// Catalog returns the declaration in force.
-	Catalog  func() *catalog.Catalog
-	Servers  Servers
-	News     News
-	Versions Versions
-	Balancer *route.Balancer
-	Ladder   Ladder
-	Budgets  Budgets
-	// Moves bounds, beside Budgets, how many requests are taken away from late
+	Catalog   func() *catalog.Catalog
+	Servers   Servers
+	StoreView StoreView
+	Versions  Versions
+	Balancer  *route.Balancer
+	Cascade   Cascade
+	Budgets   Budgets
+	// Reroutes bounds, beside Budgets, how many requests are taken away from late
 	// servers: where all are late, moving on makes it worse.
-	Moves    Budgets
+	Reroutes Budgets
 	Suspects Suspects
 	Backends Backends
 	Records  *decision.Log
@@ -265,7 +265,7 @@
 	lengths *lengths
 	waiting *waiting
 	// leaving is set once the process is to end; running ends with End.
-	leaving atomic.Pointer[Stop]
+	leaving atomic.Pointer[Shutdown]
 	running context.Context
 	// cancelAll ends running.
 	cancelAll context.CancelCauseFunc
@@ -279,10 +279,10 @@
 }
 
 // Serve answers one request.
-func (r *Relay) Serve(ctx context.Context, q *Request, reply Reply) {
+func (r *Relay) Serve(ctx context.Context, q *Request, reply ResponseWriter) {
 	record := r.Records.Start(q.ID, "")
 	r.awaitStart(ctx, q)
-	r.News.Settle(ctx) // the declaration is old news as well
+	r.StoreView.Settle(ctx) // the declaration is old news as well
 	x, refusal := r.accept(q, reply, record)
 	if refusal == nil {
 		x.noteLeaving()
@@ -301,7 +301,7 @@
 }
 
 // accept finds the route and the account of a request.
-func (r *Relay) accept(q *Request, reply Reply, record *decision.Record) (*exchange, *Refusal) {
+func (r *Relay) accept(q *Request, reply ResponseWriter, record *decision.Record) (*exchange, *Refusal) {
 	c := r.Catalog()
 	if c.Version() == 0 {
 		return nil, refuse(ReasonNoConfiguration, comeBackAfterOutage, "no declaration is known yet")
@@ -334,6 +334,6 @@
 		service:  pickService(target, q),
 		deadline: q.Arrived.Add(held),
 		tried:    make(map[registry.Incarnation]bool),
-		after:    q.After,
+		after:    q.LastEventID,
 	}, nil
 }
--- a/relay/serve_test.go
+++ b/relay/serve_test.go
@@ -18,7 +18,7 @@
 // inTurn gives one answer after the other.
 type inTurn struct{ answers []given }
 
-func (b *inTurn) Send(context.Context, registry.Server, relay.Call) (relay.Answer, error) {
+func (b *inTurn) Send(context.Context, registry.Server, relay.Call) (relay.Response, error) {
 	a := b.answers[0]
 	b.answers = b.answers[1:]
 	return a, nil
--- a/relay/stall_test.go
+++ b/relay/stall_test.go
@@ -32,7 +32,7 @@
 	sent   []relay.Call
 }
 
-func (b *silentFirst) Send(ctx context.Context, _ registry.Server, call relay.Call) (relay.Answer, error) {
+func (b *silentFirst) Send(ctx context.Context, _ registry.Server, call relay.Call) (relay.Response, error) {
 	b.sent = append(b.sent, call)
 	switch {
 	case len(b.sent) > b.silent:
@@ -98,7 +98,7 @@
 // readsFirst answers once it has the whole request.
 type readsFirst struct{ sends int }
 
-func (b *readsFirst) Send(ctx context.Context, _ registry.Server, call relay.Call) (relay.Answer, error) {
+func (b *readsFirst) Send(ctx context.Context, _ registry.Server, call relay.Call) (relay.Response, error) {
 	b.sends++
 	if _, err := io.Copy(io.Discard, call.Request.Body.Reader()); err != nil || ctx.Err() != nil {
 		return nil, relay.Failed.New("body: %v, %v", err, ctx.Err())
@@ -114,7 +114,7 @@
 // slowAnswer answers after a few seconds.
 type slowAnswer struct{ sends int }
 
-func (b *slowAnswer) Send(ctx context.Context, _ registry.Server, _ relay.Call) (relay.Answer, error) {
+func (b *slowAnswer) Send(ctx context.Context, _ registry.Server, _ relay.Call) (relay.Response, error) {
 	b.sends++
 	time.Sleep(5 * time.Second)
 	if ctx.Err() != nil {
@@ -136,12 +136,12 @@
 
 // serveStream passes one request on a resumable route through a relay before
 // three servers.
-func serveStream(t *testing.T, backends relay.Backends, sent io.Reader, reply relay.Reply) {
+func serveStream(t *testing.T, backends relay.Backends, sent io.Reader, reply relay.ResponseWriter) {
 	serveStreamAt(t, threeServers{}, backends, sent, reply)
 }
 
 // serveStreamAt passes one request on a resumable route through a relay.
-func serveStreamAt(t *testing.T, servers relay.Servers, backends relay.Backends, sent io.Reader, reply relay.Reply) {
+func serveStreamAt(t *testing.T, servers relay.Servers, backends relay.Backends, sent io.Reader, reply relay.ResponseWriter) {
 	target := catalog.Route{Kind: catalog.KindStream, Timeout: time.Hour, Attempts: 3, Objective: 2 * time.Second, MaxPause: time.Second}
 	body, err := relay.NewBody(sent, -1)
 	must.NoError(t, err)
@@ -175,7 +175,7 @@
 				target := catalog.Route{Kind: tt.kind, Timeout: timeout, Attempts: 3, Objective: objective, MaxPause: time.Second}
 				got := &received{}
 				start := time.Now()
-				serve(t, target, relay.Parts{Backends: &tt.backends, Moves: tt.moves}, relay.Request{Body: noBody(t)}, got)
+				serve(t, target, relay.Parts{Backends: &tt.backends, Reroutes: tt.moves}, relay.Request{Body: noBody(t)}, got)
 				must.Eq(t, tt.want, got.String())
 				must.Eq(t, tt.sends, len(tt.backends.sent))
 				must.Less(t, tt.within, time.Since(start))
--- a/relay/start.go
+++ b/relay/start.go
@@ -23,11 +23,11 @@
 // holds. Clients come as soon as the door is open: refused, each would lose one of
 // its few tries to a process that could serve it a moment later.
 func (r *Relay) awaitStart(ctx context.Context, q *Request) {
-	if r.Started == nil {
+	if r.Ready == nil {
 		return
 	}
 	select {
-	case <-r.Started:
+	case <-r.Ready:
 		return
 	default:
 	}
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithDeadline(ctx, q.Arrived.Add(held))
 	defer cancel()
 	select {
-	case <-r.Started:
+	case <-r.Ready:
 	case <-ctx.Done():
 	}
 }
--- a/relay/start_test.go
+++ b/relay/start_test.go
@@ -17,7 +17,7 @@
 // instant is servers that answer at once.
 type instant struct{}
 
-func (instant) Send(context.Context, registry.Server, relay.Call) (relay.Answer, error) {
+func (instant) Send(context.Context, registry.Server, relay.Call) (relay.Response, error) {
 	return given{200, strings.NewReader("whole")}, nil
 }
 
@@ -45,7 +45,7 @@
 				started := make(chan struct{})
 				r := newRelay(t, catalog.Route{Kind: catalog.KindRepeatable, Timeout: time.Minute, Attempts: 1}, relay.Parts{
 					Backends: instant{},
-					Started:  started,
+					Ready:    started,
 				})
 				known := r.Catalog
 				r.Catalog = func() *catalog.Catalog {
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -6,26 +6,28 @@
 	"time"
 )
 
-// Stop is a planned end of the process. What begins after its signal is asked
+// Shutdown is a planned end of the process. What begins after its signal is asked
 // first whether it can be ended before the process ends (forecast.go): otherwise
 // it would be broken off in the middle.
-type Stop struct{ signal, late, end time.Time }
+type Shutdown struct{ signal, late, end time.Time }
 
-// NewStop returns the stop of a process that was asked to leave at the time of
+// NewShutdown returns the stop of a process that was asked to leave at the time of
 // the signal and ends whatever is left at the given end. What comes from late on
 // is taken only if its own time is over before the end, whatever is usual.
-func NewStop(signal, late, end time.Time) Stop { return Stop{signal: signal, late: late, end: end} }
+func NewShutdown(signal, late, end time.Time) Shutdown {
+	return Shutdown{signal: signal, late: late, end: end}
+}
 
 // errStopped ends what is still under way when the process ends.
 var errStopped = errors.New("the process ends")
 
-// Leave tells that the process is to end. From then on a request is passed on
+// Drain tells that the process is to end. From then on a request is passed on
 // only if its answer will be whole by then.
-func (r *Relay) Leave(s Stop) { r.leaving.Store(&s) }
+func (r *Relay) Drain(s Shutdown) { r.leaving.Store(&s) }
 
-// End ends all requests that are under way: each gets its final answer, or is
+// Close ends all requests that are under way: each gets its final answer, or is
 // broken off, and its server is left.
-func (r *Relay) End() { r.cancelAll(errStopped) }
+func (r *Relay) Close() { r.cancelAll(errStopped) }
 
 // ends reports whether work that takes so long is over when the process ends;
 // always where no end is near.
--- a/relay/stop_test.go
+++ b/relay/stop_test.go
@@ -35,7 +35,7 @@
 
 func newTimed() *timed { return &timed{breaksAfter: -1, left: make(chan error, 9)} }
 
-func (b *timed) Send(ctx context.Context, _ registry.Server, _ relay.Call) (relay.Answer, error) {
+func (b *timed) Send(ctx context.Context, _ registry.Server, _ relay.Call) (relay.Response, error) {
 	b.sends++
 	first := strings.NewReader("id: 1\n\n")
 	if after := b.breaksAfter; after >= 0 {
@@ -175,7 +175,7 @@
 	sent       []string
 }
 
-func (b *slowLarge) Send(ctx context.Context, _ registry.Server, call relay.Call) (relay.Answer, error) {
+func (b *slowLarge) Send(ctx context.Context, _ registry.Server, call relay.Call) (relay.Response, error) {
 	b.sent = append(b.sent, call.Model)
 	body := io.Reader(strings.NewReader("id: 1\n\n"))
 	if call.Model == "large" {
@@ -206,7 +206,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			backend := &slowLarge{}
 			target := catalog.Route{Kind: catalog.KindStream, Timeout: 2 * time.Hour, Attempts: 3, Models: threeModels}
-			r := newRelay(t, target, relay.Parts{Backends: backend, Moves: noMoves{}})
+			r := newRelay(t, target, relay.Parts{Backends: backend, Reroutes: noMoves{}})
 			for _, backend.confidence = range []float64{90, 90, 90, 45, 45, 45} {
 				ask(t, r, relay.Request{AnyModel: true, Body: noBody(t)}, &received{})
 			}
@@ -229,7 +229,7 @@
 			ask(t, s.relay, relay.Request{Body: noBody(t), Prompt: relay.Prompt{Tokens: 100, MaxOutput: 200}}, got)
 		}()
 		synctest.Wait()
-		s.relay.End()
+		s.relay.Close()
 		<-done
 		must.Eq(t, "id: 1\n\n", got.String())
 		must.True(t, got.broken)
@@ -248,7 +248,7 @@
 			b.follow(lasting(time.Second))
 			const left = 2 * streamTime
 			now := time.Now()
-			r.Leave(relay.NewStop(now.Add(-time.Second), now, now.Add(left)))
+			r.Drain(relay.NewShutdown(now.Add(-time.Second), now, now.Add(left)))
 			time.Sleep(time.Millisecond)
 			request, got := prompted(t), &received{}
 			request.TimeLeft = timeLeft
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -27,12 +27,12 @@
 }
 
 // content returns the digest of what servers are given of a request.
-func content(q *Request) uint64 { return suspect.Digest(q.Path, q.Body.Head(), q.Body.Length()) }
+func content(q *Request) uint64 { return suspect.Digest(q.Path, q.Body.Buffered(), q.Body.Length()) }
 
 // tests reports whether this request, which is refused, is the one that is sent once
 // more to see whether servers still end under it: to one server, once.
 func (x *exchange) tests(ctx context.Context) bool {
-	if x.tested || !x.relay.Suspects.Test(ctx, x.content()) {
+	if x.tested || !x.relay.Suspects.AllowTest(ctx, x.content()) {
 		return false
 	}
 	x.tested = true
@@ -46,7 +46,7 @@
 	if ctx.Err() != nil || x.request.Body.Err() != nil {
 		return
 	}
-	x.relay.Suspects.Lost(x.content(), use.Server().Incarnation().Hash())
+	x.relay.Suspects.ReportLost(x.content(), use.Server().Incarnation().Hash())
 	x.record.Note("lost", "at %s; content %016x, lost at %d servers", use.Server().ID, x.content(), x.relay.Suspects.Ends(x.content()))
 }
 
@@ -64,19 +64,19 @@
 
 // left takes note that this attempt was given up, though the server may run it on.
 func (x *exchange) left(use *route.Use) {
-	x.relay.Suspects.Left(x.content(), use.Server().Incarnation().Hash())
+	x.relay.Suspects.ReportAbandoned(x.content(), use.Server().Incarnation().Hash())
 }
 
 // goesOn takes note that something came of a server's answer to what was sent to it at a
 // time.
-func (x *exchange) goesOn(use *route.Use, sent time.Time, answer Answer) {
+func (x *exchange) goesOn(use *route.Use, sent time.Time, answer Response) {
 	if !x.relay.Suspects.Empty() {
-		x.relay.Suspects.Runs(use.Server().Incarnation().Hash(), sent, answer.Opened())
+		x.relay.Suspects.ReportProgress(use.Server().Incarnation().Hash(), sent, answer.ConnOpened())
 	}
 }
 
 // cleared takes note that a server has answered the request.
-func (x *exchange) cleared() { x.relay.Suspects.Answered(x.content()) }
+func (x *exchange) cleared() { x.relay.Suspects.ReportAnswered(x.content()) }
 
 // errTakenBack ends an attempt whose request is refused since it was sent.
 var errTakenBack = errors.New("servers end under the request")
@@ -84,9 +84,9 @@
 // takenBack reports whether an attempt was ended for that.
 func takenBack(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errTakenBack) }
 
-// TakeBack ends the attempts with a request that servers have not begun to answer:
+// CancelPending ends the attempts with a request that servers have not begun to answer:
 // they would end under it as well when its turn comes there.
-func (r *Relay) TakeBack(digest uint64) {
+func (r *Relay) CancelPending(digest uint64) {
 	for _, w := range r.waiting.all() {
 		if content(w.request) == digest {
 			w.cancel(errTakenBack)
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -47,8 +47,8 @@
 
 const deadly = "ends its server"
 
-func (c *crashing) Send(_ context.Context, server registry.Server, call relay.Call) (relay.Answer, error) {
-	if string(call.Request.Body.Head()) != deadly {
+func (c *crashing) Send(_ context.Context, server registry.Server, call relay.Call) (relay.Response, error) {
+	if string(call.Request.Body.Buffered()) != deadly {
 		return given{200, strings.NewReader("answer")}, nil
 	}
 	time.Sleep(c.runs)
@@ -67,13 +67,13 @@
 // suspects is a list that all nodes have in common.
 type suspects struct{ *suspect.List }
 
-func (s suspects) Lost(digest, server uint64) { s.List.Lost(digest, server, 0) }
-func (s suspects) Left(digest, server uint64) { s.List.Left(digest, server) }
-func (s suspects) Answered(digest uint64)     { s.List.Answered(digest) }
-func (s suspects) Runs(server uint64, sent, opened time.Time) {
+func (s suspects) ReportLost(digest, server uint64)      { s.List.Lost(digest, server, 0) }
+func (s suspects) ReportAbandoned(digest, server uint64) { s.List.Left(digest, server) }
+func (s suspects) ReportAnswered(digest uint64)          { s.List.Answered(digest) }
+func (s suspects) ReportProgress(server uint64, sent, opened time.Time) {
 	s.List.Runs(server, time.Since(sent), time.Since(opened))
 }
-func (s suspects) Test(context.Context, uint64) bool { return false }
+func (s suspects) AllowTest(context.Context, uint64) bool { return false }
 
 // TestDeadlyRequest is a client that sends a request again and again, each time to
 // another node, under which every server ends. On a day with such requests 60
@@ -123,7 +123,7 @@
 	tests int
 }
 
-func (o *onceMore) Test(context.Context, uint64) bool {
+func (o *onceMore) AllowTest(context.Context, uint64) bool {
 	o.tests--
 	return o.tests >= 0
 }
