--- a/relay/choose.go
+++ b/relay/choose.go
@@ -17,7 +17,7 @@
 	for _, t := range r.Targets {
 		total += t.Weight
 	}
-	at := rendezvous.Position(rendezvous.Hash(r.Name+"/"+q.key())) * total
+	at := rendezvous.Position(rendezvous.Hash(r.Name+"/"+q.hashKey())) * total
 	for _, t := range r.Targets {
 		if at -= t.Weight; at < 0 {
 			return t.Service
@@ -26,41 +26,41 @@
 	return r.Targets[len(r.Targets)-1].Service
 }
 
-// key is what decides by hash: the session, or else the request itself.
-func (q *Request) key() string {
+// hashKey is what decides by hash: the session, or else the request itself.
+func (q *Request) hashKey() string {
 	if q.Session != "" {
 		return q.Session
 	}
 	return q.ID
 }
 
-// chooses reports whether the system chooses the model.
-func (x *exchange) chooses() bool { return x.request.AnyModel && len(x.route.Models) > 0 }
+// systemChooses reports whether the system chooses the model.
+func (x *exchange) systemChooses() bool { return x.request.AnyModel && len(x.route.Models) > 0 }
 
 // chooseModel picks the model that answers next, where the client has nothing
 // yet. One whose answer could not be dropped for a better one is not asked.
 func (x *exchange) chooseModel() {
-	if !x.chooses() || x.begun {
+	if !x.systemChooses() || x.responseStarted {
 		return
 	}
-	mayEscalate := x.mayDrop(x.runs+1) && x.relay.Budgets.Allows(x.service, spareForRetries)
+	mayEscalate := x.mayRunAfter(x.runs+1) && x.relay.Budgets.Allows(x.service, retryReserve)
 	first := x.relay.Cascade.First(len(x.route.Models), mayEscalate)
 	switch {
-	case first <= x.step:
-	case !x.pays(first, noConfidence):
+	case first <= x.modelIndex:
+	case !x.worthAsking(first, confidenceUnknown):
 		x.record.Note("model", "%s, though nothing may follow: %s would be late", x.model(), x.route.Models[first])
 	default:
-		x.step = first
+		x.modelIndex = first
 		x.record.Note("model", "%s at once, since nothing may follow", x.model())
 	}
 }
 
-// pays reports whether the model at a step is worth asking in place of an
+// worthAsking reports whether the model at a step is worth asking in place of an
 // answer of the given confidence, by the load that there is.
-func (x *exchange) pays(step int, confidence float64) bool {
-	before := x.step
-	defer func() { x.step = before }()
-	x.step = step
+func (x *exchange) worthAsking(step int, confidence float64) bool {
+	before := x.modelIndex
+	defer func() { x.modelIndex = before }()
+	x.modelIndex = step
 	servers, _ := x.servers()
 	forecast := x.relay.Balancer.Forecast(x.task(servers))
 	offer := cascade.Offer{
@@ -70,7 +70,7 @@
 		Left:       x.route.Objective - x.elapsed(),
 		Objective:  x.route.Objective,
 	}
-	length, known := x.length()
+	length, known := x.bodyDuration()
 	pays := x.relay.Cascade.Pays(offer) && x.relay.endsInTime(x.deadline, forecast.Total()+length, known)
 	x.record.Note("offer", "%s for confidence %.0f: %d ms, of it %d waiting, %d left: %t", x.model(), confidence,
 		forecast.Total().Milliseconds(), forecast.Wait.Milliseconds(), offer.Left.Milliseconds(), pays)
@@ -79,10 +79,10 @@
 
 // model is the one that the system chose; "" leaves it to the client.
 func (x *exchange) model() string {
-	if !x.chooses() {
+	if !x.systemChooses() {
 		return ""
 	}
-	return x.route.Models[x.step]
+	return x.route.Models[x.modelIndex]
 }
 
 // choose picks the server of the next attempt.
@@ -91,7 +91,7 @@
 	x.version = version
 	use, err := x.relay.Balancer.Choose(x.task(servers))
 	if err != nil {
-		return nil, "", refuse(ReasonNoServer, comeBackSoon, "service %s, %d known, %d tried: %v", x.service, x.known, len(x.tried), err)
+		return nil, "", refusalf(ReasonNoServer, retrySoon, "service %s, %d known, %d tried: %v", x.service, x.knownServers, len(x.tried), err)
 	}
 	x.tried[use.Server().Incarnation()] = true
 	x.record.Choose(x.model(), version, use.Server().ID)
@@ -103,9 +103,9 @@
 func (x *exchange) servers() ([]registry.Server, string) {
 	known := x.relay.Servers.Servers(x.service)
 	left := x.untried(known)
-	x.known = len(known)
-	x.others = len(left) - 1
-	return x.relay.Versions.Choose(x.service, x.request.key(), x.version, left)
+	x.knownServers = len(known)
+	x.otherServers = len(left) - 1
+	return x.relay.Versions.Choose(x.service, x.request.hashKey(), x.version, left)
 }
 
 // untried returns the servers that have not had the request. Versions are
--- a/relay/estimates_test.go
+++ b/relay/estimates_test.go
@@ -14,7 +14,7 @@
 
 // TestEstimatesAreRead: what a decision tells of its estimates is in the form
 // that package accuracy reads.
-func TestEstimatesAreRead(t *testing.T) {
+func TestDecisionStepsParse(t *testing.T) {
 	const answered, unanswered = "35 to 50", "no answer yet"
 	tests := []struct {
 		name     string
@@ -31,8 +31,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Attempts: tt.attempts, Models: threeModels}
 			records := decision.New("n")
-			parts := relay.Parts{Backends: &modelsAsked{}, Reroutes: noMoves{}, Records: records}
-			serve(t, target, parts, relay.Request{AnyModel: tt.anyModel, Body: noBody(t)}, &received{})
+			parts := relay.Parts{Backends: &modelRecorder{}, Reroutes: noReroutes{}, Records: records}
+			serve(t, target, parts, relay.Request{AnyModel: tt.anyModel, Body: emptyBody(t)}, &recorder{})
 			summary, ok := records.Find("1")
 			must.True(t, ok)
 			table := accuracy.New()
--- a/relay/events.go
+++ b/relay/events.go
@@ -15,43 +15,43 @@
 	id string
 }
 
-// maxEvent bounds one event in bytes. Those of the deployments have some
+// maxEventSize bounds one event in bytes. Those of the deployments have some
 // hundred.
-const maxEvent = 1 << 20
+const maxEventSize = 1 << 20
 
 // events splits a stream (WHATWG HTML, "Server-sent events") into events.
 type events struct {
 	body io.Reader
-	// buffer holds what was read and is not yet a whole event.
-	buffer []byte
-	chunk  []byte
+	// unparsed holds what was read and is not yet a whole event.
+	unparsed   []byte
+	readBuffer []byte
 }
 
 // newEvents returns the events of a stream.
 func newEvents(body io.Reader) *events {
-	return &events{body: body, chunk: make([]byte, chunk)}
+	return &events{body: body, readBuffer: make([]byte, readSize)}
 }
 
-// errCutEvent says that a stream ended within an event.
-var errCutEvent = errors.New("stream ended within an event")
+// errTruncatedEvent says that a stream ended within an event.
+var errTruncatedEvent = errors.New("stream ended within an event")
 
 // next returns the next whole event, io.EOF after the last.
 func (e *events) next() (event, error) {
 	for {
-		if end := eventEnd(e.buffer); end > 0 {
-			raw := bytes.Clone(e.buffer[:end])
-			e.buffer = e.buffer[end:]
+		if end := eventEnd(e.unparsed); end > 0 {
+			raw := bytes.Clone(e.unparsed[:end])
+			e.unparsed = e.unparsed[end:]
 			return event{raw: raw, id: eventID(raw)}, nil
 		}
-		if len(e.buffer) > maxEvent {
+		if len(e.unparsed) > maxEventSize {
 			return event{}, errors.New("event is too large")
 		}
-		n, err := e.body.Read(e.chunk)
-		e.buffer = append(e.buffer, e.chunk[:n]...)
+		n, err := e.body.Read(e.readBuffer)
+		e.unparsed = append(e.unparsed, e.readBuffer[:n]...)
 		switch {
 		case n > 0:
-		case errors.Is(err, io.EOF) && len(e.buffer) > 0:
-			return event{}, errCutEvent
+		case errors.Is(err, io.EOF) && len(e.unparsed) > 0:
+			return event{}, errTruncatedEvent
 		case err != nil:
 			return event{}, err
 		}
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -18,7 +18,7 @@
 type exchange struct {
 	relay    *Relay
 	request  *Request
-	reply    ResponseWriter
+	writer   ResponseWriter
 	record   *decision.Record
 	route    *catalog.Route
 	account  string
@@ -27,33 +27,33 @@
 
 	// version is the side of a roll-out that the request fell on first.
 	version string
-	// step is the index of the model among the route's.
-	step int
+	// modelIndex is the index of the model among the route's.
+	modelIndex int
 	// tried are the servers that got the request, sends how often it was
 	// offered, runs how many servers may have run it.
 	tried map[registry.Incarnation]bool
 	sends int
 	runs  int
-	// known is how many servers the service had when the last one was chosen,
+	// knownServers is how many servers the service had when the last one was chosen,
 	// others how many could have the request after that attempt.
-	known  int
-	others int
-	// begun says that the client has the head of an answer, after which is the
+	knownServers int
+	otherServers int
+	// responseStarted says that the client has the head of an answer, after which is the
 	// last event that it has, "" for none.
-	begun bool
-	after string
-	// head is when the head of the last answer came; whole says that the answer
+	responseStarted bool
+	lastEventID     string
+	// headReceived is when the head of the last answer came; whole says that the answer
 	// begins with the first event.
-	head  time.Time
-	whole bool
-	// quiet is since when the last attempt that was taken away had waited.
-	quiet time.Time
-	// first is how long the first piece of the answer took; zero until then.
-	first time.Duration
+	headReceived   time.Time
+	fromFirstEvent bool
+	// silentSince is since when the last attempt that was taken away had waited.
+	silentSince time.Time
+	// firstByte is how long the first piece of the answer took; zero until then.
+	firstByte time.Duration
 	// digest names what servers are given of the request; zero until asked for.
 	digest uint64
-	// tested says that the request was sent though it is refused.
-	tested bool
+	// testSent says that the request was sent though it is refused.
+	testSent bool
 }
 
 // run makes attempts until the client has its answer. A refusal that it
@@ -62,16 +62,16 @@
 	x.relay.Budgets.Paid(x.service)
 	x.relay.Reroutes.Paid(x.service)
 	x.chooseModel()
-	if !x.fits() {
-		return x.refuseLeaving("the answer would not be whole before its end")
+	if !x.endsBeforeShutdown() {
+		return x.shutdownRefusal("the answer would not be whole before its end")
 	}
 	for {
-		if x.suspected() && !x.tests(ctx) {
-			return x.give(refuse(ReasonSuspected, 0, "servers ended while they ran this request, content %016x; it is sent to no other one", x.content()))
+		if x.suspected() && !x.takeTest(ctx) {
+			return x.deliver(refusalf(ReasonSuspected, 0, "servers ended while they ran this request, content %016x; it is sent to no other one", x.contentDigest()))
 		}
 		use, version, refusal := x.choose()
 		if refusal != nil {
-			return x.give(refusal)
+			return x.deliver(refusal)
 		}
 		f := x.attempt(ctx, use, version)
 		if f == nil {
@@ -81,8 +81,8 @@
 		if !f.escalates {
 			x.record.Note("failed", "%s at %s: %s", f.reason, use.Server().ID, f.cause)
 		}
-		if refusal := x.next(ctx, f); refusal != nil {
-			return x.give(refusal)
+		if refusal := x.afterFailure(ctx, f); refusal != nil {
+			return x.deliver(refusal)
 		}
 		x.relay.StoreView.Settle(ctx)
 	}
@@ -94,22 +94,22 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	server := use.Server()
-	x.relay.Versions.Begin(x.service, version, x.request.key())
-	defer x.relay.Versions.End(x.service, version, x.request.key())
+	x.relay.Versions.Begin(x.service, version, x.request.hashKey())
+	defer x.relay.Versions.End(x.service, version, x.request.hashKey())
 	x.sends++
-	x.whole = x.after == ""
+	x.fromFirstEvent = x.lastEventID == ""
 	age := x.relay.StoreView.Age()
 	x.relay.Counters.Sent(age)
 	x.record.Note("send", "to %s in %s, model %s, %d of %d tokens held, after event %q, %d ms left, by revision %d, %d ms old",
-		server.ID, server.DataHall, x.model(), use.Held(), x.request.Prompt.Tokens, x.after, time.Until(x.deadline).Milliseconds(),
+		server.ID, server.DataHall, x.model(), use.Held(), x.request.Prompt.Tokens, x.lastEventID, time.Until(x.deadline).Milliseconds(),
 		x.relay.StoreView.Revision(), age.Milliseconds())
 	sent := time.Now()
-	stopWaiting := x.relay.waiting.add(x.request, cancel)
-	watch := x.watch(use, cancel)
+	stopWaiting := x.relay.pending.add(x.request, cancel)
+	watch := x.startWatchdog(use, cancel)
 	defer watch.stop()
 	defer func() {
 		if stalled(ctx) {
-			x.quiet = watch.from
+			x.silentSince = watch.since
 		}
 	}()
 	answer, err := x.relay.Backends.Send(ctx, server, Call{
@@ -117,28 +117,28 @@
 		Account:     x.account,
 		TimeLeft:    time.Until(x.deadline),
 		Model:       x.model(),
-		LastEventID: x.after,
-		SilentSince: x.quiet,
+		LastEventID: x.lastEventID,
+		SilentSince: x.silentSince,
 		// Between the choice and the first byte lie a dial, and whatever keeps this
 		// process from running.
 		Stale: func() bool { return x.relay.StoreView.InDoubt() || !x.relay.Servers.Usable(server.Incarnation()) },
 	})
 	stopWaiting()
-	x.countVersion(ctx, use, version, answer, time.Since(sent))
-	f := x.judge(ctx, use, sent, answer, err)
+	x.recordVersionSample(ctx, use, version, answer, time.Since(sent))
+	f := x.checkHead(ctx, use, sent, answer, err)
 	if answer != nil {
 		defer answer.Close()
 	}
 	if f != nil {
 		return f
 	}
-	return x.pass(ctx, use, sent, answer, watch)
+	return x.forward(ctx, use, sent, answer, watch)
 }
 
 // finish ends the record of a request.
 func (x *exchange) finish(outcome string) {
-	if x.first > 0 {
-		x.record.Note("first byte", "after %d ms", x.first.Milliseconds())
+	if x.firstByte > 0 {
+		x.record.Note("first byte", "after %d ms", x.firstByte.Milliseconds())
 	}
 	x.record.End(outcome)
 }
--- a/relay/harness_test.go
+++ b/relay/harness_test.go
@@ -55,9 +55,9 @@
 	must.NoError(t, err)
 	parts.Catalog = func() *catalog.Catalog { return c }
 	parts.Servers = cmp.Or[relay.Servers](parts.Servers, threeServers{})
-	parts.Budgets = cmp.Or[relay.Budgets](parts.Budgets, noBound{})
-	parts.Reroutes = cmp.Or[relay.Budgets](parts.Reroutes, noBound{})
-	parts.StoreView = cmp.Or[relay.StoreView](parts.StoreView, noNews{})
+	parts.Budgets = cmp.Or[relay.Budgets](parts.Budgets, unlimitedBudget{})
+	parts.Reroutes = cmp.Or[relay.Budgets](parts.Reroutes, unlimitedBudget{})
+	parts.StoreView = cmp.Or[relay.StoreView](parts.StoreView, freshView{})
 	parts.Suspects = cmp.Or[relay.Suspects](parts.Suspects, noSuspects{})
 	parts.Versions = cmp.Or[relay.Versions](parts.Versions, noRollout{})
 	parts.Counters = noCounters{}
@@ -67,8 +67,8 @@
 	return relay.New(parts)
 }
 
-// noBody is that of a request without one.
-func noBody(t *testing.T) *relay.Body {
+// emptyBody is that of a request without one.
+func emptyBody(t *testing.T) *relay.Body {
 	body, err := relay.NewBody(strings.NewReader(""), 0)
 	must.NoError(t, err)
 	return body
@@ -86,13 +86,13 @@
 func (noSuspects) ReportAnswered(uint64)                       {}
 func (noSuspects) ReportProgress(uint64, time.Time, time.Time) {}
 
-// noNews is of a process that knows all there is.
-type noNews struct{}
+// freshView is of a process that knows all there is.
+type freshView struct{}
 
-func (noNews) Revision() int64        { return 1 }
-func (noNews) Age() time.Duration     { return 0 }
-func (noNews) InDoubt() bool          { return false }
-func (noNews) Settle(context.Context) {}
+func (freshView) Revision() int64        { return 1 }
+func (freshView) Age() time.Duration     { return 0 }
+func (freshView) InDoubt() bool          { return false }
+func (freshView) Settle(context.Context) {}
 
 // threeServers are all there are.
 type threeServers struct{ allUsable }
@@ -116,17 +116,17 @@
 func (noRollout) End(_, _, _ string)                  {}
 func (noRollout) Count(_, _ string, _ rollout.Answer) {}
 
-// noBound lets every request be sent again.
-type noBound struct{}
+// unlimitedBudget lets every request be sent again.
+type unlimitedBudget struct{}
 
-func (noBound) Paid(string)                 {}
-func (noBound) Take(string, float64) bool   { return true }
-func (noBound) Allows(string, float64) bool { return true }
+func (unlimitedBudget) Paid(string)                 {}
+func (unlimitedBudget) Take(string, float64) bool   { return true }
+func (unlimitedBudget) Allows(string, float64) bool { return true }
 
-// noMoves allows no request to be moved.
-type noMoves struct{ noBound }
+// noReroutes allows no request to be moved.
+type noReroutes struct{ unlimitedBudget }
 
-func (noMoves) Take(string, float64) bool { return false }
+func (noReroutes) Take(string, float64) bool { return false }
 
 type noCounters struct{}
 
@@ -137,34 +137,34 @@
 func (noCounters) Sent(time.Duration)                                  {}
 func (noCounters) Completed(string, int, time.Duration, time.Duration) {}
 
-// given is a server's answer.
-type given struct {
+// response is a server's answer.
+type response struct {
 	status int
 	body   io.Reader
 }
 
-func (a given) Status() int                 { return a.status }
-func (a given) Header() http.Header         { return http.Header{} }
-func (a given) Declined() bool              { return false }
-func (a given) Confidence() (float64, bool) { return 0, false }
-func (a given) Load() (route.Load, bool)    { return route.Load{}, false }
-func (a given) RetryAfter() time.Duration   { return 0 }
-func (a given) ConnOpened() time.Time       { return time.Time{} }
-func (a given) Body() io.Reader             { return a.body }
-func (a given) Close()                      {}
-
-// received is what a client gets.
-type received struct {
+func (a response) Status() int                 { return a.status }
+func (a response) Header() http.Header         { return http.Header{} }
+func (a response) Declined() bool              { return false }
+func (a response) Confidence() (float64, bool) { return 0, false }
+func (a response) Load() (route.Load, bool)    { return route.Load{}, false }
+func (a response) RetryAfter() time.Duration   { return 0 }
+func (a response) ConnOpened() time.Time       { return time.Time{} }
+func (a response) Body() io.Reader             { return a.body }
+func (a response) Close()                      {}
+
+// recorder is what a client gets.
+type recorder struct {
 	bytes.Buffer
 	status  int
-	broken  bool
+	aborted bool
 	refusal *relay.Refusal
 }
 
-func (r *received) WriteHeader(a relay.Response) { r.status = a.Status() }
-func (r *received) Write(p []byte) error {
+func (r *recorder) WriteHeader(a relay.Response) { r.status = a.Status() }
+func (r *recorder) Write(p []byte) error {
 	r.Buffer.Write(p)
 	return nil
 }
-func (r *received) Refuse(refusal *relay.Refusal) { r.refusal = refusal }
-func (r *received) Abort()                        { r.broken = true }
+func (r *recorder) Refuse(refusal *relay.Refusal) { r.refusal = refusal }
+func (r *recorder) Abort()                        { r.aborted = true }
--- a/relay/models_test.go
+++ b/relay/models_test.go
@@ -16,33 +16,33 @@
 // threeModels are those of a route on which the system chooses.
 var threeModels = []string{"small", "middle", "large"}
 
-// modelsAsked notes which models were asked; all answers are unsure.
-type modelsAsked struct {
+// modelRecorder notes which models were asked; all answers are unsure.
+type modelRecorder struct {
 	fail int
 	sent []string
 }
 
-type unsure struct{ given }
+type unsureResponse struct{ response }
 
-func (unsure) Confidence() (float64, bool) { return 45, true }
+func (unsureResponse) Confidence() (float64, bool) { return 45, true }
 
-func (b *modelsAsked) Send(_ context.Context, _ registry.Server, call relay.Call) (relay.Response, error) {
+func (b *modelRecorder) Send(_ context.Context, _ registry.Server, call relay.Call) (relay.Response, error) {
 	b.sent = append(b.sent, call.Model)
 	if len(b.sent) <= b.fail {
-		return given{500, strings.NewReader("")}, nil
+		return response{500, strings.NewReader("")}, nil
 	}
-	return unsure{given{200, strings.NewReader("id: 1\n\n")}}, nil
+	return unsureResponse{response{200, strings.NewReader("id: 1\n\n")}}, nil
 }
 
-// noRepeats has no budget for repeats left.
-type noRepeats struct{ noBound }
+// noRetryBudget has no budget for repeats left.
+type noRetryBudget struct{ unlimitedBudget }
 
-func (noRepeats) Take(string, float64) bool   { return false }
-func (noRepeats) Allows(string, float64) bool { return false }
+func (noRetryBudget) Take(string, float64) bool   { return false }
+func (noRetryBudget) Allows(string, float64) bool { return false }
 
 // TestModelsAsked: the model that answers last is the costliest, whatever came
 // before it.
-func TestModelsAsked(t *testing.T) {
+func TestModelOrder(t *testing.T) {
 	tests := []struct {
 		name     string
 		attempts int
@@ -50,19 +50,19 @@
 		budgets  relay.Budgets
 		want     []string
 	}{
-		{"one after the other", 3, 0, noBound{}, []string{"small", "middle", "large"}},
-		{"two attempts", 2, 0, noBound{}, []string{"small", "large"}},
-		{"one attempt", 1, 0, noBound{}, []string{"large"}},
-		{"a failure leaves two", 3, 1, noBound{}, []string{"small", "small", "large"}},
-		{"two failures leave one", 3, 2, noBound{}, []string{"small", "small", "large"}},
-		{"no budget for repeats", 3, 0, noRepeats{}, []string{"large"}},
+		{"one after the other", 3, 0, unlimitedBudget{}, []string{"small", "middle", "large"}},
+		{"two attempts", 2, 0, unlimitedBudget{}, []string{"small", "large"}},
+		{"one attempt", 1, 0, unlimitedBudget{}, []string{"large"}},
+		{"a failure leaves two", 3, 1, unlimitedBudget{}, []string{"small", "small", "large"}},
+		{"two failures leave one", 3, 2, unlimitedBudget{}, []string{"small", "small", "large"}},
+		{"no budget for repeats", 3, 0, noRetryBudget{}, []string{"large"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Attempts: tt.attempts, Models: threeModels}
-			backends := &modelsAsked{fail: tt.fail}
-			parts := relay.Parts{Backends: backends, Budgets: tt.budgets, Reroutes: noMoves{}}
-			serve(t, target, parts, relay.Request{AnyModel: true, Body: noBody(t)}, &received{})
+			backends := &modelRecorder{fail: tt.fail}
+			parts := relay.Parts{Backends: backends, Budgets: tt.budgets, Reroutes: noReroutes{}}
+			serve(t, target, parts, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
 			must.Eq(t, tt.want, backends.sent)
 		})
 	}
--- a/relay/judge.go
+++ b/relay/outcome.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// spareForRetries is the share of the budget for repeats that cascades
+	// retryReserve is the share of the budget for repeats that cascades
 	// leave to requests which got no answer at all.
-	spareForRetries = 0.25
-	// noConfidence stands for that of an answer which is not there: it would be
+	retryReserve = 0.25
+	// confidenceUnknown stands for that of an answer which is not there: it would be
 	// as often poor as not.
-	noConfidence = 50
-	// leastTime is the time that a further attempt must have left to be worth
+	confidenceUnknown = 50
+	// minAttemptTime is the time that a further attempt must have left to be worth
 	// making; the quickest answers take about that long.
-	leastTime = 50 * time.Millisecond
+	minAttemptTime = 50 * time.Millisecond
 )
 
-// countVersion takes an answer as evidence on a version. Only what the server
+// recordVersionSample takes an answer as evidence on a version. Only what the server
 // itself answered counts, and how long it took to begin, or had taken when it
 // was given up as late.
-func (x *exchange) countVersion(ctx context.Context, use *route.Use, version string, answer Response, wait time.Duration) {
+func (x *exchange) recordVersionSample(ctx context.Context, use *route.Use, version string, answer Response, wait time.Duration) {
 	late := answer == nil && stalled(ctx)
 	if version == "" || (answer == nil && !late) || (answer != nil && answer.Declined()) {
 		return
 	}
 	x.relay.Versions.Count(x.service, version, rollout.Answer{
 		Kind:      x.kind(),
-		Failed:    !late && failed(answer),
+		Failed:    !late && isServerError(answer),
 		Wait:      wait,
 		Expected:  use.Takes(),
 		Late:      late,
@@ -44,10 +44,10 @@
 	})
 }
 
-// judge decides on the head of an answer. Nil lets the answer go out.
-func (x *exchange) judge(ctx context.Context, use *route.Use, sent time.Time, answer Response, err error) *failure {
+// checkHead decides on the head of an answer. Nil lets the answer go out.
+func (x *exchange) checkHead(ctx context.Context, use *route.Use, sent time.Time, answer Response, err error) *failure {
 	if err != nil {
-		return x.judgeError(ctx, use, err)
+		return x.classifyError(ctx, use, err)
 	}
 	if load, ok := answer.Load(); ok {
 		use.Tell(load)
@@ -57,60 +57,60 @@
 		use.End(route.OutcomeDeclined)
 		return &failure{reason: ReasonDeclined, retryAfter: answer.RetryAfter(), cause: http.StatusText(answer.Status())}
 	}
-	x.goesOn(use, sent, answer)
+	x.reportProgress(use, sent, answer)
 	x.record.Note("head", "after %d ms, expected %d, of it %d waiting; confidence %s of %s",
-		time.Since(sent).Milliseconds(), use.Expected().Milliseconds(), use.Waits().Milliseconds(), confidence(answer), x.model())
-	x.head = time.Now()
+		time.Since(sent).Milliseconds(), use.Expected().Milliseconds(), use.Waits().Milliseconds(), formatConfidence(answer), x.model())
+	x.headReceived = time.Now()
 	use.Begin()
-	use.Failed(failed(answer))
+	use.Failed(isServerError(answer))
 	x.runs++
-	if x.begun && answer.Status() != http.StatusOK {
+	if x.responseStarted && answer.Status() != http.StatusOK {
 		// The client is in the middle of a stream, which nothing but the rest
 		// of it may follow.
 		use.End(route.OutcomeNeutral)
 		return &failure{reason: ReasonServerFailed, ran: true, cause: "resumed stream: " + http.StatusText(answer.Status())}
 	}
-	if failed(answer) && x.mayRunAgain() && x.mayReplace() && x.relay.Budgets.Take(x.service, 0) {
+	if isServerError(answer) && x.mayRunAgain() && x.mayReplaceResponse() && x.relay.Budgets.Take(x.service, 0) {
 		use.End(route.OutcomeNeutral)
-		return &failure{reason: ReasonServerFailed, ran: true, paid: true, cause: http.StatusText(answer.Status())}
+		return &failure{reason: ReasonServerFailed, ran: true, budgetTaken: true, cause: http.StatusText(answer.Status())}
 	}
 	if next, ok := x.escalation(answer); ok {
 		use.End(route.OutcomeOK)
-		x.left(use)
-		x.step = next
+		x.reportAbandoned(use)
+		x.modelIndex = next
 		return &failure{escalates: true, ran: true}
 	}
 	return nil
 }
 
-// confidence shows a model's opinion of its answer.
-func confidence(answer Response) string {
+// formatConfidence shows a model's opinion of its answer.
+func formatConfidence(answer Response) string {
 	if value, told := answer.Confidence(); told {
 		return strconv.FormatFloat(value, 'f', 0, 64)
 	}
 	return "none"
 }
 
-// failed reports whether an answer is a failure of the server's own.
-func failed(a Response) bool { return a.Status() >= http.StatusInternalServerError }
+// isServerError reports whether an answer is a failure of the server's own.
+func isServerError(a Response) bool { return a.Status() >= http.StatusInternalServerError }
 
-// judgeError decides on an attempt without an answer.
-func (x *exchange) judgeError(ctx context.Context, use *route.Use, err error) *failure {
+// classifyError decides on an attempt without an answer.
+func (x *exchange) classifyError(ctx context.Context, use *route.Use, err error) *failure {
 	if stalled(ctx) {
 		use.Stall()
-		x.left(use)
+		x.reportAbandoned(use)
 		x.runs++
-		return stall()
+		return stalledFailure()
 	}
-	if takenBack(ctx) {
+	if canceledAsSuspected(ctx) {
 		use.End(route.OutcomeNeutral)
 		x.runs++
-		return &failure{reason: ReasonSuspected, ran: true, paid: true, cause: errTakenBack.Error()}
+		return &failure{reason: ReasonSuspected, ran: true, budgetTaken: true, cause: errSuspected.Error()}
 	}
 	if errorx.IsOfType(err, StaleChoice) {
 		use.End(route.OutcomeNeutral)
 		delete(x.tried, use.Server().Incarnation()) // it has got nothing
-		return &failure{reason: ReasonOvertaken, paid: true, cause: err.Error()}
+		return &failure{reason: ReasonOvertaken, budgetTaken: true, cause: err.Error()}
 	}
 	outcome := route.OutcomeFailed
 	if errors.Is(ctx.Err(), context.Canceled) {
@@ -122,25 +122,25 @@
 	}
 	x.runs++
 	if ctx.Err() != nil {
-		x.left(use)
+		x.reportAbandoned(use)
 	}
-	x.lost(ctx, use)
+	x.reportLost(ctx, use)
 	reason := ReasonServerFailed
 	if x.request.Body.Err() != nil {
 		reason = ReasonBodyBroken
 	}
-	return &failure{reason: reason, ran: true, lost: ctx.Err() == nil, cause: err.Error()}
+	return &failure{reason: reason, ran: true, serverLost: ctx.Err() == nil, cause: err.Error()}
 }
 
 // escalation returns the model to ask in place of an answer that a model has
 // too little confidence in.
 func (x *exchange) escalation(answer Response) (next int, ok bool) {
 	confidence, told := answer.Confidence()
-	if !x.chooses() || !told || answer.Status() != http.StatusOK || x.begun || !x.mayRunAgain() {
+	if !x.systemChooses() || !told || answer.Status() != http.StatusOK || x.responseStarted || !x.mayRunAgain() {
 		return 0, false
 	}
-	last := !x.mayDrop(x.runs + 1)
-	next, ok = x.relay.Cascade.Next(len(x.route.Models), x.step, confidence, last)
+	last := !x.mayRunAfter(x.runs + 1)
+	next, ok = x.relay.Cascade.Next(len(x.route.Models), x.modelIndex, confidence, last)
 	if !ok {
 		return 0, false
 	}
@@ -153,10 +153,10 @@
 		}
 	}()
 	switch {
-	case !x.pays(next, confidence):
+	case !x.worthAsking(next, confidence):
 		x.record.Note("keep", "confidence %.0f of %s, but %s does not pay", confidence, x.model(), x.route.Models[next])
 		return 0, false
-	case !x.relay.Budgets.Take(x.service, spareForRetries):
+	case !x.relay.Budgets.Take(x.service, retryReserve):
 		x.record.Note("keep", "confidence %.0f of %s, but the budget for repeats is used up", confidence, x.model())
 		return 0, false
 	}
@@ -168,9 +168,9 @@
 // mayRunAgain reports whether another server may run the request, beside the
 // ones that have.
 func (x *exchange) mayRunAgain() bool {
-	return x.route.Repeatable() && x.runs < x.route.Attempts && time.Until(x.deadline) > leastTime && x.request.Body.Replayable()
+	return x.route.Repeatable() && x.runs < x.route.Attempts && time.Until(x.deadline) > minAttemptTime && x.request.Body.Replayable()
 }
 
-// mayDrop reports whether another run may follow once the given number of
+// mayRunAfter reports whether another run may follow once the given number of
 // servers has run the request.
-func (x *exchange) mayDrop(runs int) bool { return x.route.Repeatable() && runs < x.route.Attempts }
+func (x *exchange) mayRunAfter(runs int) bool { return x.route.Repeatable() && runs < x.route.Attempts }
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -21,18 +21,18 @@
 		name    string
 		budgets relay.Budgets
 	}{
-		{"escalations", noBound{}},
-		{"no budget for repeats", noRepeats{}},
+		{"escalations", unlimitedBudget{}},
+		{"no budget for repeats", noRetryBudget{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				balancer, backends := route.NewBalancer("", func(string) {}), &modelsAsked{}
+				balancer, backends := route.NewBalancer("", func(string) {}), &modelRecorder{}
 				target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Objective: time.Second, Attempts: 3, Models: threeModels}
-				parts := relay.Parts{Balancer: balancer, Budgets: tt.budgets, Reroutes: noMoves{}, Backends: backends}
+				parts := relay.Parts{Balancer: balancer, Budgets: tt.budgets, Reroutes: noReroutes{}, Backends: backends}
 				ask := func() []string {
 					backends.sent = nil
-					serve(t, target, parts, relay.Request{AnyModel: true, Body: noBody(t)}, &received{})
+					serve(t, target, parts, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
 					return backends.sent
 				}
 				var busy []*route.Use
@@ -52,10 +52,10 @@
 	}
 }
 
-// firstOnly is a roll-out that lets requests go to the first server alone.
-type firstOnly struct{ noRollout }
+// firstServerOnly is a roll-out that lets requests go to the first server alone.
+type firstServerOnly struct{ noRollout }
 
-func (firstOnly) Choose(_, _, _ string, s []registry.Server) ([]registry.Server, string) {
+func (firstServerOnly) Choose(_, _, _ string, s []registry.Server) ([]registry.Server, string) {
 	return s[:1], "v1"
 }
 
@@ -63,12 +63,12 @@
 // servers that may get the request; idle ones of another version do not count.
 func TestOverloadInRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		balancer, backends := route.NewBalancer("", func(string) {}), &modelsAsked{}
+		balancer, backends := route.NewBalancer("", func(string) {}), &modelRecorder{}
 		target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Objective: time.Second, Attempts: 3, Models: threeModels}
 		_, err := balancer.Choose(route.Task{Servers: threeServers{}.Servers("")[:1], Tokens: 1, Assumed: route.Assumption{Rate: 5000}})
 		must.NoError(t, err)
-		parts := relay.Parts{Balancer: balancer, Versions: firstOnly{}, Reroutes: noMoves{}, Backends: backends}
-		serve(t, target, parts, relay.Request{AnyModel: true, Body: noBody(t)}, &received{})
+		parts := relay.Parts{Balancer: balancer, Versions: firstServerOnly{}, Reroutes: noReroutes{}, Backends: backends}
+		serve(t, target, parts, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
 		must.Eq(t, []string{"small"}, backends.sent)
 	})
 }
--- a/relay/start_test.go
+++ b/relay/ready_test.go
@@ -14,16 +14,16 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// instant is servers that answer at once.
-type instant struct{}
+// instantBackends is servers that answer at once.
+type instantBackends struct{}
 
-func (instant) Send(context.Context, registry.Server, relay.Call) (relay.Response, error) {
-	return given{200, strings.NewReader("whole")}, nil
+func (instantBackends) Send(context.Context, registry.Server, relay.Call) (relay.Response, error) {
+	return response{200, strings.NewReader("whole")}, nil
 }
 
-// TestAskedWhileStarting lists when a process that has just started knows what the
+// TestRequestBeforeReady lists when a process that has just started knows what the
 // store holds, and what becomes of a request that came before.
-func TestAskedWhileStarting(t *testing.T) {
+func TestRequestBeforeReady(t *testing.T) {
 	const never = time.Hour
 	tests := []struct {
 		name string
@@ -44,7 +44,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				started := make(chan struct{})
 				r := newRelay(t, catalog.Route{Kind: catalog.KindRepeatable, Timeout: time.Minute, Attempts: 1}, relay.Parts{
-					Backends: instant{},
+					Backends: instantBackends{},
 					Ready:    started,
 				})
 				known := r.Catalog
@@ -59,9 +59,9 @@
 				timer := time.AfterFunc(tt.told, func() { close(started) })
 				defer timer.Stop()
 				began := time.Now()
-				reply := &received{}
+				reply := &recorder{}
 				synctest.Wait()
-				ask(t, r, relay.Request{Body: noBody(t), TimeLeft: tt.left}, reply)
+				ask(t, r, relay.Request{Body: emptyBody(t), TimeLeft: tt.left}, reply)
 				if !tt.refused {
 					must.Nil(t, reply.refusal)
 					must.Eq(t, tt.after, time.Since(began))
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -47,18 +47,18 @@
 )
 
 const (
-	// comeBackSoon is told where a fault passes within a second. Clients wait
+	// retrySoon is told where a fault passes within a second. Clients wait
 	// a third of the time that they have left at most.
-	comeBackSoon = 300 * time.Millisecond
-	// comeBackAfterOutage is told by a node that knows no declaration. It reads
+	retrySoon = 300 * time.Millisecond
+	// retryAfterOutage is told by a node that knows no declaration. It reads
 	// one within some 20 ms of its start, so only an outage of the store keeps
 	// it waiting; clients have few tries, and outages last for seconds.
-	comeBackAfterOutage = 2 * time.Second
-	// comeBackElsewhere is told by a node that leaves: any other can take the
+	retryAfterOutage = 2 * time.Second
+	// retryElsewhere is told by a node that leaves: any other can take the
 	// request now.
-	comeBackElsewhere = 10 * time.Millisecond
-	// maxComeBack bounds a server's own word on when to come back.
-	maxComeBack = 2 * time.Second
+	retryElsewhere = 10 * time.Millisecond
+	// maxRetryAfter bounds a server's own word on when to come back.
+	maxRetryAfter = 2 * time.Second
 )
 
 // statuses maps reasons to HTTP statuses. 503 promises that the request has
@@ -90,12 +90,12 @@
 	message    string
 }
 
-func refuse(reason Reason, retryAfter time.Duration, format string, args ...any) *Refusal {
+func refusalf(reason Reason, retryAfter time.Duration, format string, args ...any) *Refusal {
 	return &Refusal{reason: reason, status: statuses[reason], retryAfter: retryAfter, message: fmt.Sprintf(format, args...)}
 }
 
 // NewRefusal returns a refusal for a request that an adapter cannot read.
-func NewRefusal(reason Reason, message string) *Refusal { return refuse(reason, 0, "%s", message) }
+func NewRefusal(reason Reason, message string) *Refusal { return refusalf(reason, 0, "%s", message) }
 
 // Status is the HTTP status.
 func (r *Refusal) Status() int { return r.status }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -262,33 +262,33 @@
 // Relay passes requests on. It is safe for concurrent use.
 type Relay struct {
 	Parts
-	lengths *lengths
-	waiting *waiting
-	// leaving is set once the process is to end; running ends with End.
-	leaving atomic.Pointer[Shutdown]
-	running context.Context
-	// cancelAll ends running.
-	cancelAll context.CancelCauseFunc
+	durations *durations
+	pending   *pendingAttempts
+	// shutdown is set once the process is to end; running ends with End.
+	shutdown atomic.Pointer[Shutdown]
+	lifetime context.Context
+	// cancelLifetime ends running.
+	cancelLifetime context.CancelCauseFunc
 }
 
 // New returns a relay.
 func New(parts Parts) *Relay {
-	r := &Relay{Parts: parts, lengths: newLengths(), waiting: newWaiting()}
-	r.running, r.cancelAll = context.WithCancelCause(context.Background())
+	r := &Relay{Parts: parts, durations: newDurations(), pending: newPendingAttempts()}
+	r.lifetime, r.cancelLifetime = context.WithCancelCause(context.Background())
 	return r
 }
 
 // Serve answers one request.
 func (r *Relay) Serve(ctx context.Context, q *Request, reply ResponseWriter) {
 	record := r.Records.Start(q.ID, "")
-	r.awaitStart(ctx, q)
+	r.awaitReady(ctx, q)
 	r.StoreView.Settle(ctx) // the declaration is old news as well
 	x, refusal := r.accept(q, reply, record)
 	if refusal == nil {
-		x.noteLeaving()
+		x.recordShutdown()
 		ctx, cancel := context.WithDeadline(ctx, x.deadline)
 		defer cancel()
-		ctx, detach := r.withEnd(ctx)
+		ctx, detach := r.withLifetime(ctx)
 		defer detach()
 		refusal = x.run(ctx)
 	}
@@ -304,17 +304,17 @@
 func (r *Relay) accept(q *Request, reply ResponseWriter, record *decision.Record) (*exchange, *Refusal) {
 	c := r.Catalog()
 	if c.Version() == 0 {
-		return nil, refuse(ReasonNoConfiguration, comeBackAfterOutage, "no declaration is known yet")
+		return nil, refusalf(ReasonNoConfiguration, retryAfterOutage, "no declaration is known yet")
 	}
 	target, ok := c.Match(q.Host, q.Path)
 	if !ok {
-		return nil, refuse(ReasonNoRoute, 0, "no route for %s%s in version %d", q.Host, q.Path, c.Version())
+		return nil, refusalf(ReasonNoRoute, 0, "no route for %s%s in version %d", q.Host, q.Path, c.Version())
 	}
 	account := ""
 	if c.HasAccounts() && !target.Anonymous {
 		holder, ok := c.Account(q.Key)
 		if !ok {
-			return nil, refuse(ReasonKeyUnknown, 0, "the key is not known in version %d", c.Version())
+			return nil, refusalf(ReasonKeyUnknown, 0, "the key is not known in version %d", c.Version())
 		}
 		account = holder.Name
 	}
@@ -325,15 +325,15 @@
 		held = min(held, q.TimeLeft)
 	}
 	return &exchange{
-		relay:    r,
-		request:  q,
-		reply:    reply,
-		record:   record,
-		route:    target,
-		account:  account,
-		service:  pickService(target, q),
-		deadline: q.Arrived.Add(held),
-		tried:    make(map[registry.Incarnation]bool),
-		after:    q.LastEventID,
+		relay:       r,
+		request:     q,
+		writer:      reply,
+		record:      record,
+		route:       target,
+		account:     account,
+		service:     pickService(target, q),
+		deadline:    q.Arrived.Add(held),
+		tried:       make(map[registry.Incarnation]bool),
+		lastEventID: q.LastEventID,
 	}, nil
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -84,7 +84,7 @@
 }
 
 // TestBodyBroken: the client's failure is told apart from a server's.
-func TestBodyBroken(t *testing.T) {
+func TestBodyReadError(t *testing.T) {
 	broken := errors.New("client gone")
 	body := io.MultiReader(strings.NewReader(strings.Repeat("x", 300<<10)), iotest.ErrReader(broken))
 	b, err := relay.NewBody(body, -1)
--- a/relay/overtaken_test.go
+++ b/relay/stale_choice_test.go
@@ -18,48 +18,48 @@
 // may have left meanwhile, and the news may have grown old; the request went out all the
 // same. It is now looked at once more, goes to another server, or waits for fresh news,
 // and no server counts as tried, no retry as spent.
-func TestOvertaken(t *testing.T) {
+func TestStaleChoice(t *testing.T) {
 	tests := []struct {
 		name string
 		// before is what the process knows when the request comes; nil for all.
-		before func(l *leaving)
+		before func(l *leavingServers)
 		// meanwhile happens between the choice and the first byte of the first attempt.
-		meanwhile func(l *leaving)
+		meanwhile func(l *leavingServers)
 		sent      []string
 	}{
-		{"nothing", nil, func(*leaving) {}, []string{"a"}},
-		{"the server leaves", nil, func(l *leaving) { l.gone = "a" }, []string{"b"}},
-		{"the news grows old", nil, func(l *leaving) { l.old = true }, []string{"a"}},
-		{"the news was old before", func(l *leaving) { l.old, l.next = true, "a" }, func(*leaving) {}, []string{"b"}},
-		{"the news grows old, and tells of the leaving", nil, func(l *leaving) { l.old, l.next = true, "a" }, []string{"b"}},
+		{"nothing", nil, func(*leavingServers) {}, []string{"a"}},
+		{"the server leaves", nil, func(l *leavingServers) { l.gone = "a" }, []string{"b"}},
+		{"the news grows old", nil, func(l *leavingServers) { l.stale = true }, []string{"a"}},
+		{"the news was old before", func(l *leavingServers) { l.stale, l.nextGone = true, "a" }, func(*leavingServers) {}, []string{"b"}},
+		{"the news grows old, and tells of the leaving", nil, func(l *leavingServers) { l.stale, l.nextGone = true, "a" }, []string{"b"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l := &leaving{meanwhile: tt.meanwhile}
+			l := &leavingServers{beforeFirstByte: tt.meanwhile}
 			if tt.before != nil {
 				tt.before(l)
 			}
-			reply := &received{}
-			serve(t, catalog.Route{Kind: catalog.KindOnce, Attempts: 1, Timeout: time.Second}, relay.Parts{Servers: l, StoreView: l, Backends: l, Budgets: noRepeats{}},
-				relay.Request{Body: noBody(t)}, reply)
+			reply := &recorder{}
+			serve(t, catalog.Route{Kind: catalog.KindOnce, Attempts: 1, Timeout: time.Second}, relay.Parts{Servers: l, StoreView: l, Backends: l, Budgets: noRetryBudget{}},
+				relay.Request{Body: emptyBody(t)}, reply)
 			must.Eq(t, 200, reply.status, must.Sprint(reply.refusal))
 			must.Eq(t, tt.sent, l.sent)
 		})
 	}
 }
 
-// leaving are two servers and the news of them.
-type leaving struct {
-	noNews
-	meanwhile func(l *leaving)
-	calls     int
+// leavingServers are two servers and the news of them.
+type leavingServers struct {
+	freshView
+	beforeFirstByte func(l *leavingServers)
+	calls           int
 	// gone is the server that has left, next the one that the next news tells of.
-	gone, next string
-	old        bool
-	sent       []string
+	gone, nextGone string
+	stale          bool
+	sent           []string
 }
 
-func (l *leaving) Servers(string) []registry.Server {
+func (l *leavingServers) Servers(string) []registry.Server {
 	var left []registry.Server
 	for _, id := range []string{"a", "b"} {
 		if id != l.gone {
@@ -69,23 +69,23 @@
 	return left[:1]
 }
 
-func (l *leaving) Usable(i registry.Incarnation) bool { return i.ID != l.gone }
+func (l *leavingServers) Usable(i registry.Incarnation) bool { return i.ID != l.gone }
 
-func (l *leaving) InDoubt() bool { return l.old }
+func (l *leavingServers) InDoubt() bool { return l.stale }
 
-func (l *leaving) Settle(context.Context) {
-	if l.old {
-		l.old, l.gone = false, l.next
+func (l *leavingServers) Settle(context.Context) {
+	if l.stale {
+		l.stale, l.gone = false, l.nextGone
 	}
 }
 
-func (l *leaving) Send(_ context.Context, s registry.Server, call relay.Call) (relay.Response, error) {
+func (l *leavingServers) Send(_ context.Context, s registry.Server, call relay.Call) (relay.Response, error) {
 	if l.calls++; l.calls == 1 {
-		l.meanwhile(l)
+		l.beforeFirstByte(l)
 	}
 	if call.Stale() {
 		return nil, relay.StaleChoice.New("nothing sent")
 	}
 	l.sent = append(l.sent, s.ID)
-	return given{200, strings.NewReader("")}, nil
+	return response{200, strings.NewReader("")}, nil
 }
--- a/relay/work.go
+++ b/relay/task.go
@@ -10,12 +10,12 @@
 // What an answer is assumed to take before the first one has come. One answer
 // outweighs it.
 const (
-	// assumedBase is the time in milliseconds in which an idle server begins
+	// assumedBaseMillis is the time in milliseconds in which an idle server begins
 	// its answer, beside reading a prompt.
-	assumedBase = 30.0
-	// assumedRate is the time in milliseconds in which the costliest model
+	assumedBaseMillis = 30.0
+	// assumedMillisPerPromptToken is the time in milliseconds in which the costliest model
 	// reads a token; engines of large models read 10 to 50 in a millisecond.
-	assumedRate = 0.05
+	assumedMillisPerPromptToken = 0.05
 )
 
 // task describes the next attempt to the balancer.
@@ -24,7 +24,7 @@
 		Servers: servers,
 		Exclude: x.tried,
 		Kind:    x.workKind(),
-		Assumed: route.Assumption{Base: assumedBase},
+		Assumed: route.Assumption{Base: assumedBaseMillis},
 		Bytes:   int(max(0, x.request.Body.Length())),
 	}
 	prompt := x.request.Prompt
@@ -33,10 +33,10 @@
 	}
 	t.Tokens = prompt.Tokens
 	t.Prompt = prefix.NewChain(x.model(), prompt.Parts)
-	t.Assumed.Rate = assumedRate
+	t.Assumed.Rate = assumedMillisPerPromptToken
 	if engine := x.engine(); engine != nil {
 		t.Capacity = engine.CacheTokens
-		t.Assumed.Rate *= pace(engine, x.model())
+		t.Assumed.Rate *= relativeCost(engine, x.model())
 	}
 	return t
 }
@@ -62,9 +62,9 @@
 	return service.Engine
 }
 
-// pace is how long a model is assumed to take, as a share of the costliest
+// relativeCost is how long a model is assumed to take, as a share of the costliest
 // one's time. The declared costs stand in for it: they rise with a model's size.
-func pace(engine *catalog.Engine, model string) float64 {
+func relativeCost(engine *catalog.Engine, model string) float64 {
 	highest := 0.0
 	for _, cost := range engine.Costs {
 		highest = max(highest, cost)
--- a/relay/stall_test.go
+++ b/relay/watchdog_test.go
@@ -15,53 +15,53 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// silence is a server that answers nothing, or a body that does not go on,
+// silentBody is a server that answers nothing, or a body that does not go on,
 // until the request is given up.
-type silence struct{ ctx context.Context }
+type silentBody struct{ ctx context.Context }
 
-func (s silence) Read([]byte) (int, error) {
+func (s silentBody) Read([]byte) (int, error) {
 	<-s.ctx.Done()
 	return 0, s.ctx.Err()
 }
 
-// silentFirst lets the first attempts fall silent: before their answer, or
+// silentBackends lets the first attempts fall silent: before their answer, or
 // after the given beginning of it.
-type silentFirst struct {
+type silentBackends struct {
 	silent int
-	begun  string
+	prefix string
 	sent   []relay.Call
 }
 
-func (b *silentFirst) Send(ctx context.Context, _ registry.Server, call relay.Call) (relay.Response, error) {
+func (b *silentBackends) Send(ctx context.Context, _ registry.Server, call relay.Call) (relay.Response, error) {
 	b.sent = append(b.sent, call)
 	switch {
 	case len(b.sent) > b.silent:
-		return given{200, strings.NewReader("id: 2\n\n")}, nil
-	case b.begun != "":
-		return given{200, io.MultiReader(strings.NewReader(b.begun), silence{ctx})}, nil
+		return response{200, strings.NewReader("id: 2\n\n")}, nil
+	case b.prefix != "":
+		return response{200, io.MultiReader(strings.NewReader(b.prefix), silentBody{ctx})}, nil
 	}
 	<-ctx.Done()
 	return nil, relay.Failed.Wrap(ctx.Err(), "no answer")
 }
 
 // slowClient reads slowly.
-type slowClient struct{ received }
+type slowClient struct{ recorder }
 
 func (c *slowClient) Write(p []byte) error {
 	time.Sleep(time.Minute)
-	return c.received.Write(p)
+	return c.recorder.Write(p)
 }
 
 // TestSlowClient: neither a client that reads slowly nor one that sends a long
 // body slowly makes its server late.
 func TestSlowClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		reads := &readsFirst{}
+		reads := &readsRequestFirst{}
 		slow := &slowClient{}
 		serveStream(t, reads, strings.NewReader(""), slow)
 		must.Eq(t, "id: 1\n\nid: 2\n\n", slow.String())
 		must.Eq(t, 1, reads.sends)
-		sends := &received{}
+		sends := &recorder{}
 		serveStream(t, reads, io.MultiReader(strings.NewReader(strings.Repeat("x", 300<<10)), slowBody{}), sends)
 		must.Nil(t, sends.refusal)
 		must.Eq(t, 2, reads.sends)
@@ -76,14 +76,14 @@
 	return 0, io.EOF
 }
 
-// eventwise is a stream that comes an event at a time, until its request is
+// eventPerRead is a stream that comes an event at a time, until its request is
 // given up.
-type eventwise struct {
+type eventPerRead struct {
 	ctx    context.Context
 	events []string
 }
 
-func (e *eventwise) Read(p []byte) (int, error) {
+func (e *eventPerRead) Read(p []byte) (int, error) {
 	if e.ctx.Err() != nil {
 		return 0, e.ctx.Err()
 	}
@@ -95,15 +95,15 @@
 	return n, nil
 }
 
-// readsFirst answers once it has the whole request.
-type readsFirst struct{ sends int }
+// readsRequestFirst answers once it has the whole request.
+type readsRequestFirst struct{ sends int }
 
-func (b *readsFirst) Send(ctx context.Context, _ registry.Server, call relay.Call) (relay.Response, error) {
+func (b *readsRequestFirst) Send(ctx context.Context, _ registry.Server, call relay.Call) (relay.Response, error) {
 	b.sends++
 	if _, err := io.Copy(io.Discard, call.Request.Body.Reader()); err != nil || ctx.Err() != nil {
 		return nil, relay.Failed.New("body: %v, %v", err, ctx.Err())
 	}
-	return given{200, &eventwise{ctx, []string{"id: 1\n\n", "id: 2\n\n"}}}, nil
+	return response{200, &eventPerRead{ctx, []string{"id: 1\n\n", "id: 2\n\n"}}}, nil
 }
 
 // oneServer is all there is.
@@ -111,24 +111,24 @@
 
 func (oneServer) Servers(string) []registry.Server { return []registry.Server{{ID: "a"}} }
 
-// slowAnswer answers after a few seconds.
-type slowAnswer struct{ sends int }
+// slowBackend answers after a few seconds.
+type slowBackend struct{ sends int }
 
-func (b *slowAnswer) Send(ctx context.Context, _ registry.Server, _ relay.Call) (relay.Response, error) {
+func (b *slowBackend) Send(ctx context.Context, _ registry.Server, _ relay.Call) (relay.Response, error) {
 	b.sends++
 	time.Sleep(5 * time.Second)
 	if ctx.Err() != nil {
 		return nil, relay.Failed.Wrap(ctx.Err(), "no answer")
 	}
-	return given{200, strings.NewReader("id: 1\n\n")}, nil
+	return response{200, strings.NewReader("id: 1\n\n")}, nil
 }
 
 // TestOnlyServer: no request is taken away from the only server that could
 // answer it.
 func TestOnlyServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		slow, got := &slowAnswer{}, &received{}
-		serveStreamAt(t, oneServer{}, slow, strings.NewReader(""), got)
+		slow, got := &slowBackend{}, &recorder{}
+		serveStreamFrom(t, oneServer{}, slow, strings.NewReader(""), got)
 		must.Eq(t, "id: 1\n\n", got.String())
 		must.Eq(t, 1, slow.sends)
 	})
@@ -137,11 +137,11 @@
 // serveStream passes one request on a resumable route through a relay before
 // three servers.
 func serveStream(t *testing.T, backends relay.Backends, sent io.Reader, reply relay.ResponseWriter) {
-	serveStreamAt(t, threeServers{}, backends, sent, reply)
+	serveStreamFrom(t, threeServers{}, backends, sent, reply)
 }
 
-// serveStreamAt passes one request on a resumable route through a relay.
-func serveStreamAt(t *testing.T, servers relay.Servers, backends relay.Backends, sent io.Reader, reply relay.ResponseWriter) {
+// serveStreamFrom passes one request on a resumable route through a relay.
+func serveStreamFrom(t *testing.T, servers relay.Servers, backends relay.Backends, sent io.Reader, reply relay.ResponseWriter) {
 	target := catalog.Route{Kind: catalog.KindStream, Timeout: time.Hour, Attempts: 3, Objective: 2 * time.Second, MaxPause: time.Second}
 	body, err := relay.NewBody(sent, -1)
 	must.NoError(t, err)
@@ -150,32 +150,32 @@
 
 // TestLateServers: a request that may run again is taken away from a server
 // that is late, in time for another one; others are not.
-func TestLateServers(t *testing.T) {
+func TestLateServerReplaced(t *testing.T) {
 	const objective, timeout = 2 * time.Second, 10 * time.Second
 	tests := []struct {
 		name     string
 		kind     catalog.Kind
-		backends silentFirst
+		backends silentBackends
 		moves    relay.Budgets
 		sends    int
 		want     string
 		within   time.Duration
 	}{
-		{"answer", catalog.KindRepeatable, silentFirst{silent: 1}, noBound{}, 2, "id: 2\n\n", objective},
-		{"stream", catalog.KindStream, silentFirst{silent: 1}, noBound{}, 2, "id: 2\n\n", objective},
-		{"stream, twice", catalog.KindStream, silentFirst{silent: 2}, noBound{}, 3, "id: 2\n\n", 2 * objective},
-		{"stream, begun", catalog.KindStream, silentFirst{silent: 1, begun: "id: 1\n\n"}, noBound{}, 2, "id: 1\n\nid: 2\n\n", objective},
-		{"stream, all attempts", catalog.KindStream, silentFirst{silent: 9}, noBound{}, 3, "", timeout + time.Second},
-		{"may not run again", catalog.KindOnce, silentFirst{silent: 1}, noBound{}, 1, "", timeout + time.Second},
-		{"too many moved", catalog.KindStream, silentFirst{silent: 1}, noMoves{}, 1, "", timeout + time.Second},
+		{"answer", catalog.KindRepeatable, silentBackends{silent: 1}, unlimitedBudget{}, 2, "id: 2\n\n", objective},
+		{"stream", catalog.KindStream, silentBackends{silent: 1}, unlimitedBudget{}, 2, "id: 2\n\n", objective},
+		{"stream, twice", catalog.KindStream, silentBackends{silent: 2}, unlimitedBudget{}, 3, "id: 2\n\n", 2 * objective},
+		{"stream, begun", catalog.KindStream, silentBackends{silent: 1, prefix: "id: 1\n\n"}, unlimitedBudget{}, 2, "id: 1\n\nid: 2\n\n", objective},
+		{"stream, all attempts", catalog.KindStream, silentBackends{silent: 9}, unlimitedBudget{}, 3, "", timeout + time.Second},
+		{"may not run again", catalog.KindOnce, silentBackends{silent: 1}, unlimitedBudget{}, 1, "", timeout + time.Second},
+		{"too many moved", catalog.KindStream, silentBackends{silent: 1}, noReroutes{}, 1, "", timeout + time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				target := catalog.Route{Kind: tt.kind, Timeout: timeout, Attempts: 3, Objective: objective, MaxPause: time.Second}
-				got := &received{}
+				got := &recorder{}
 				start := time.Now()
-				serve(t, target, relay.Parts{Backends: &tt.backends, Reroutes: tt.moves}, relay.Request{Body: noBody(t)}, got)
+				serve(t, target, relay.Parts{Backends: &tt.backends, Reroutes: tt.moves}, relay.Request{Body: emptyBody(t)}, got)
 				must.Eq(t, tt.want, got.String())
 				must.Eq(t, tt.sends, len(tt.backends.sent))
 				must.Less(t, tt.within, time.Since(start))
