--- a/relay/body.go
+++ b/relay/body.go
@@ -6,51 +6,51 @@
 	"io"
 )
 
-// maxBufferedBody is how much of a request's body is read before it is passed on, so
-// that it can be sent again. Longer bodies pass as they come, once.
+// maxBufferedBody is how many bytes of a request body are buffered so that it can be sent
+// again. The rest of a longer body is streamed and can be sent only once.
 const maxBufferedBody = 256 << 10
 
-// Body is a request's body. It is used by one task at a time.
+// Body is a request body. It must be used by one goroutine at a time.
 type Body struct {
 	prefix []byte
 	rest   io.Reader
-	// length of the whole; -1 if it came without.
+	// length of the whole body; -1 if unknown.
 	length int64
 	sent   bool
-	// err is how reading from the client failed.
+	// err is the error of reading the rest from the client.
 	err error
 }
 
-// NewBody reads the beginning of a body of the given length, -1 if unknown.
+// NewBody buffers the beginning of a body of the given length, -1 if unknown.
 func NewBody(r io.Reader, length int64) (*Body, error) {
-	head, err := io.ReadAll(io.LimitReader(r, maxBufferedBody))
+	prefix, err := io.ReadAll(io.LimitReader(r, maxBufferedBody))
 	if err != nil {
 		return nil, err
 	}
-	b := &Body{prefix: head, length: length}
-	if len(head) < maxBufferedBody {
-		b.length = int64(len(head))
+	b := &Body{prefix: prefix, length: length}
+	if len(prefix) < maxBufferedBody {
+		b.length = int64(len(prefix))
 	} else {
 		b.rest = r
 	}
 	return b, nil
 }
 
-// Buffered returns the beginning of the body, all of it unless it is long.
+// Buffered returns the buffered beginning of the body, which is all of it unless it is long.
 func (b *Body) Buffered() []byte { return b.prefix }
 
-// Length returns the body's length, -1 if it is not known.
+// Length returns the length of the body, -1 if unknown.
 func (b *Body) Length() int64 { return b.length }
 
-// Replayable reports whether the body can be sent now: always if it was read
-// whole, otherwise once.
+// Replayable reports whether the body can be sent now: a fully buffered body always, any other
+// one only once.
 func (b *Body) Replayable() bool { return b.FullyBuffered() || !b.sent }
 
-// FullyBuffered reports whether the whole body is held, so that it can be sent again at
-// any time.
+// FullyBuffered reports whether the whole body is in memory, so that it can be sent any number
+// of times.
 func (b *Body) FullyBuffered() bool { return b.rest == nil }
 
-// Reader returns the whole body for one attempt.
+// Reader returns a reader of the whole body for one attempt.
 func (b *Body) Reader() io.Reader {
 	if b.rest == nil {
 		return bytes.NewReader(b.prefix)
@@ -59,11 +59,11 @@
 	return io.MultiReader(bytes.NewReader(b.prefix), restReader{b})
 }
 
-// Err returns how reading the body from the client failed, nil if it did not.
-// It must be called after the attempt that read it.
+// Err returns the error of reading the body from the client, if any. It must be called after
+// the attempt that read the body.
 func (b *Body) Err() error { return b.err }
 
-// restReader reads what was not kept, and remembers a failure.
+// restReader reads the part that is not buffered and keeps the error.
 type restReader struct{ b *Body }
 
 func (r restReader) Read(p []byte) (int, error) {
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -10,23 +10,23 @@
 	"github.com/violettally/violettally/route"
 )
 
-// pickService splits a route's requests over its services by their weights.
-// Requests of one session fall on the same side.
-func pickService(r *catalog.Route, q *Request) string {
+// pickService distributes a route's requests over its services by weight. All requests of a
+// session go to the same service.
+func pickService(rt *catalog.Route, q *Request) string {
 	total := 0.0
-	for _, t := range r.Targets {
+	for _, t := range rt.Targets {
 		total += t.Weight
 	}
-	at := rendezvous.Position(rendezvous.Hash(r.Name+"/"+q.hashKey())) * total
-	for _, t := range r.Targets {
-		if at -= t.Weight; at < 0 {
+	position := rendezvous.Position(rendezvous.Hash(rt.Name+"/"+q.hashKey())) * total
+	for _, t := range rt.Targets {
+		if position -= t.Weight; position < 0 {
 			return t.Service
 		}
 	}
-	return r.Targets[len(r.Targets)-1].Service
+	return rt.Targets[len(rt.Targets)-1].Service
 }
 
-// hashKey is what decides by hash: the session, or else the request itself.
+// hashKey is the key for hash-based choices: the session, or else the request ID.
 func (q *Request) hashKey() string {
 	if q.Session != "" {
 		return q.Session
@@ -34,11 +34,12 @@
 	return q.ID
 }
 
-// systemChooses reports whether the system chooses the model.
+// systemChooses reports whether the system chooses the model, rather than the client.
 func (x *exchange) systemChooses() bool { return x.request.AnyModel && len(x.route.Models) > 0 }
 
-// chooseModel picks the model that answers next, where the client has nothing
-// yet. One whose answer could not be dropped for a better one is not asked.
+// chooseModel picks the model to ask next, unless the client already has part of a response.
+// Where no escalation may follow, it skips to a model whose answer need not be replaced, if
+// that one is worth asking.
 func (x *exchange) chooseModel() {
 	if !x.systemChooses() || x.responseStarted {
 		return
@@ -55,11 +56,11 @@
 	}
 }
 
-// worthAsking reports whether the model at a step is worth asking in place of an
-// answer of the given confidence, by the load that there is.
+// worthAsking reports whether, at the present load, the model at the given index is worth
+// asking in place of an answer of the given confidence.
 func (x *exchange) worthAsking(step int, confidence float64) bool {
-	before := x.modelIndex
-	defer func() { x.modelIndex = before }()
+	current := x.modelIndex
+	defer func() { x.modelIndex = current }()
 	x.modelIndex = step
 	servers, _ := x.servers()
 	forecast := x.relay.Balancer.Forecast(x.task(servers))
@@ -77,7 +78,7 @@
 	return pays
 }
 
-// model is the one that the system chose; "" leaves it to the client.
+// model returns the model that the system chose; "" leaves the choice to the client.
 func (x *exchange) model() string {
 	if !x.systemChooses() {
 		return ""
@@ -98,19 +99,19 @@
 	return use, version, nil
 }
 
-// servers returns the servers that may get the next attempt, and the version
-// under which it is counted.
+// servers returns the candidates for the next attempt, and the version under which it is
+// counted.
 func (x *exchange) servers() ([]registry.Server, string) {
 	known := x.relay.Servers.Servers(x.service)
-	left := x.untried(known)
+	candidates := x.untried(known)
 	x.knownServers = len(known)
-	x.otherServers = len(left) - 1
-	return x.relay.Versions.Choose(x.service, x.request.hashKey(), x.version, left)
+	x.otherServers = len(candidates) - 1
+	return x.relay.Versions.Choose(x.service, x.request.hashKey(), x.version, candidates)
 }
 
-// untried returns the servers that have not had the request. Versions are
-// chosen among these, since few servers hold a version at first, and a request
-// is better served by another version than not at all.
+// untried returns the servers that have not been sent the request. The version is chosen among
+// these: early in a roll-out few servers hold the new version, and another version is better
+// than no response.
 func (x *exchange) untried(servers []registry.Server) []registry.Server {
 	if len(x.tried) == 0 {
 		return servers
--- a/relay/durations.go
+++ b/relay/durations.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// assumedMillisPerOutputToken is the time in milliseconds of a token that is made, while
-	// no answer has been seen. It is told apart from what is known, so that it
-	// only has to be of the right order.
+	// assumedMillisPerOutputToken is the assumed time in milliseconds to generate a token
+	// before any response has been seen. Estimates from it are marked as unknown, so the order
+	// of magnitude is enough.
 	assumedMillisPerOutputToken = 5.0
-	// minDurationSamples are needed before a length counts as known.
+	// minDurationSamples is how many samples make a duration known.
 	minDurationSamples = 3
-	// boundDeviations is how many mean deviations above what is expected a
-	// length is bounded. With one, 168 of 1,273 requests that leaving nodes
-	// took under load were broken off, with two 95 of 1,122, and refusing the
-	// others cost callers nothing that shows.
+	// boundDeviations is how many mean deviations the upper bound lies above the expected
+	// duration. With one, 168 of 1,273 requests that draining nodes admitted under load were
+	// truncated; with two, 95 of 1,122, and refusing the others had no visible cost for
+	// clients.
 	boundDeviations = 2
-	// maxKinds bounds the kinds of request that are remembered; declarations
-	// come with some hundred routes.
+	// maxKinds bounds the kinds of request that are tracked; declarations have a few hundred
+	// routes.
 	maxKinds = 2048
 )
 
-// durations learns how long answers of each kind take from their heads to their
-// ends, by the most tokens that they may have. It is safe for concurrent use.
+// durations estimates how long responses take from header to end, per kind of request, as a
+// function of the maximum number of output tokens. It is safe for concurrent use.
 type durations struct {
 	mu    sync.Mutex
 	kinds map[string]*durationEstimate
 }
 
-// durationEstimate is what is known of one kind.
+// durationEstimate is the estimate for one kind.
 type durationEstimate struct {
 	line    *estimate.Line
 	samples int
@@ -39,15 +39,15 @@
 
 func newDurations() *durations { return &durations{kinds: make(map[string]*durationEstimate)} }
 
-// learn takes the length of one whole answer.
+// learn records the duration of a whole response.
 func (l *durations) learn(kind string, tokens int, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.kind(kind).learn(tokens, took)
 }
 
-// learnTruncated takes how long an answer had taken when it was cut off. Were only whole
-// ones learned, the shortest would speak for all.
+// learnTruncated records how long a response had taken when it was cut off. Learning from whole
+// responses alone would bias the estimate towards short ones.
 func (l *durations) learnTruncated(kind string, tokens int, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,8 +56,7 @@
 	}
 }
 
-// kind returns what is known of a kind, which may be nothing yet. The caller
-// holds mu.
+// kind returns the estimate for a kind, creating it if needed. The caller holds mu.
 func (l *durations) kind(name string) *durationEstimate {
 	k := l.kinds[name]
 	if k == nil {
@@ -77,8 +76,8 @@
 
 func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// upperBound returns a length that answers hardly exceed; false while too little is
-// known.
+// upperBound returns a duration that responses of the kind rarely exceed; false if there are
+// too few samples.
 func (l *durations) upperBound(kind string, tokens int) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/relay/events.go
+++ b/relay/events.go
@@ -9,20 +9,19 @@
 
 // event is one event of a stream.
 type event struct {
-	// raw is the event as it came, with the empty line that ends it.
+	// raw holds the bytes of the event, including the empty line that ends it.
 	raw []byte
-	// id is what the client may resume after; "" if the event sets none.
+	// id is the event ID from which the client can resume; "" if the event sets none.
 	id string
 }
 
-// maxEventSize bounds one event in bytes. Those of the deployments have some
-// hundred.
+// maxEventSize bounds one event in bytes; typical events have a few hundred.
 const maxEventSize = 1 << 20
 
 // events splits a stream (WHATWG HTML, "Server-sent events") into events.
 type events struct {
 	body io.Reader
-	// unparsed holds what was read and is not yet a whole event.
+	// unparsed holds bytes that do not form a whole event yet.
 	unparsed   []byte
 	readBuffer []byte
 }
@@ -32,10 +31,10 @@
 	return &events{body: body, readBuffer: make([]byte, readSize)}
 }
 
-// errTruncatedEvent says that a stream ended within an event.
+// errTruncatedEvent means that the stream ended within an event.
 var errTruncatedEvent = errors.New("stream ended within an event")
 
-// next returns the next whole event, io.EOF after the last.
+// next returns the next whole event, or io.EOF after the last one.
 func (e *events) next() (event, error) {
 	for {
 		if end := eventEnd(e.unparsed); end > 0 {
@@ -58,13 +57,13 @@
 	}
 }
 
-// eventEnd returns the length of the first event with its empty line; zero if
-// it is not whole.
+// eventEnd returns the length of the first event including its empty line; zero if it is
+// incomplete.
 func eventEnd(data []byte) int {
 	end := 0
-	for _, mark := range []string{"\n\n", "\r\n\r\n"} {
-		if at := bytes.Index(data, []byte(mark)); at >= 0 && (end == 0 || at+len(mark) < end) {
-			end = at + len(mark)
+	for _, terminator := range []string{"\n\n", "\r\n\r\n"} {
+		if i := bytes.Index(data, []byte(terminator)); i >= 0 && (end == 0 || i+len(terminator) < end) {
+			end = i + len(terminator)
 		}
 	}
 	return end
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -10,11 +10,10 @@
 	"github.com/violettally/violettally/route"
 )
 
-// maxSends bounds how often one request is offered to servers, those that
-// decline it included.
+// maxSends bounds how often one request is offered to servers, including those that decline it.
 const maxSends = 6
 
-// exchange is one request on its way. One task runs it.
+// exchange is the state of one request. It is used by one goroutine.
 type exchange struct {
 	relay    *Relay
 	request  *Request
@@ -25,39 +24,39 @@
 	service  string
 	deadline time.Time
 
-	// version is the side of a roll-out that the request fell on first.
+	// version is the version that a roll-out first assigned to the request.
 	version string
-	// modelIndex is the index of the model among the route's.
+	// modelIndex is the index of the present model among the route's models.
 	modelIndex int
-	// tried are the servers that got the request, sends how often it was
-	// offered, runs how many servers may have run it.
+	// tried holds the servers that were sent the request, sends counts the attempts, and runs
+	// counts the servers that may have run it.
 	tried map[registry.Incarnation]bool
 	sends int
 	runs  int
-	// knownServers is how many servers the service had when the last one was chosen,
-	// others how many could have the request after that attempt.
+	// knownServers is how many servers the service had at the last choice, otherServers how
+	// many of them remain for a further attempt.
 	knownServers int
 	otherServers int
-	// responseStarted says that the client has the head of an answer, after which is the
-	// last event that it has, "" for none.
+	// responseStarted means that the client has the response header. lastEventID is the last
+	// stream event that it has, "" for none.
 	responseStarted bool
 	lastEventID     string
-	// headReceived is when the head of the last answer came; whole says that the answer
-	// begins with the first event.
-	headReceived   time.Time
+	// headerReceived is when the last response header arrived. fromFirstEvent means that the
+	// response starts at the first event, rather than resuming a stream.
+	headerReceived time.Time
 	fromFirstEvent bool
-	// silentSince is since when the last attempt that was taken away had waited.
+	// silentSince is when the last rerouted attempt began to wait.
 	silentSince time.Time
-	// firstByte is how long the first piece of the answer took; zero until then.
+	// firstByte is the time from arrival to the first byte for the client; zero until then.
 	firstByte time.Duration
-	// digest names what servers are given of the request; zero until asked for.
+	// digest identifies the content that servers get; zero until computed.
 	digest uint64
-	// testSent says that the request was sent though it is refused.
+	// testSent means that the request was sent as a test although it is refused.
 	testSent bool
 }
 
-// run makes attempts until the client has its answer. A refusal that it
-// returns is still to be told.
+// run makes attempts until the client has its response. If it returns a refusal, the caller
+// must send it.
 func (x *exchange) run(ctx context.Context) *Refusal {
 	x.relay.Budgets.Paid(x.service)
 	x.relay.Reroutes.Paid(x.service)
@@ -88,8 +87,8 @@
 	}
 }
 
-// attempt sends the request to one server and passes its answer on. It
-// returns nil once nothing more is to be done for the client.
+// attempt sends the request to one server and forwards the response. It returns nil once
+// nothing more is to be done for the client.
 func (x *exchange) attempt(ctx context.Context, use *route.Use, version string) *failure {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -104,38 +103,38 @@
 		server.ID, server.DataHall, x.model(), use.Held(), x.request.Prompt.Tokens, x.lastEventID, time.Until(x.deadline).Milliseconds(),
 		x.relay.StoreView.Revision(), age.Milliseconds())
 	sent := time.Now()
-	stopWaiting := x.relay.pending.add(x.request, cancel)
-	watch := x.startWatchdog(use, cancel)
-	defer watch.stop()
+	removePending := x.relay.pending.add(x.request, cancel)
+	wd := x.startWatchdog(use, cancel)
+	defer wd.stop()
 	defer func() {
 		if stalled(ctx) {
-			x.silentSince = watch.since
+			x.silentSince = wd.since
 		}
 	}()
-	answer, err := x.relay.Backends.Send(ctx, server, Call{
+	resp, err := x.relay.Backends.Send(ctx, server, Call{
 		Request:     x.request,
 		Account:     x.account,
 		TimeLeft:    time.Until(x.deadline),
 		Model:       x.model(),
 		LastEventID: x.lastEventID,
 		SilentSince: x.silentSince,
-		// Between the choice and the first byte lie a dial, and whatever keeps this
-		// process from running.
+		// The choice may become stale while a connection is dialed or this process is not
+		// scheduled.
 		Stale: func() bool { return x.relay.StoreView.InDoubt() || !x.relay.Servers.Usable(server.Incarnation()) },
 	})
-	stopWaiting()
-	x.recordVersionSample(ctx, use, version, answer, time.Since(sent))
-	f := x.checkHead(ctx, use, sent, answer, err)
-	if answer != nil {
-		defer answer.Close()
+	removePending()
+	x.recordVersionSample(ctx, use, version, resp, time.Since(sent))
+	f := x.checkHeader(ctx, use, sent, resp, err)
+	if resp != nil {
+		defer resp.Close()
 	}
 	if f != nil {
 		return f
 	}
-	return x.forward(ctx, use, sent, answer, watch)
+	return x.forward(ctx, use, sent, resp, wd)
 }
 
-// finish ends the record of a request.
+// finish ends the decision record of the request.
 func (x *exchange) finish(outcome string) {
 	if x.firstByte > 0 {
 		x.record.Note("first byte", "after %d ms", x.firstByte.Milliseconds())
@@ -143,5 +142,5 @@
 	x.record.End(outcome)
 }
 
-// elapsed is the time since the request arrived.
+// elapsed returns the time since the request arrived.
 func (x *exchange) elapsed() time.Duration { return time.Since(x.request.Arrived) }
--- a/relay/failure.go
+++ b/relay/failure.go
@@ -6,40 +6,39 @@
 	"time"
 )
 
-// failure is an attempt that gave the client nothing, or not all.
+// failure describes an attempt that gave the client no response, or an incomplete one.
 type failure struct {
 	reason Reason
-	// ran says that the server may have run the request.
+	// ran means that the server may have run the request.
 	ran bool
-	// escalates says that another model is to answer.
+	// escalates means that another model is to be asked.
 	escalates bool
-	// serverLost says that the server ended the attempt, and may have ended itself.
+	// serverLost means that the server ended the attempt and may have crashed.
 	serverLost bool
-	// partial says that the client has a part of an answer which cannot be
-	// taken up elsewhere.
+	// partial means that the client has part of a response that cannot be resumed at another
+	// server.
 	partial bool
-	// budgetTaken says that the retry budget has been asked already.
+	// budgetTaken means that the retry has already been taken out of the budget, or needs none.
 	budgetTaken bool
-	// retryAfter is the server's own word on when to come back; zero if it
-	// gave none.
+	// retryAfter is the delay that the server asked for; zero if none.
 	retryAfter time.Duration
-	// cause is told to the client and in the record.
+	// cause is told to the client and recorded.
 	cause string
 }
 
-// stalledFailure is the failure of an attempt that was taken away from a late server.
-// Its next attempt has been paid for.
+// stalledFailure returns the failure of an attempt that was rerouted from a late server. The
+// watchdog has taken its retry out of the budgets.
 func stalledFailure() *failure {
 	return &failure{reason: ReasonStalled, ran: true, budgetTaken: true, cause: errStalled.Error()}
 }
 
-// afterFailure decides on what follows a failed attempt: nil lets another one be made.
+// afterFailure returns nil if another attempt is to be made, or else the refusal to send.
 func (x *exchange) afterFailure(ctx context.Context, f *failure) *Refusal {
 	if ctx.Err() != nil {
 		return x.endedRefusal(ctx, f)
 	}
 	if f.escalates {
-		return nil // it has been paid for already
+		return nil // the retry has already been taken out of the budget
 	}
 	if refusal := x.refusalInsteadOfRetry(f); refusal != nil {
 		return refusal
@@ -55,14 +54,13 @@
 	return nil
 }
 
-// refusalInsteadOfRetry returns what to tell the client where a failed request is not sent
-// again; nil where it is. The budget is asked last, since asking takes from
-// it.
+// refusalInsteadOfRetry returns the refusal if a failed request must not be retried, and nil if
+// it is. The budget comes last, since checking it takes a retry out of it.
 func (x *exchange) refusalInsteadOfRetry(f *failure) *Refusal {
 	switch {
 	case f.partial, f.ran && !x.mayRunAgain():
 		return refusalf(f.reason, 0, "the server gave no answer: %s", f.cause)
-	case !f.budgetTaken && !x.endsBeforeShutdown(): // what is paid for has been asked already
+	case !f.budgetTaken && !x.endsBeforeShutdown(): // a budgeted retry was checked when it took its budget
 		return x.shutdownRefusal(f.cause)
 	case x.sends >= maxSends, !x.request.Body.Replayable():
 		return x.finalRefusal(f)
@@ -72,7 +70,7 @@
 	return nil
 }
 
-// finalRefusal tells the client what is known after the last attempt.
+// finalRefusal returns the refusal after the last possible attempt.
 func (x *exchange) finalRefusal(f *failure) *Refusal {
 	if f.ran || x.runs > 0 {
 		return refusalf(ReasonServerFailed, 0, "no answer: %s", f.cause)
@@ -81,8 +79,8 @@
 	return refusalf(f.reason, retryAfter, "no server took the request: %s", f.cause)
 }
 
-// endedRefusal tells what is known of a request whose time is over, or that of this
-// process, or whose client has left.
+// endedRefusal returns the refusal for a request whose context has ended: by its deadline, by
+// the shutdown of this process, or because the client is gone.
 func (x *exchange) endedRefusal(ctx context.Context, f *failure) *Refusal {
 	if endedByShutdown(ctx) {
 		return x.shutdownRefusal(f.cause)
@@ -93,11 +91,11 @@
 	return refusalf(ReasonDeadline, 0, "the time was over before the answer: %s", f.cause)
 }
 
-// deliver hands a refusal out, or breaks off the answer that has begun.
+// deliver returns a refusal for the caller to send, or aborts the response if it has started.
 func (x *exchange) deliver(refusal *Refusal) *Refusal {
 	if !x.responseStarted {
 		if x.runs > 0 && refusal.status == http.StatusServiceUnavailable {
-			// A server has run it, so "not run" must not be said.
+			// A server may have run the request, so 503 ("not run") would be wrong.
 			return refusalf(ReasonServerFailed, 0, "%s", refusal.message)
 		}
 		return refusal
--- a/relay/forecast.go
+++ b/relay/forecast.go
@@ -2,44 +2,44 @@
 
 import "time"
 
-// endsBeforeShutdown reports whether an attempt made now, with the model at hand, brings a
-// whole answer before the process ends. Of 1,873 requests that 36 stops cut off
-// under load, 398 had been taken after the signal without being asked this, and
-// 215 had been sent to another server late.
+// endsBeforeShutdown reports whether an attempt made now with the present model completes
+// before the process ends. Without this check, shutdowns truncated many requests: of 1,873
+// requests cut off by 36 shutdowns under load, 398 had been admitted after the signal and 215
+// had been sent to another server late.
 func (x *exchange) endsBeforeShutdown() bool {
-	stop := x.relay.shutdown.Load()
+	shutdown := x.relay.shutdown.Load()
 	switch {
-	case stop == nil:
+	case shutdown == nil:
 		return true
-	case x.request.Arrived.After(stop.lastAdmit):
-		return !x.deadline.After(stop.end)
+	case x.request.Arrived.After(shutdown.lastAdmit):
+		return !x.deadline.After(shutdown.end)
 	}
 	return x.forecastEnd(x.relay.endsBeforeShutdown)
 }
 
-// mayReplaceResponse reports whether there is another server, and whether it would bring
-// a whole answer in time to take the place of one that is there.
+// mayReplaceResponse reports whether another server is left that would complete its response in
+// time to replace the present one.
 func (x *exchange) mayReplaceResponse() bool {
 	return x.forecastEnd(x.relay.endsInTime) && x.otherServers >= 0
 }
 
-// forecastEnd asks whether an attempt made now would end in time.
-func (x *exchange) forecastEnd(ends func(deadline time.Time, takes time.Duration, known bool) bool) bool {
+// forecastEnd applies a check to the expected duration of an attempt made now.
+func (x *exchange) forecastEnd(check func(deadline time.Time, takes time.Duration, known bool) bool) bool {
 	servers, _ := x.servers()
 	forecast := x.relay.Balancer.Forecast(x.task(servers))
 	length, known := x.bodyDuration()
-	fits := ends(x.deadline, forecast.Total()+length, known)
+	ok := check(x.deadline, forecast.Total()+length, known)
 	x.record.Note("fits", "%d ms to the answer's head and %d ms from there (seen: %t): %t",
-		forecast.Total().Milliseconds(), length.Milliseconds(), known, fits)
-	return fits
+		forecast.Total().Milliseconds(), length.Milliseconds(), known, ok)
+	return ok
 }
 
-// remainingShare is the part of a stream that is left, on average, where the client
-// has some of it.
+// remainingShare is the average share of a stream that is still to come when the client has
+// part of it.
 const remainingShare = 0.5
 
-// bodyDuration bounds how long an answer takes from its head to its end; false while
-// too little is known of its kind.
+// bodyDuration returns an upper bound on the time from the header to the end of a response;
+// false if too few responses of the kind have been seen.
 func (x *exchange) bodyDuration() (time.Duration, bool) {
 	length, known := x.relay.durations.upperBound(x.kind(), x.request.Prompt.MaxOutput)
 	if !known {
@@ -55,13 +55,13 @@
 	return length, known
 }
 
-// learnDuration takes how long the answer took from its head to its end, or until
-// it was cut off. What a client has a part of already is not the whole.
+// learnDuration records the time from the header to the end of the response, or to where it was
+// cut off. Resumed streams are skipped, since they are not whole.
 func (x *exchange) learnDuration(learn func(kind string, tokens int, took time.Duration)) {
-	if !x.fromFirstEvent || x.headReceived.IsZero() {
+	if !x.fromFirstEvent || x.headerReceived.IsZero() {
 		return
 	}
 	for _, kind := range []string{x.kind(), x.route.Name} {
-		learn(kind, x.request.Prompt.MaxOutput, time.Since(x.headReceived))
+		learn(kind, x.request.Prompt.MaxOutput, time.Since(x.headerReceived))
 	}
 }
--- a/relay/forward.go
+++ b/relay/forward.go
@@ -12,39 +12,39 @@
 )
 
 const (
-	// plainBufferSize in bytes of a plain answer is held back, so that an answer that
-	// breaks off within it can be asked for again elsewhere.
+	// plainBufferSize is how many bytes of a plain response are buffered before the client gets
+	// any, so that a response that breaks off before can be retried elsewhere.
 	plainBufferSize = 64 << 10
 	// readSize is the size of one read in bytes.
 	readSize = 16 << 10
-	// progressInterval lies between two notes that a server goes on with a stream.
+	// progressInterval is the time between two reports of a stream's progress.
 	progressInterval = 200 * time.Millisecond
 )
 
-// forward hands a server's answer to the client as it comes.
-func (x *exchange) forward(ctx context.Context, use *route.Use, sent time.Time, answer Response, watch *watchdog) *failure {
-	if x.route.Kind == catalog.KindStream && answer.Status() == http.StatusOK {
-		return x.forwardStream(ctx, use, sent, answer, watch)
+// forward copies a response to the client as it arrives.
+func (x *exchange) forward(ctx context.Context, use *route.Use, sent time.Time, resp Response, wd *watchdog) *failure {
+	if x.route.Kind == catalog.KindStream && resp.Status() == http.StatusOK {
+		return x.forwardStream(ctx, use, sent, resp, wd)
 	}
-	return x.forwardPlain(ctx, use, answer, watch)
+	return x.forwardPlain(ctx, use, resp, wd)
 }
 
-// forwardPlain hands on an answer as bytes. One that breaks off within the
-// headroom gave the client nothing yet.
-func (x *exchange) forwardPlain(ctx context.Context, use *route.Use, answer Response, watch *watchdog) *failure {
-	held, err := io.ReadAll(io.LimitReader(answer.Body(), plainBufferSize))
+// forwardPlain forwards a response that is not a stream. If it breaks off within
+// plainBufferSize, the client has got nothing yet.
+func (x *exchange) forwardPlain(ctx context.Context, use *route.Use, resp Response, wd *watchdog) *failure {
+	buffered, err := io.ReadAll(io.LimitReader(resp.Body(), plainBufferSize))
 	if err != nil {
 		return x.interrupted(ctx, use, err)
 	}
-	watch.stop() // what the client has a part of cannot be moved
-	x.startResponse(answer)
-	if x.writer.Write(held) != nil {
+	wd.stop() // a response that the client has part of can't be rerouted
+	x.startResponse(resp)
+	if x.writer.Write(buffered) != nil {
 		return x.clientGone(use)
 	}
-	buffer := make([]byte, readSize)
-	for len(held) == plainBufferSize {
-		n, err := answer.Body().Read(buffer)
-		if x.writer.Write(buffer[:n]) != nil {
+	chunk := make([]byte, readSize)
+	for len(buffered) == plainBufferSize {
+		n, err := resp.Body().Read(chunk)
+		if x.writer.Write(chunk[:n]) != nil {
 			return x.clientGone(use)
 		}
 		if errors.Is(err, io.EOF) {
@@ -56,19 +56,19 @@
 			return f
 		}
 	}
-	x.complete(use, answer)
+	x.complete(use, resp)
 	return nil
 }
 
-// forwardStream hands on whole events only, so that a stream which breaks off in
-// the middle of one can be taken up after the one before.
-func (x *exchange) forwardStream(ctx context.Context, use *route.Use, sent time.Time, answer Response, watch *watchdog) *failure {
-	events := newEvents(answer.Body())
-	told := sent
+// forwardStream forwards whole events only, so that a stream that breaks off within an event
+// can be resumed after the previous one.
+func (x *exchange) forwardStream(ctx context.Context, use *route.Use, sent time.Time, resp Response, wd *watchdog) *failure {
+	events := newEvents(resp.Body())
+	lastReport := sent
 	for {
-		watch.reset(time.Duration(maxPauseFactor * float64(x.route.MaxPause)))
+		wd.reset(time.Duration(maxPauseFactor * float64(x.route.MaxPause)))
 		event, err := events.next()
-		watch.stop() // a client that reads slowly says nothing of the server
+		wd.stop() // a slow client says nothing about the server
 		if errors.Is(err, io.EOF) {
 			break
 		}
@@ -76,11 +76,11 @@
 			return x.interrupted(ctx, use, err)
 		}
 		use.Progress()
-		if time.Since(told) > progressInterval {
-			told = time.Now()
-			x.reportProgress(use, sent, answer)
+		if time.Since(lastReport) > progressInterval {
+			lastReport = time.Now()
+			x.reportProgress(use, sent, resp)
 		}
-		x.startResponse(answer)
+		x.startResponse(resp)
 		if x.writer.Write(event.raw) != nil {
 			return x.clientGone(use)
 		}
@@ -88,31 +88,31 @@
 			x.lastEventID = event.id
 		}
 	}
-	x.startResponse(answer)
-	x.complete(use, answer)
+	x.startResponse(resp)
+	x.complete(use, resp)
 	return nil
 }
 
-// startResponse sends the head of the first answer; later ones go on inside it.
-func (x *exchange) startResponse(answer Response) {
+// startResponse sends the header, unless an earlier attempt of the same request has sent it.
+func (x *exchange) startResponse(resp Response) {
 	if !x.responseStarted {
 		x.responseStarted = true
 		x.firstByte = max(1, x.elapsed())
-		x.writer.WriteHeader(answer)
+		x.writer.WriteHeader(resp)
 	}
 }
 
-// complete ends an attempt whose answer the client has whole.
-func (x *exchange) complete(use *route.Use, answer Response) {
+// complete ends an attempt whose whole response has been forwarded.
+func (x *exchange) complete(use *route.Use, resp Response) {
 	use.End(route.OutcomeOK)
 	x.reportAnswered()
-	if answer.Status() == http.StatusOK {
+	if resp.Status() == http.StatusOK {
 		x.learnDuration(x.relay.durations.learn)
 	}
-	x.relay.Counters.Completed(x.route.Name, answer.Status(), x.firstByte, x.elapsed())
+	x.relay.Counters.Completed(x.route.Name, resp.Status(), x.firstByte, x.elapsed())
 }
 
-// clientGone ends an attempt whose client does not read on.
+// clientGone ends an attempt whose client has stopped reading.
 func (x *exchange) clientGone(use *route.Use) *failure {
 	use.End(route.OutcomeNeutral)
 	x.reportAbandoned(use)
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// interrupted judges an answer that broke off.
+// interrupted returns the failure for a response that broke off.
 func (x *exchange) interrupted(ctx context.Context, use *route.Use, err error) *failure {
 	x.learnDuration(x.relay.durations.learnTruncated)
 	switch {
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// retryReserve is the share of the budget for repeats that cascades
-	// leave to requests which got no answer at all.
+	// retryReserve is the share of the retry budget that escalations and reroutes leave to
+	// requests that got no response at all.
 	retryReserve = 0.25
-	// confidenceUnknown stands for that of an answer which is not there: it would be
-	// as often poor as not.
+	// confidenceUnknown is the confidence assumed where there is no answer yet: as likely poor
+	// as good.
 	confidenceUnknown = 50
-	// minAttemptTime is the time that a further attempt must have left to be worth
-	// making; the quickest answers take about that long.
+	// minAttemptTime is the time that must be left for a further attempt; the fastest responses
+	// take about that long.
 	minAttemptTime = 50 * time.Millisecond
 )
 
-// recordVersionSample takes an answer as evidence on a version. Only what the server
-// itself answered counts, and how long it took to begin, or had taken when it
-// was given up as late.
-func (x *exchange) recordVersionSample(ctx context.Context, use *route.Use, version string, answer Response, wait time.Duration) {
-	late := answer == nil && stalled(ctx)
-	if version == "" || (answer == nil && !late) || (answer != nil && answer.Declined()) {
+// recordVersionSample records a response as a sample for its version. Only responses by the
+// server itself count, with the time until the header, or until the attempt was given up as
+// late.
+func (x *exchange) recordVersionSample(ctx context.Context, use *route.Use, version string, resp Response, wait time.Duration) {
+	late := resp == nil && stalled(ctx)
+	if version == "" || (resp == nil && !late) || (resp != nil && resp.Declined()) {
 		return
 	}
 	x.relay.Versions.Count(x.service, version, rollout.Answer{
 		Kind:      x.kind(),
-		Failed:    !late && isServerError(answer),
+		Failed:    !late && isServerError(resp),
 		Wait:      wait,
 		Expected:  use.Takes(),
 		Late:      late,
@@ -44,37 +44,38 @@
 	})
 }
 
-// checkHead decides on the head of an answer. Nil lets the answer go out.
-func (x *exchange) checkHead(ctx context.Context, use *route.Use, sent time.Time, answer Response, err error) *failure {
+// checkHeader decides on a response by its header. It returns nil if the response is to be
+// forwarded.
+func (x *exchange) checkHeader(ctx context.Context, use *route.Use, sent time.Time, resp Response, err error) *failure {
 	if err != nil {
 		return x.classifyError(ctx, use, err)
 	}
-	if load, ok := answer.Load(); ok {
+	if load, ok := resp.Load(); ok {
 		use.Tell(load)
 	}
-	if answer.Declined() {
-		// It may be another server's, at the address of one that has ended.
+	if resp.Declined() {
+		// The response may come from another server, at the address of one that has ended, so
+		// it is not reported as progress.
 		use.End(route.OutcomeDeclined)
-		return &failure{reason: ReasonDeclined, retryAfter: answer.RetryAfter(), cause: http.StatusText(answer.Status())}
+		return &failure{reason: ReasonDeclined, retryAfter: resp.RetryAfter(), cause: http.StatusText(resp.Status())}
 	}
-	x.reportProgress(use, sent, answer)
+	x.reportProgress(use, sent, resp)
 	x.record.Note("head", "after %d ms, expected %d, of it %d waiting; confidence %s of %s",
-		time.Since(sent).Milliseconds(), use.Expected().Milliseconds(), use.Waits().Milliseconds(), formatConfidence(answer), x.model())
-	x.headReceived = time.Now()
+		time.Since(sent).Milliseconds(), use.Expected().Milliseconds(), use.Waits().Milliseconds(), formatConfidence(resp), x.model())
+	x.headerReceived = time.Now()
 	use.Begin()
-	use.Failed(isServerError(answer))
+	use.Failed(isServerError(resp))
 	x.runs++
-	if x.responseStarted && answer.Status() != http.StatusOK {
-		// The client is in the middle of a stream, which nothing but the rest
-		// of it may follow.
+	if x.responseStarted && resp.Status() != http.StatusOK {
+		// The client is in the middle of a stream and can only be sent the rest of it.
 		use.End(route.OutcomeNeutral)
-		return &failure{reason: ReasonServerFailed, ran: true, cause: "resumed stream: " + http.StatusText(answer.Status())}
+		return &failure{reason: ReasonServerFailed, ran: true, cause: "resumed stream: " + http.StatusText(resp.Status())}
 	}
-	if isServerError(answer) && x.mayRunAgain() && x.mayReplaceResponse() && x.relay.Budgets.Take(x.service, 0) {
+	if isServerError(resp) && x.mayRunAgain() && x.mayReplaceResponse() && x.relay.Budgets.Take(x.service, 0) {
 		use.End(route.OutcomeNeutral)
-		return &failure{reason: ReasonServerFailed, ran: true, budgetTaken: true, cause: http.StatusText(answer.Status())}
+		return &failure{reason: ReasonServerFailed, ran: true, budgetTaken: true, cause: http.StatusText(resp.Status())}
 	}
-	if next, ok := x.escalation(answer); ok {
+	if next, ok := x.escalation(resp); ok {
 		use.End(route.OutcomeOK)
 		x.reportAbandoned(use)
 		x.modelIndex = next
@@ -83,18 +84,18 @@
 	return nil
 }
 
-// formatConfidence shows a model's opinion of its answer.
-func formatConfidence(answer Response) string {
-	if value, told := answer.Confidence(); told {
+// formatConfidence formats a model's confidence for the decision record.
+func formatConfidence(resp Response) string {
+	if value, ok := resp.Confidence(); ok {
 		return strconv.FormatFloat(value, 'f', 0, 64)
 	}
 	return "none"
 }
 
-// isServerError reports whether an answer is a failure of the server's own.
-func isServerError(a Response) bool { return a.Status() >= http.StatusInternalServerError }
+// isServerError reports whether the status is 5xx.
+func isServerError(resp Response) bool { return resp.Status() >= http.StatusInternalServerError }
 
-// classifyError decides on an attempt without an answer.
+// classifyError returns the failure of an attempt that got no response.
 func (x *exchange) classifyError(ctx context.Context, use *route.Use, err error) *failure {
 	if stalled(ctx) {
 		use.Stall()
@@ -109,7 +110,7 @@
 	}
 	if errorx.IsOfType(err, StaleChoice) {
 		use.End(route.OutcomeNeutral)
-		delete(x.tried, use.Server().Incarnation()) // it has got nothing
+		delete(x.tried, use.Server().Incarnation()) // nothing was sent to it
 		return &failure{reason: ReasonOvertaken, budgetTaken: true, cause: err.Error()}
 	}
 	outcome := route.OutcomeFailed
@@ -132,11 +133,10 @@
 	return &failure{reason: reason, ran: true, serverLost: ctx.Err() == nil, cause: err.Error()}
 }
 
-// escalation returns the model to ask in place of an answer that a model has
-// too little confidence in.
-func (x *exchange) escalation(answer Response) (next int, ok bool) {
-	confidence, told := answer.Confidence()
-	if !x.systemChooses() || !told || answer.Status() != http.StatusOK || x.responseStarted || !x.mayRunAgain() {
+// escalation returns the model to ask in place of one whose answer has too low a confidence.
+func (x *exchange) escalation(resp Response) (next int, ok bool) {
+	confidence, reported := resp.Confidence()
+	if !x.systemChooses() || !reported || resp.Status() != http.StatusOK || x.responseStarted || !x.mayRunAgain() {
 		return 0, false
 	}
 	last := !x.mayRunAfter(x.runs + 1)
@@ -144,7 +144,7 @@
 	if !ok {
 		return 0, false
 	}
-	// The server that answered may hold the other model as well.
+	// The server that responded may run the other model as well.
 	tried := x.tried
 	x.tried = make(map[registry.Incarnation]bool)
 	defer func() {
@@ -165,12 +165,11 @@
 	return next, true
 }
 
-// mayRunAgain reports whether another server may run the request, beside the
-// ones that have.
+// mayRunAgain reports whether one more server may run the request now.
 func (x *exchange) mayRunAgain() bool {
 	return x.route.Repeatable() && x.runs < x.route.Attempts && time.Until(x.deadline) > minAttemptTime && x.request.Body.Replayable()
 }
 
-// mayRunAfter reports whether another run may follow once the given number of
-// servers has run the request.
+// mayRunAfter reports whether another run may follow once the given number of servers have run
+// the request.
 func (x *exchange) mayRunAfter(runs int) bool { return x.route.Repeatable() && runs < x.route.Attempts }
--- a/relay/refusal.go
+++ b/relay/refusal.go
@@ -8,61 +8,59 @@
 
 //go:generate go tool enumer -type=Reason -trimprefix=Reason -transform=snake -output=relay_enumer.go
 
-// Reason is the stable code of a refusal or retry. Each is counted.
+// Reason is the stable code of a refusal or a retry. Each reason is counted.
 type Reason int
 
-// The reasons.
+// The reasons of refusals and retries.
 const (
 	ReasonNoConfiguration Reason = iota
 	ReasonNoRoute
 	ReasonKeyUnknown
 	ReasonBodyTooLarge
-	// ReasonBodyBroken: the client's body broke off or grew too large after a
-	// part of it had been passed on.
+	// ReasonBodyBroken: reading the client's body failed, or it grew too large, after part of
+	// it had been forwarded.
 	ReasonBodyBroken
 	ReasonMalformed
-	// ReasonNoServer: the service has no server that can be asked now.
+	// ReasonNoServer: the service has no server that can be chosen now.
 	ReasonNoServer
 	// ReasonDeclined: the servers say that they are full or leaving.
 	ReasonDeclined
-	// ReasonUnreachable: nothing of the request reached a server.
+	// ReasonUnreachable: no byte of the request reached a server.
 	ReasonUnreachable
-	// ReasonServerFailed: a server may have run the request and gave no
-	// answer, or one that cannot be passed on.
+	// ReasonServerFailed: a server may have run the request and gave no response, or none that
+	// can be forwarded.
 	ReasonServerFailed
-	// ReasonStalled: a server took so much longer than usual that another one
-	// was asked.
+	// ReasonStalled: the server was so late that another one was asked.
 	ReasonStalled
-	// ReasonDeadline: the time of the client or of the route is over.
+	// ReasonDeadline: the deadline of the client or the route has passed.
 	ReasonDeadline
-	// ReasonLeaving: this process is to end before the answer would be whole.
+	// ReasonLeaving: this process will end before the response would be complete.
 	ReasonLeaving
-	// ReasonStopped: this process has ended before the answer was whole.
+	// ReasonStopped: this process ended before the response was complete.
 	ReasonStopped
-	// ReasonSuspected: servers ended while they ran the request.
+	// ReasonSuspected: servers crashed while they ran the request.
 	ReasonSuspected
-	// ReasonOvertaken: the server was leaving, or the news by which it was chosen had
-	// grown old, before anything was sent.
+	// ReasonOvertaken: the choice of the server was stale before anything was sent: the server
+	// was leaving, or the store view was too old.
 	ReasonOvertaken
 )
 
 const (
-	// retrySoon is told where a fault passes within a second. Clients wait
-	// a third of the time that they have left at most.
+	// retrySoon is for failures that pass within a second. Clients wait for at most a third of
+	// their remaining time.
 	retrySoon = 300 * time.Millisecond
-	// retryAfterOutage is told by a node that knows no declaration. It reads
-	// one within some 20 ms of its start, so only an outage of the store keeps
-	// it waiting; clients have few tries, and outages last for seconds.
+	// retryAfterOutage is used by a node without a declaration. A node loads it within some 20
+	// ms of its start, so only an outage of the store causes this; outages last for seconds,
+	// and clients make few attempts.
 	retryAfterOutage = 2 * time.Second
-	// retryElsewhere is told by a node that leaves: any other can take the
-	// request now.
+	// retryElsewhere is used by a draining node: any other node can take the request now.
 	retryElsewhere = 10 * time.Millisecond
-	// maxRetryAfter bounds a server's own word on when to come back.
+	// maxRetryAfter bounds the delay that a server asks for.
 	maxRetryAfter = 2 * time.Second
 )
 
-// statuses maps reasons to HTTP statuses. 503 promises that the request has
-// not run and will not, 502 and 504 promise nothing.
+// statuses maps reasons to HTTP statuses. 503 guarantees that the request has not run and will
+// not; 502 and 504 guarantee nothing.
 var statuses = map[Reason]int{
 	ReasonNoConfiguration: http.StatusServiceUnavailable,
 	ReasonNoRoute:         http.StatusNotFound,
@@ -82,7 +80,7 @@
 	ReasonOvertaken:       http.StatusServiceUnavailable,
 }
 
-// Refusal is an answer of the system's own.
+// Refusal is a response by this node instead of a server.
 type Refusal struct {
 	reason     Reason
 	status     int
@@ -94,17 +92,17 @@
 	return &Refusal{reason: reason, status: statuses[reason], retryAfter: retryAfter, message: fmt.Sprintf(format, args...)}
 }
 
-// NewRefusal returns a refusal for a request that an adapter cannot read.
+// NewRefusal returns a refusal of a request that the adapter cannot read.
 func NewRefusal(reason Reason, message string) *Refusal { return refusalf(reason, 0, "%s", message) }
 
-// Status is the HTTP status.
+// Status returns the HTTP status.
 func (r *Refusal) Status() int { return r.status }
 
-// Reason is the refusal's stable code.
+// Reason returns the stable code of the refusal.
 func (r *Refusal) Reason() Reason { return r.reason }
 
-// RetryAfter is when to come back; zero if that is of no use.
+// RetryAfter returns when the client should retry; zero if a retry is of no use.
 func (r *Refusal) RetryAfter() time.Duration { return r.retryAfter }
 
-// Error describes the refusal to a person.
+// Error returns a description for people.
 func (r *Refusal) Error() string { return r.message }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,31 +1,35 @@
-// Package relay is the path of a request that is passed through as it comes:
-// route, account, model, server, attempt, and then the answer, another model,
-// another server, or a refusal.
+// Package relay forwards client requests to backend servers: it matches the route
+// and the client account, chooses a model and a server, and then forwards the
+// response, retries on another server, escalates to another model, or refuses.
 //
-// A request arrives at one node on one connection, and whoever sends it again
-// gives it another ID. So unlike package dispatch this one needs no claims at
-// other nodes: what it must know of a request it knows by itself. It sees to
-// it that a request which may not be repeated is handed to one server at most
-// that may have run it, that a refusal which says "not run" is true, and that
-// an answer which broke off never looks whole. A request that may run again is
-// taken away from a server that is late, in time for another one to answer it.
+// A request arrives at one node on one connection, and a client that retries uses
+// a new ID. Unlike package dispatch, this package therefore needs no claims at
+// other nodes; all state of a request is local. It guarantees that:
+//
+//   - a request that is not repeatable is given to at most one server that may
+//     have run it;
+//   - a refusal that says "not run" is true;
+//   - a truncated response never looks complete to the client.
+//
+// A repeatable request is rerouted from a late server while there is still time
+// for another one to respond.
 //
 // # Usage
 //
 //	r := relay.New(relay.Parts{Catalog: …, Servers: …, Balancer: …, …})
 //	body, err := relay.NewBody(message.Body, message.ContentLength)
 //	if err != nil {
-//		reply.Refuse(relay.NewRefusal(relay.ReasonMalformed, err.Error()))
+//		w.Refuse(relay.NewRefusal(relay.ReasonMalformed, err.Error()))
 //		return
 //	}
-//	request := &relay.Request{ID: …, Message: message, Body: body, …}
-//	r.Serve(ctx, request, reply) // returns once reply has the end
+//	request := &relay.Request{ID: …, HTTPRequest: message, Body: body, …}
+//	r.Serve(ctx, request, w) // returns once the response has ended
 //
 // Before the process ends:
 //
-//	r.Leave(relay.NewShutdown(signal, late, end)) // takes only what is answered by then
+//	r.Drain(relay.NewShutdown(signaled, lastAdmit, end)) // admits only what completes in time
 //	…
-//	r.End() // gives the rest its final answers
+//	r.Close() // ends the remaining requests
 package relay
 
 import (
@@ -48,199 +52,193 @@
 var (
 	namespace = errs.Namespace("relay")
 
-	// NotRun says that a server surely has not run and will not run a
-	// request: it said so, or not a byte of the request reached it.
+	// NotRun means that a server has not run the request and will not: it said so, or no byte
+	// of the request reached it.
 	NotRun = namespace.NewType("not_run")
-	// StaleChoice says that a request was not sent, since what it was to be sent by no
-	// longer holds.
+	// StaleChoice means that nothing was sent, because the choice of the server was out of date
+	// by then.
 	StaleChoice = namespace.NewType("overtaken")
-	// Failed says that a server may have run a request and gave no answer
-	// that can be used.
+	// Failed means that a server may have run the request but gave no usable response.
 	Failed = namespace.NewType("failed")
 )
 
-// Request is one attempt of a client. The fields are exported for the adapter
-// that fills them.
+// Request is one client request. The adapter fills the exported fields.
 type Request struct {
 	ID string
-	// Key is the client account's; "" for none.
+	// Key is the API key of the client account; "" for none.
 	Key  string
 	Host string
 	Path string
-	// Arrived is when the request's header had been read.
+	// Arrived is when the request header had been read.
 	Arrived time.Time
-	// TimeLeft is how long the client waits from then on; zero if it does not
-	// say.
+	// TimeLeft is how long the client waits, counted from Arrived; zero if it does not say.
 	TimeLeft time.Duration
-	// AnyModel leaves the choice among the route's models to the system.
+	// AnyModel lets the system choose among the route's models.
 	AnyModel bool
 	Prompt   Prompt
-	// Session ties requests that should stay on one version; "" for none.
+	// Session groups requests that should stay on one version; "" for none.
 	Session string
-	// LastEventID is the last event that the client has of a stream; "" for none.
+	// LastEventID is the ID of the last stream event that the client has; "" for none.
 	LastEventID string
-	// HTTPRequest is the request as it came, for the adapter that passes it on.
+	// HTTPRequest is the original request, for the adapter that forwards it.
 	HTTPRequest *http.Request
 	Body        *Body
 }
 
-// Prompt is what a request to a model tells of its size.
+// Prompt describes the size of a request to a model.
 type Prompt struct {
-	// Tokens of the prompt; zero if it is not known.
+	// Tokens is the length of the prompt; zero if unknown.
 	Tokens int
-	// MaxOutput is the most tokens to make.
+	// MaxOutput is the maximum number of tokens to generate.
 	MaxOutput int
-	// Parts are shared between prompts, except for the last one.
+	// Parts are the segments of the prompt; all but the last may be shared with other prompts.
 	Parts []prefix.Part
 }
 
-// Call is a request as one server gets it.
+// Call is one attempt of a request, as sent to one server.
 type Call struct {
 	Request *Request
 	// Account is the name of the client account; "" for none.
 	Account string
-	// TimeLeft for the server.
+	// TimeLeft is the time that the server has to respond.
 	TimeLeft time.Duration
-	// Model is the one that the system chose; "" keeps the client's.
+	// Model is the model that the system chose; "" keeps the client's choice.
 	Model string
-	// LastEventID is the last event that the client has.
+	// LastEventID is the ID of the last stream event that the client has; "" for none.
 	LastEventID string
-	// SilentSince is since when an earlier attempt waited in vain; zero if none did.
-	// Connections that have brought nothing since may be as silent as its own.
+	// SilentSince is when an earlier attempt began to wait for a server that stayed silent;
+	// zero if there was none. Connections that have received nothing since then may be dead as
+	// well.
 	SilentSince time.Time
-	// Stale reports whether the choice of the server no longer holds. It is asked
-	// just before the first byte is sent; the request is not sent then.
+	// Stale reports whether the choice of the server is out of date. It is called just before
+	// the first byte is sent; if it returns true, nothing is sent.
 	Stale func() bool
 }
 
-// Response is the head of a server's answer, and its body as it comes.
+// Response is the header of a server's response, with its body as a stream.
 type Response interface {
 	Status() int
 	Header() http.Header
-	// Declined reports whether the server says that it did not run the
-	// request, and will not.
+	// Declined reports whether the server says that it has not run the request and will not.
 	Declined() bool
-	// Confidence is a model's own opinion of its answer, 0 to 100.
+	// Confidence is the model's confidence in its answer, 0 to 100; false if it gives none.
 	Confidence() (float64, bool)
 	Load() (route.Load, bool)
 	RetryAfter() time.Duration
-	// ConnOpened is when the connection was opened on which it comes.
+	// ConnOpened is when the connection of this response was opened.
 	ConnOpened() time.Time
 	Body() io.Reader
-	// Close ends the request at the server, if it still runs there.
+	// Close cancels the request at the server if it is still running there.
 	Close()
 }
 
-// Backends passes requests on. Errors are NotRun, Overtaken or Failed.
+// Backends sends requests to backend servers. Errors are NotRun, StaleChoice or Failed.
 type Backends interface {
 	Send(ctx context.Context, server registry.Server, call Call) (Response, error)
 }
 
-// ResponseWriter is where the answer to the client goes.
+// ResponseWriter writes the response to the client.
 type ResponseWriter interface {
-	// WriteHeader sends the head of a server's answer.
-	WriteHeader(a Response)
-	// Write sends a piece of the body at once.
+	// WriteHeader sends the header of a server's response.
+	WriteHeader(resp Response)
+	// Write sends a part of the body and flushes it.
 	Write(p []byte) error
-	// Refuse sends an answer of the system's own, in place of Begin.
+	// Refuse sends a refusal by this node instead of a server's response.
 	Refuse(r *Refusal)
-	// Abort ends an answer so that it cannot look whole.
+	// Abort ends the response in such a way that it cannot look complete.
 	Abort()
 }
 
-// Servers knows the backend servers.
+// Servers lists the backend servers.
 type Servers interface {
 	Servers(service string) []registry.Server
-	// Usable reports whether a server may still get new work.
+	// Usable reports whether a server may still get new requests.
 	Usable(i registry.Incarnation) bool
 }
 
-// StoreView tells how far this process knows what the platform holds, which servers are
-// chosen by.
+// StoreView describes how current this process's copy of the platform's store is. Servers are
+// chosen by that copy.
 type StoreView interface {
 	Revision() int64
-	// Age is how long ago that was confirmed.
+	// Age is the time since the copy was last confirmed to be current.
 	Age() time.Duration
-	// InDoubt reports whether that is too long ago to choose by, though the platform
-	// might tell what is new. Settle lets it tell, or shows that it does not.
+	// InDoubt reports whether the copy is too old to choose servers by although the store may
+	// be reachable. Settle waits for a refresh, or until the store proves unreachable.
 	InDoubt() bool
 	Settle(ctx context.Context)
 }
 
-// Versions narrows servers down by the roll-outs under way, and takes the
-// evidence on versions.
+// Versions restricts the choice of servers during roll-outs and collects samples on versions.
 type Versions interface {
-	// Choose returns the servers that may get a request and the version under
-	// which it is counted, "" if it is not. A request that was counted under
-	// a version before stays there while it can.
+	// Choose returns the servers that may get a request and the version under which it is
+	// counted, "" if it is not counted. A request that was counted under a version before stays
+	// there if possible.
 	Choose(service, key, before string, servers []registry.Server) ([]registry.Server, string)
-	// Begin and End count a request that is sent and ends, under the version that
-	// Choose named.
+	// Begin and End count a request as sent and ended, under the version that Choose returned.
 	Begin(service, version, key string)
 	End(service, version, key string)
-	Count(service, version string, a rollout.Answer)
+	Count(service, version string, sample rollout.Answer)
 }
 
-// Cascade decides between the models of a route.
+// Cascade decides which of a route's models to ask.
 type Cascade interface {
-	// First returns the index of the model that answers first, of n, if its
-	// answer may or may not be dropped for another one's.
+	// First returns the index of the first of n models to ask, depending on whether its answer
+	// may be replaced by another model's.
 	First(n int, mayEscalate bool) int
-	// Next returns the index of the model to ask in place of the one at
-	// step, whose answer has the given confidence; false to keep the answer.
-	// Last says that nothing can follow the next answer.
+	// Next returns the index of the model to ask instead of the model at index step, whose
+	// answer has the given confidence; false to keep the answer. Last says that the next answer
+	// cannot be replaced.
 	Next(n, step int, confidence float64, last bool) (int, bool)
-	// Pays reports whether asking that model is worth its time.
+	// Pays reports whether the model is worth asking.
 	Pays(o cascade.Offer) bool
 }
 
-// Budgets bound by service how many requests are sent once more.
+// Budgets limit the retries per service.
 type Budgets interface {
 	Paid(service string)
-	// Take takes one repeat out of the budget if a share of it, spare, is
-	// then left.
+	// Take takes one retry out of the budget if at least the share spare of the budget remains.
 	Take(service string, spare float64) bool
-	// Allows reports whether Take would do so now.
+	// Allows reports whether Take would succeed now.
 	Allows(service string, spare float64) bool
 }
 
-// Counters counts what operators want to see.
+// Counters records metrics.
 type Counters interface {
 	Refused(reason Reason, account string)
 	Retried(reason Reason)
 	Escalated(model string)
 	Resumed()
-	// Sent counts a request that goes to a server, with the age of the news by
-	// which that was chosen.
+	// Sent counts a request sent to a server, with the age of the store view by which the
+	// server was chosen.
 	Sent(age time.Duration)
 	Completed(route string, status int, first, total time.Duration)
 }
 
-// Suspects knows the requests under which servers end.
+// Suspects tracks requests that make servers crash.
 type Suspects interface {
-	// Empty reports whether nothing is known against any request.
+	// Empty reports whether no request is suspected.
 	Empty() bool
 	Refuses(digest uint64) bool
-	// AllowTest reports whether a request that is refused is to be sent once more all the
-	// same, to see whether servers still end under it.
+	// AllowTest reports whether a refused request is to be sent once more, to test whether it
+	// still makes servers crash.
 	AllowTest(ctx context.Context, digest uint64) bool
-	// ReportLost takes the word that a server left a request without an answer.
+	// ReportLost reports that a server ended without responding to the request.
 	ReportLost(digest, server uint64)
-	// ReportAbandoned takes the word that an attempt was given up at a server, which may run the
-	// request on.
+	// ReportAbandoned reports that an attempt was given up while the server may still run the
+	// request.
 	ReportAbandoned(digest, server uint64)
-	// Ends returns at how many servers the request was lost.
+	// Ends returns the number of servers at which the request was lost.
 	Ends(digest uint64) int
 	ReportAnswered(digest uint64)
-	// ReportProgress takes the word that something has come just now from a server, of its answer to
-	// what was sent at a time on a connection that was opened at another.
+	// ReportProgress reports that a server has just sent part of its response to a request that
+	// was sent at the given time, on a connection that was opened at the given time.
 	ReportProgress(server uint64, sent, opened time.Time)
 }
 
-// Parts is what a Relay is made of. All are needed, but for Started.
+// Parts are the dependencies of a Relay. All are required except Ready.
 type Parts struct {
-	// Ready is closed once this process knows what it goes by; nil if it does
-	// from the beginning.
+	// Ready is closed once this process has loaded its configuration; nil if it has it from the
+	// beginning.
 	Ready <-chan struct{}
 	// Catalog returns the declaration in force.
 	Catalog   func() *catalog.Catalog
@@ -250,8 +248,8 @@
 	Balancer  *route.Balancer
 	Cascade   Cascade
 	Budgets   Budgets
-	// Reroutes bounds, beside Budgets, how many requests are taken away from late
-	// servers: where all are late, moving on makes it worse.
+	// Reroutes limits, in addition to Budgets, how many requests are moved away from late
+	// servers. When all servers are late, moving requests only adds load.
 	Reroutes Budgets
 	Suspects Suspects
 	Backends Backends
@@ -259,31 +257,31 @@
 	Counters Counters
 }
 
-// Relay passes requests on. It is safe for concurrent use.
+// Relay forwards requests. It is safe for concurrent use.
 type Relay struct {
 	Parts
 	durations *durations
 	pending   *pendingAttempts
-	// shutdown is set once the process is to end; running ends with End.
+	// shutdown is set by Drain; lifetime is canceled by Close.
 	shutdown atomic.Pointer[Shutdown]
 	lifetime context.Context
-	// cancelLifetime ends running.
+	// cancelLifetime cancels lifetime.
 	cancelLifetime context.CancelCauseFunc
 }
 
-// New returns a relay.
+// New returns a relay made of the given parts.
 func New(parts Parts) *Relay {
 	r := &Relay{Parts: parts, durations: newDurations(), pending: newPendingAttempts()}
 	r.lifetime, r.cancelLifetime = context.WithCancelCause(context.Background())
 	return r
 }
 
-// Serve answers one request.
-func (r *Relay) Serve(ctx context.Context, q *Request, reply ResponseWriter) {
+// Serve handles one request. It returns once the response to the client has ended.
+func (r *Relay) Serve(ctx context.Context, q *Request, w ResponseWriter) {
 	record := r.Records.Start(q.ID, "")
 	r.awaitReady(ctx, q)
-	r.StoreView.Settle(ctx) // the declaration is old news as well
-	x, refusal := r.accept(q, reply, record)
+	r.StoreView.Settle(ctx) // the declaration comes from the store as well
+	x, refusal := r.accept(q, w, record)
 	if refusal == nil {
 		x.recordShutdown()
 		ctx, cancel := context.WithDeadline(ctx, x.deadline)
@@ -296,43 +294,43 @@
 		r.Counters.Refused(refusal.reason, record.Account())
 		record.Note("refused", "%s", refusal.Error())
 		record.End("refused: " + refusal.reason.String())
-		reply.Refuse(refusal)
+		w.Refuse(refusal)
 	}
 }
 
-// accept finds the route and the account of a request.
-func (r *Relay) accept(q *Request, reply ResponseWriter, record *decision.Record) (*exchange, *Refusal) {
+// accept finds the route and the client account of a request.
+func (r *Relay) accept(q *Request, w ResponseWriter, record *decision.Record) (*exchange, *Refusal) {
 	c := r.Catalog()
 	if c.Version() == 0 {
 		return nil, refusalf(ReasonNoConfiguration, retryAfterOutage, "no declaration is known yet")
 	}
-	target, ok := c.Match(q.Host, q.Path)
+	matched, ok := c.Match(q.Host, q.Path)
 	if !ok {
 		return nil, refusalf(ReasonNoRoute, 0, "no route for %s%s in version %d", q.Host, q.Path, c.Version())
 	}
 	account := ""
-	if c.HasAccounts() && !target.Anonymous {
-		holder, ok := c.Account(q.Key)
+	if c.HasAccounts() && !matched.Anonymous {
+		owner, ok := c.Account(q.Key)
 		if !ok {
 			return nil, refusalf(ReasonKeyUnknown, 0, "the key is not known in version %d", c.Version())
 		}
-		account = holder.Name
+		account = owner.Name
 	}
 	record.SetAccount(account)
-	record.Note("route", "%s of version %d, at most %d tokens to make", target.Name, c.Version(), q.Prompt.MaxOutput)
-	held := target.Timeout
+	record.Note("route", "%s of version %d, at most %d tokens to make", matched.Name, c.Version(), q.Prompt.MaxOutput)
+	timeout := matched.Timeout
 	if q.TimeLeft > 0 {
-		held = min(held, q.TimeLeft)
+		timeout = min(timeout, q.TimeLeft)
 	}
 	return &exchange{
 		relay:       r,
 		request:     q,
-		writer:      reply,
+		writer:      w,
 		record:      record,
-		route:       target,
+		route:       matched,
 		account:     account,
-		service:     pickService(target, q),
-		deadline:    q.Arrived.Add(held),
+		service:     pickService(matched, q),
+		deadline:    q.Arrived.Add(timeout),
 		tried:       make(map[registry.Incarnation]bool),
 		lastEventID: q.LastEventID,
 	}, nil
--- a/relay/shutdown.go
+++ b/relay/shutdown.go
@@ -6,47 +6,48 @@
 	"time"
 )
 
-// Shutdown is a planned end of the process. What begins after its signal is asked
-// first whether it can be ended before the process ends (forecast.go): otherwise
-// it would be broken off in the middle.
+// Shutdown describes the planned end of the process. A request that arrives after the signal is
+// admitted only if it is expected to complete before the end (forecast.go); otherwise it would
+// be cut off.
 type Shutdown struct{ signaled, lastAdmit, end time.Time }
 
-// NewShutdown returns the stop of a process that was asked to leave at the time of
-// the signal and ends whatever is left at the given end. What comes from late on
-// is taken only if its own time is over before the end, whatever is usual.
-func NewShutdown(signal, late, end time.Time) Shutdown {
-	return Shutdown{signaled: signal, lastAdmit: late, end: end}
+// NewShutdown returns the shutdown of a process that was signaled at the given time and cancels
+// remaining requests at the given end. A request that arrives after lastAdmit is admitted only
+// if its own deadline is before the end, whatever its expected duration.
+func NewShutdown(signaled, lastAdmit, end time.Time) Shutdown {
+	return Shutdown{signaled: signaled, lastAdmit: lastAdmit, end: end}
 }
 
-// errShutdown ends what is still under way when the process ends.
+// errShutdown is the cancellation cause of requests that are open when the process ends.
 var errShutdown = errors.New("the process ends")
 
-// Drain tells that the process is to end. From then on a request is passed on
-// only if its answer will be whole by then.
+// Drain announces the end of the process. From then on a request is sent to a server only if
+// its response is expected to complete before the end.
 func (r *Relay) Drain(s Shutdown) { r.shutdown.Store(&s) }
 
-// Close ends all requests that are under way: each gets its final answer, or is
-// broken off, and its server is left.
+// Close cancels all open requests: each client gets a refusal or an aborted response, and the
+// attempt at the server is canceled.
 func (r *Relay) Close() { r.cancelLifetime(errShutdown) }
 
-// endsBeforeShutdown reports whether work that takes so long is over when the process ends;
-// always where no end is near.
+// endsBeforeShutdown reports whether work of the given duration completes before the process
+// ends; true if no shutdown is planned. Work of unknown duration counts only if its deadline is
+// before the end.
 func (r *Relay) endsBeforeShutdown(deadline time.Time, takes time.Duration, known bool) bool {
-	stop := r.shutdown.Load()
-	if stop == nil || !deadline.After(stop.end) {
+	shutdown := r.shutdown.Load()
+	if shutdown == nil || !deadline.After(shutdown.end) {
 		return true
 	}
-	return known && time.Now().Add(takes).Before(stop.end)
+	return known && time.Now().Add(takes).Before(shutdown.end)
 }
 
-// endsInTime reports whether work that takes so long is over before its own
-// deadline, too. That is asked of what would take the place of an answer that is
-// there, or goes on: ended in vain, it would be lost.
+// endsInTime is like endsBeforeShutdown, but work of known duration must also complete before
+// its own deadline. It is used for attempts that would replace a response which exists or is in
+// progress: if the attempt were cut off, that response would be lost.
 func (r *Relay) endsInTime(deadline time.Time, takes time.Duration, known bool) bool {
 	return r.endsBeforeShutdown(deadline, takes, known) && (!known || time.Now().Add(takes).Before(deadline))
 }
 
-// withLifetime returns a context that End ends, too.
+// withLifetime returns a context that is also canceled by Close.
 func (r *Relay) withLifetime(ctx context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	detach := context.AfterFunc(r.lifetime, func() { cancel(context.Cause(r.lifetime)) })
@@ -56,21 +57,21 @@
 	}
 }
 
-// endedByShutdown reports whether a request was ended by End.
+// endedByShutdown reports whether a request was canceled by Close.
 func endedByShutdown(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errShutdown) }
 
-// recordShutdown tells that a request came after the signal.
+// recordShutdown records that the request arrived after the shutdown signal.
 func (x *exchange) recordShutdown() {
-	stop := x.relay.shutdown.Load()
-	if stop == nil {
+	shutdown := x.relay.shutdown.Load()
+	if shutdown == nil {
 		return
 	}
-	sinceSignal, untilEnd := x.request.Arrived.Sub(stop.signaled), stop.end.Sub(x.request.Arrived)
+	sinceSignal, untilEnd := x.request.Arrived.Sub(shutdown.signaled), shutdown.end.Sub(x.request.Arrived)
 	x.record.Note("leaving", "came %d ms after the signal, %d ms before the end", sinceSignal.Milliseconds(), untilEnd.Milliseconds())
 }
 
-// shutdownRefusal tells a client of a request that this process can't answer before
-// it ends. Another one can: at once, if no server has run the request.
+// shutdownRefusal returns the refusal of a request that this process can't complete before it
+// ends. Another node can take it, immediately if no server has run it.
 func (x *exchange) shutdownRefusal(detail string) *Refusal {
 	if x.runs > 0 {
 		return refusalf(ReasonStopped, 0, "this node has stopped: %s", detail)
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -12,13 +12,13 @@
 	"github.com/violettally/violettally/suspect"
 )
 
-// suspected reports whether servers end under the request, so that it is to be
-// sent to no further one.
+// suspected reports whether servers crash while running this request, so that it must not be
+// sent to another one.
 func (x *exchange) suspected() bool {
 	return !x.relay.Suspects.Empty() && x.relay.Suspects.Refuses(x.contentDigest())
 }
 
-// contentDigest returns the digest of what servers are given of the request.
+// contentDigest returns the digest of the content that servers get.
 func (x *exchange) contentDigest() uint64 {
 	if x.digest == 0 {
 		x.digest = digestContent(x.request)
@@ -26,13 +26,13 @@
 	return x.digest
 }
 
-// digestContent returns the digest of what servers are given of a request.
+// digestContent computes the digest of the content that servers get.
 func digestContent(q *Request) uint64 {
 	return suspect.Digest(q.Path, q.Body.Buffered(), q.Body.Length())
 }
 
-// takeTest reports whether this request, which is refused, is the one that is sent once
-// more to see whether servers still end under it: to one server, once.
+// takeTest reports whether this refused request is to be sent to one server as a test whether
+// servers still crash. It returns true at most once per request.
 func (x *exchange) takeTest(ctx context.Context) bool {
 	if x.testSent || !x.relay.Suspects.AllowTest(ctx, x.contentDigest()) {
 		return false
@@ -42,8 +42,9 @@
 	return true
 }
 
-// reportLost takes note that a server ended an attempt without an answer, or with a
-// part of one. Where this node or its client ended it, the server may be well.
+// reportLost reports that a server ended an attempt with no response or a truncated one. If
+// this node or the client ended the attempt, nothing is reported, since the server may be
+// healthy.
 func (x *exchange) reportLost(ctx context.Context, use *route.Use) {
 	if ctx.Err() != nil || x.request.Body.Err() != nil {
 		return
@@ -52,44 +53,46 @@
 	x.record.Note("lost", "at %s; content %016x, lost at %d servers", use.Server().ID, x.contentDigest(), x.relay.Suspects.Ends(x.contentDigest()))
 }
 
-// delayAfterLoss lies between a lost attempt and the next one. Servers that end together show
-// it meanwhile, so that the next attempt goes to none of them; and if one ends under it as
-// well, that is for another cause (suspect.OneMoment).
+// delayAfterLoss is the delay between a lost attempt and the next one. Servers that crash
+// together are seen as gone by then, so the next attempt does not go to one of them; if its
+// server crashes too, that has another cause (suspect.OneMoment).
 const delayAfterLoss = suspect.OneMoment + 10*time.Millisecond
 
-// sleep returns after d, or when the context ends.
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
 	<-ctx.Done()
 }
 
-// reportAbandoned takes note that this attempt was given up, though the server may run it on.
+// reportAbandoned reports that this attempt was given up while the server may still run the
+// request.
 func (x *exchange) reportAbandoned(use *route.Use) {
 	x.relay.Suspects.ReportAbandoned(x.contentDigest(), use.Server().Incarnation().Hash())
 }
 
-// reportProgress takes note that something came of a server's answer to what was sent to it at a
-// time.
-func (x *exchange) reportProgress(use *route.Use, sent time.Time, answer Response) {
+// reportProgress reports that part of the response to a request sent at the given time has
+// arrived.
+func (x *exchange) reportProgress(use *route.Use, sent time.Time, resp Response) {
 	if !x.relay.Suspects.Empty() {
-		x.relay.Suspects.ReportProgress(use.Server().Incarnation().Hash(), sent, answer.ConnOpened())
+		x.relay.Suspects.ReportProgress(use.Server().Incarnation().Hash(), sent, resp.ConnOpened())
 	}
 }
 
-// reportAnswered takes note that a server has answered the request.
+// reportAnswered reports that a server has completed its response.
 func (x *exchange) reportAnswered() { x.relay.Suspects.ReportAnswered(x.contentDigest()) }
 
-// errSuspected ends an attempt whose request is refused since it was sent.
+// errSuspected is the cancellation cause of attempts whose request has become suspected since
+// it was sent.
 var errSuspected = errors.New("servers end under the request")
 
-// canceledAsSuspected reports whether an attempt was ended for that.
+// canceledAsSuspected reports whether the attempt was canceled with errSuspected.
 func canceledAsSuspected(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), errSuspected)
 }
 
-// CancelPending ends the attempts with a request that servers have not begun to answer:
-// they would end under it as well when its turn comes there.
+// CancelPending cancels all attempts with the given content that have no response yet: the
+// servers would crash as well once they run it.
 func (r *Relay) CancelPending(digest uint64) {
 	for _, w := range r.pending.all() {
 		if digestContent(w.request) == digest {
@@ -98,7 +101,7 @@
 	}
 }
 
-// pendingAttempts holds the attempts of which no answer has begun.
+// pendingAttempts is the set of attempts whose response has not begun.
 type pendingAttempts struct {
 	mu       sync.Mutex
 	attempts map[*pendingAttempt]struct{}
@@ -113,7 +116,7 @@
 	return &pendingAttempts{attempts: make(map[*pendingAttempt]struct{})}
 }
 
-// add notes an attempt until what it returns is called.
+// add adds an attempt to the set; remove deletes it.
 func (w *pendingAttempts) add(q *Request, cancel context.CancelCauseFunc) (remove func()) {
 	a := &pendingAttempt{request: q, cancel: cancel}
 	w.mu.Lock()
@@ -126,7 +129,7 @@
 	}
 }
 
-// all returns the attempts that wait now.
+// all returns the present attempts.
 func (w *pendingAttempts) all() []*pendingAttempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/relay/task.go
+++ b/relay/task.go
@@ -7,14 +7,14 @@
 	"github.com/violettally/violettally/route"
 )
 
-// What an answer is assumed to take before the first one has come. One answer
-// outweighs it.
+// Assumed response times before the first response has been seen. One response outweighs them.
 const (
-	// assumedBaseMillis is the time in milliseconds in which an idle server begins
-	// its answer, beside reading a prompt.
+	// assumedBaseMillis is the time in milliseconds until an idle server starts its response,
+	// without the time to process a prompt.
 	assumedBaseMillis = 30.0
-	// assumedMillisPerPromptToken is the time in milliseconds in which the costliest model
-	// reads a token; engines of large models read 10 to 50 in a millisecond.
+	// assumedMillisPerPromptToken is the time in milliseconds in which the most expensive model
+	// processes a prompt token; engines of large models process 10 to 50 tokens per
+	// millisecond.
 	assumedMillisPerPromptToken = 0.05
 )
 
@@ -41,11 +41,11 @@
 	return t
 }
 
-// kind groups requests that usually take equally long.
+// kind groups requests whose responses usually take equally long.
 func (x *exchange) kind() string { return x.route.Name + "/" + x.model() }
 
-// workKind groups requests that take equally long for the same size: those for
-// a model, whichever route they come by, or else those of a route.
+// workKind groups requests that take equally long for the same size: those for the same model
+// on any route, or else those of the same route.
 func (x *exchange) workKind() string {
 	if x.request.Prompt.Tokens > 0 {
 		return x.service + "/" + x.model()
@@ -53,7 +53,7 @@
 	return x.service + "/" + x.route.Name
 }
 
-// engine describes the engines of the service; nil if it has none.
+// engine returns the engine of the service; nil if it has none.
 func (x *exchange) engine() *catalog.Engine {
 	service := x.relay.Catalog().Service(x.service)
 	if service == nil {
@@ -62,8 +62,8 @@
 	return service.Engine
 }
 
-// relativeCost is how long a model is assumed to take, as a share of the costliest
-// one's time. The declared costs stand in for it: they rise with a model's size.
+// relativeCost returns the assumed processing time of a model relative to the most expensive
+// one. It is taken from the declared costs, which grow with the size of the model.
 func relativeCost(engine *catalog.Engine, model string) float64 {
 	highest := 0.0
 	for _, cost := range engine.Costs {
--- a/relay/watchdog.go
+++ b/relay/watchdog.go
@@ -8,50 +8,48 @@
 	"github.com/violettally/violettally/route"
 )
 
-// A server that is dark, hangs, or has become slow gives no sign of it. A
-// request that may run again is therefore taken away from a server whose
-// answer is late against its kind and beyond what was expected of it.
+// A server that has become unreachable, hangs or is slow gives no sign of it. Repeatable
+// requests are therefore rerouted if their response is late, both compared with other requests
+// of their kind and with what was expected of the server.
 const (
-	// minFirstByteShare and mostPatience bound the wait for the first piece of an
-	// answer, as shares of the route's objective; only what is expected to take
-	// longer may. A request that is taken away is read again elsewhere and makes
-	// all others later: at half of the objective one in ten was, from servers
-	// that were only busy, and worth fell from 0.67 to 0.64.
+	// minFirstByteShare and maxFirstByteShare bound the wait for the first byte, as shares of
+	// the route's objective; only responses that are expected to take longer may exceed them. A
+	// rerouted request is processed again elsewhere and delays all others: at half of the
+	// objective, one request in ten was rerouted, from servers that were only busy, and worth
+	// fell from 0.67 to 0.64.
 	minFirstByteShare = 0.8
 	maxFirstByteShare = 0.9
-	// maxExpectedFactor is how many times longer than expected any answer may take
-	// to begin.
+	// maxExpectedFactor is the multiple of the expected time within which a response must
+	// begin.
 	maxExpectedFactor = 3
-	// maxPauseFactor is the multiple of the longest pause in time after which the
-	// rest of a stream is asked for elsewhere. On a calm day one stream in ten
-	// pauses for more than half of that time, one in a hundred for all of it,
-	// and goes on by itself.
+	// maxPauseFactor is the multiple of the route's MaxPause after which a stream is resumed
+	// elsewhere. Under normal conditions one stream in ten pauses for more than half of that
+	// time and one in a hundred for all of it, and they go on by themselves.
 	maxPauseFactor = 1.25
-	// defaultObjective stands in for routes that declare none.
+	// defaultObjective is used for routes that declare none.
 	defaultObjective = 2 * time.Second
 )
 
-// errStalled ends an attempt whose server was late.
+// errStalled is the cancellation cause of attempts at late servers.
 var errStalled = errors.New("the server is late")
 
-// watchdog takes one attempt away from a server that is late. The zero value
-// watches nothing.
+// watchdog cancels one attempt if its server is late. The zero value does nothing.
 type watchdog struct {
 	timer *time.Timer
-	// since is since when it waits.
+	// since is when the present wait began.
 	since time.Time
 }
 
-// startWatchdog begins to watch an attempt that has been sent just now.
+// startWatchdog starts the watchdog of an attempt that is being sent.
 func (x *exchange) startWatchdog(use *route.Use, cancel context.CancelCauseFunc) *watchdog {
-	// This attempt will count as a run, so one more must be left.
+	// This attempt will count as a run, so one more must be allowed.
 	if !x.mayReroute(x.runs + 1) {
 		return &watchdog{}
 	}
 	length, known := x.bodyDuration()
 	servers, _ := x.servers()
 	task, deadline := x.task(servers), x.deadline
-	task.Exclude = nil // these have not been tried, and tried changes meanwhile
+	task.Exclude = nil // the servers are untried already, and x.tried changes concurrently
 	return &watchdog{since: time.Now(), timer: time.AfterFunc(x.firstByteTimeout(use), func() {
 		takes := x.relay.Balancer.Forecast(task).Total() + length
 		if x.relay.endsInTime(deadline, takes, known) && x.relay.Reroutes.Take(x.service, 0) && x.relay.Budgets.Take(x.service, retryReserve) {
@@ -60,8 +58,7 @@
 	})}
 }
 
-// reset bounds the time until the next piece of the answer; zero bounds it no
-// more.
+// reset sets the time until the next part of the response is due; zero disables the watchdog.
 func (w *watchdog) reset(d time.Duration) {
 	switch {
 	case w.timer == nil:
@@ -73,28 +70,28 @@
 	}
 }
 
-// stop ends the watch.
+// stop disables the watchdog.
 func (w *watchdog) stop() { w.reset(0) }
 
-// firstByteTimeout is how long an attempt waits for the first piece of its answer.
+// firstByteTimeout returns how long an attempt waits for its first byte.
 func (x *exchange) firstByteTimeout(use *route.Use) time.Duration {
 	objective := x.route.Objective
 	if objective <= 0 {
 		objective = defaultObjective
 	}
-	least := time.Duration(minFirstByteShare * float64(objective))
-	most := max(time.Duration(maxFirstByteShare*float64(objective)), maxExpectedFactor*use.Expected())
+	minWait := time.Duration(minFirstByteShare * float64(objective))
+	maxWait := max(time.Duration(maxFirstByteShare*float64(objective)), maxExpectedFactor*use.Expected())
 	if use.Late() == 0 {
-		return most
+		return maxWait
 	}
-	return min(most, max(least, use.Late()))
+	return min(maxWait, max(minWait, use.Late()))
 }
 
-// mayReroute reports whether there is another server that the request may be taken
-// to once the given number of servers has run it.
+// mayReroute reports whether the request may be moved to another server once the given number
+// of servers have run it.
 func (x *exchange) mayReroute(runs int) bool {
 	return x.otherServers > 0 && x.mayRunAfter(runs) && x.sends < maxSends && x.request.Body.FullyBuffered()
 }
 
-// stalled reports whether an attempt was ended for its lateness.
+// stalled reports whether the attempt was canceled because its server was late.
 func stalled(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errStalled) }
