--- a/relay/client_gone_test.go
+++ b/relay/client_gone_test.go
@@ -15,8 +15,8 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// clientGoneDuring lets the client leave while a server is at work, which then does
-// as it is told.
+// clientGoneDuring cancels the client's context while the server handles the request, which
+// then responds as given.
 type clientGoneDuring struct {
 	cancelClient context.CancelFunc
 	respond      func(ctx context.Context) (relay.Response, error)
@@ -31,50 +31,49 @@
 	return b.respond(ctx)
 }
 
-// lowConfidence is an answer of which its model has little confidence.
+// lowConfidence is a response whose model reports low confidence.
 type lowConfidence struct{ response }
 
 func (lowConfidence) Confidence() (float64, bool) { return 1, true }
 
-// declinedResponse is an answer of a server that is full.
+// declinedResponse is the response of a server that is full.
 type declinedResponse struct{ response }
 
 func (declinedResponse) Declined() bool { return true }
 
-// brokenBody is a body that breaks off after a beginning.
-func brokenBody(begun string) io.Reader {
-	return io.MultiReader(strings.NewReader(begun), brokenReader{})
+// brokenBody is a body that fails after the given text.
+func brokenBody(text string) io.Reader {
+	return io.MultiReader(strings.NewReader(text), brokenReader{})
 }
 
 type brokenReader struct{}
 
 func (brokenReader) Read([]byte) (int, error) { return 0, errors.New("broken off") }
 
-// TestNothingAfterLeaving: once the client has left, no failure, refusal, poor or
-// broken answer makes a request be sent again, and the attempt's context has
-// ended.
+// TestNoRetryAfterClientGone checks that no failure, refusal, poor or truncated response leads
+// to another attempt once the client is gone, and that the context of the attempt has ended.
 func TestNoRetryAfterClientGone(t *testing.T) {
-	answer := func(a relay.Response) func(context.Context) (relay.Response, error) {
+	returns := func(a relay.Response) func(context.Context) (relay.Response, error) {
 		return func(context.Context) (relay.Response, error) { return a, nil }
 	}
 	tests := []struct {
-		name string
-		does func(context.Context) (relay.Response, error)
+		name    string
+		respond func(context.Context) (relay.Response, error)
 	}{
 		{"failed", func(context.Context) (relay.Response, error) { return nil, relay.Failed.New("reset") }},
-		{"not reached", func(context.Context) (relay.Response, error) { return nil, relay.NotRun.New("refused") }},
-		{"declined", answer(declinedResponse{response{503, strings.NewReader("")}})},
-		{"server failed", answer(response{500, strings.NewReader("")})},
-		{"little confidence", answer(lowConfidence{response{200, strings.NewReader("id: 1\n\n")}})},
-		{"broken", answer(response{200, brokenBody("")})},
-		{"broken in its middle", answer(response{200, brokenBody("id: 1\n\n")})},
+		{"unreachable", func(context.Context) (relay.Response, error) { return nil, relay.NotRun.New("refused") }},
+		{"declined", returns(declinedResponse{response{503, strings.NewReader("")}})},
+		{"server error", returns(response{500, strings.NewReader("")})},
+		{"low confidence", returns(lowConfidence{response{200, strings.NewReader("id: 1\n\n")}})},
+		{"truncated", returns(response{200, brokenBody("")})},
+		{"truncated after an event", returns(response{200, brokenBody("id: 1\n\n")})},
 	}
 	kinds := map[string]catalog.Kind{"plain": catalog.KindRepeatable, "stream": catalog.KindStream}
 	for _, tt := range tests {
 		for kindName, kind := range kinds {
 			t.Run(tt.name+" "+kindName, func(t *testing.T) {
-				ctx, leave := context.WithCancel(t.Context())
-				b := &clientGoneDuring{cancelClient: leave, respond: tt.does}
+				ctx, cancel := context.WithCancel(t.Context())
+				b := &clientGoneDuring{cancelClient: cancel, respond: tt.respond}
 				target := catalog.Route{Kind: kind, Attempts: 3, Timeout: time.Minute, Objective: time.Second, Models: []string{"small", "large"}}
 				serveUntil(ctx, t, target, relay.Parts{Backends: b}, relay.Request{Body: emptyBody(t), AnyModel: true}, &recorder{})
 				must.Eq(t, 1, b.sends)
--- a/relay/estimates_test.go
+++ b/relay/estimates_test.go
@@ -12,8 +12,8 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// TestEstimatesAreRead: what a decision tells of its estimates is in the form
-// that package accuracy reads.
+// TestDecisionStepsParse checks that package accuracy can parse the estimates in a decision
+// record.
 func TestDecisionStepsParse(t *testing.T) {
 	const answered, unanswered = "35 to 50", "no answer yet"
 	tests := []struct {
@@ -23,8 +23,8 @@
 		models   []string
 		offers   map[string]int
 	}{
-		{"one model after the other", 3, true, []string{"large", "middle", "small"}, map[string]int{answered: 2}},
-		{"the costliest at once", 1, true, []string{"large"}, map[string]int{unanswered: 1}},
+		{"escalation through all models", 3, true, []string{"large", "middle", "small"}, map[string]int{answered: 2}},
+		{"most expensive model at once", 1, true, []string{"large"}, map[string]int{unanswered: 1}},
 		{"plain request", 3, false, []string{""}, map[string]int{}},
 	}
 	for _, tt := range tests {
--- a/relay/export_test.go
+++ b/relay/export_test.go
@@ -2,7 +2,7 @@
 
 import "io"
 
-// SplitEvents reads all events of a stream, for external tests.
+// SplitEvents reads all events of a stream. It is exported for external tests.
 func SplitEvents(body io.Reader) (raw, ids []string, err error) {
 	events := newEvents(body)
 	for {
--- a/relay/harness_test.go
+++ b/relay/harness_test.go
@@ -21,29 +21,29 @@
 	"github.com/violettally/violettally/route"
 )
 
-// serve passes one request on a resumable route through a relay.
-func serve(t *testing.T, target catalog.Route, parts relay.Parts, request relay.Request, reply relay.ResponseWriter) {
-	serveUntil(t.Context(), t, target, parts, request, reply)
+// serve handles one request on a resumable route with a new relay.
+func serve(t *testing.T, target catalog.Route, parts relay.Parts, request relay.Request, w relay.ResponseWriter) {
+	serveUntil(t.Context(), t, target, parts, request, w)
 }
 
-// serveUntil is serve for a client that leaves when the context ends.
-func serveUntil(ctx context.Context, t *testing.T, target catalog.Route, parts relay.Parts, request relay.Request, reply relay.ResponseWriter) {
-	askUntil(ctx, newRelay(t, target, parts), request, reply)
+// serveUntil is serve for a client whose connection lasts until ctx ends.
+func serveUntil(ctx context.Context, t *testing.T, target catalog.Route, parts relay.Parts, request relay.Request, w relay.ResponseWriter) {
+	askUntil(ctx, newRelay(t, target, parts), request, w)
 }
 
-// ask passes one request through a relay.
-func ask(t *testing.T, r *relay.Relay, request relay.Request, reply relay.ResponseWriter) {
-	askUntil(t.Context(), r, request, reply)
+// ask handles one request.
+func ask(t *testing.T, r *relay.Relay, request relay.Request, w relay.ResponseWriter) {
+	askUntil(t.Context(), r, request, w)
 }
 
-// askUntil is ask for a client that leaves when the context ends.
-func askUntil(ctx context.Context, r *relay.Relay, request relay.Request, reply relay.ResponseWriter) {
+// askUntil is ask for a client whose connection lasts until ctx ends.
+func askUntil(ctx context.Context, r *relay.Relay, request relay.Request, w relay.ResponseWriter) {
 	request.ID, request.Host, request.Path, request.Arrived = "1", "h", "/", time.Now()
-	r.Serve(ctx, &request, reply)
+	r.Serve(ctx, &request, w)
 }
 
-// newRelay returns a relay with a resumable route. Parts that are not given are
-// the usual ones: three servers, no roll-out, no bounds.
+// newRelay returns a relay with a resumable route. The defaults are three servers, no roll-out
+// and unlimited budgets.
 func newRelay(t *testing.T, target catalog.Route, parts relay.Parts) *relay.Relay {
 	target.Name, target.Host, target.Prefix, target.Resumable = "r", "h", "/", true
 	target.Targets = []catalog.Target{{Service: "s", Weight: 1}}
@@ -67,14 +67,14 @@
 	return relay.New(parts)
 }
 
-// emptyBody is that of a request without one.
+// emptyBody returns the body of a request without one.
 func emptyBody(t *testing.T) *relay.Body {
 	body, err := relay.NewBody(strings.NewReader(""), 0)
 	must.NoError(t, err)
 	return body
 }
 
-// noSuspects knows nothing against any request.
+// noSuspects suspects no request.
 type noSuspects struct{}
 
 func (noSuspects) Empty() bool                                 { return true }
@@ -86,7 +86,7 @@
 func (noSuspects) ReportAnswered(uint64)                       {}
 func (noSuspects) ReportProgress(uint64, time.Time, time.Time) {}
 
-// freshView is of a process that knows all there is.
+// freshView is a store view that is always current.
 type freshView struct{}
 
 func (freshView) Revision() int64        { return 1 }
@@ -94,14 +94,14 @@
 func (freshView) InDoubt() bool          { return false }
 func (freshView) Settle(context.Context) {}
 
-// threeServers are all there are.
+// threeServers is a fixed set of three servers.
 type threeServers struct{ allUsable }
 
 func (threeServers) Servers(string) []registry.Server {
 	return []registry.Server{{ID: "a"}, {ID: "b"}, {ID: "c"}}
 }
 
-// allUsable are servers that stay.
+// allUsable reports all servers as usable.
 type allUsable struct{}
 
 func (allUsable) Usable(registry.Incarnation) bool { return true }
@@ -116,14 +116,14 @@
 func (noRollout) End(_, _, _ string)                  {}
 func (noRollout) Count(_, _ string, _ rollout.Answer) {}
 
-// unlimitedBudget lets every request be sent again.
+// unlimitedBudget allows every retry.
 type unlimitedBudget struct{}
 
 func (unlimitedBudget) Paid(string)                 {}
 func (unlimitedBudget) Take(string, float64) bool   { return true }
 func (unlimitedBudget) Allows(string, float64) bool { return true }
 
-// noReroutes allows no request to be moved.
+// noReroutes allows no request to be rerouted.
 type noReroutes struct{ unlimitedBudget }
 
 func (noReroutes) Take(string, float64) bool { return false }
@@ -137,7 +137,7 @@
 func (noCounters) Sent(time.Duration)                                  {}
 func (noCounters) Completed(string, int, time.Duration, time.Duration) {}
 
-// response is a server's answer.
+// response is a response of a server.
 type response struct {
 	status int
 	body   io.Reader
@@ -153,7 +153,7 @@
 func (a response) Body() io.Reader             { return a.body }
 func (a response) Close()                      {}
 
-// recorder is what a client gets.
+// recorder records what a client gets.
 type recorder struct {
 	bytes.Buffer
 	status  int
--- a/relay/models_test.go
+++ b/relay/models_test.go
@@ -13,10 +13,10 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// threeModels are those of a route on which the system chooses.
+// threeModels are the models of a route on which the system chooses.
 var threeModels = []string{"small", "middle", "large"}
 
-// modelRecorder notes which models were asked; all answers are unsure.
+// modelRecorder records which models were asked. All its responses have low confidence.
 type modelRecorder struct {
 	fail int
 	sent []string
@@ -34,14 +34,14 @@
 	return unsureResponse{response{200, strings.NewReader("id: 1\n\n")}}, nil
 }
 
-// noRetryBudget has no budget for repeats left.
+// noRetryBudget allows no retry.
 type noRetryBudget struct{ unlimitedBudget }
 
 func (noRetryBudget) Take(string, float64) bool   { return false }
 func (noRetryBudget) Allows(string, float64) bool { return false }
 
-// TestModelsAsked: the model that answers last is the costliest, whatever came
-// before it.
+// TestModelOrder checks that the last model asked is the most expensive one, whatever was asked
+// before.
 func TestModelOrder(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -50,12 +50,12 @@
 		budgets  relay.Budgets
 		want     []string
 	}{
-		{"one after the other", 3, 0, unlimitedBudget{}, []string{"small", "middle", "large"}},
+		{"three attempts", 3, 0, unlimitedBudget{}, []string{"small", "middle", "large"}},
 		{"two attempts", 2, 0, unlimitedBudget{}, []string{"small", "large"}},
 		{"one attempt", 1, 0, unlimitedBudget{}, []string{"large"}},
-		{"a failure leaves two", 3, 1, unlimitedBudget{}, []string{"small", "small", "large"}},
-		{"two failures leave one", 3, 2, unlimitedBudget{}, []string{"small", "small", "large"}},
-		{"no budget for repeats", 3, 0, noRetryBudget{}, []string{"large"}},
+		{"one failure, two attempts left", 3, 1, unlimitedBudget{}, []string{"small", "small", "large"}},
+		{"two failures, one attempt left", 3, 2, unlimitedBudget{}, []string{"small", "small", "large"}},
+		{"no retry budget", 3, 0, noRetryBudget{}, []string{"large"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -13,16 +13,16 @@
 	"github.com/violettally/violettally/route"
 )
 
-// TestOverload: where the costlier models would be late, the cheapest one's
-// answer goes out, however unsure it is; once there is no load they are asked
-// again.
+// TestOverload checks that the cheapest model's answer is delivered, whatever its confidence,
+// if the more expensive models would be late, and that those are asked again once the load is
+// gone.
 func TestOverload(t *testing.T) {
 	tests := []struct {
 		name    string
 		budgets relay.Budgets
 	}{
 		{"escalations", unlimitedBudget{}},
-		{"no budget for repeats", noRetryBudget{}},
+		{"no retry budget", noRetryBudget{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -52,15 +52,15 @@
 	}
 }
 
-// firstServerOnly is a roll-out that lets requests go to the first server alone.
+// firstServerOnly is a roll-out that admits only the first server.
 type firstServerOnly struct{ noRollout }
 
 func (firstServerOnly) Choose(_, _, _ string, s []registry.Server) ([]registry.Server, string) {
 	return s[:1], "v1"
 }
 
-// TestOverloadInRollout: whether a costlier model would be late is asked of the
-// servers that may get the request; idle ones of another version do not count.
+// TestOverloadInRollout checks that only servers that may get the request count when the
+// lateness of a more expensive model is forecast, and idle servers of another version do not.
 func TestOverloadInRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		balancer, backends := route.NewBalancer("", func(string) {}), &modelRecorder{}
--- a/relay/progress_test.go
+++ b/relay/progress_test.go
@@ -12,7 +12,7 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// progressRecorder notes which servers are taken for ones that go on.
+// progressRecorder records the servers that are reported to make progress.
 type progressRecorder struct {
 	noSuspects
 	servers []uint64
@@ -24,22 +24,22 @@
 	h.servers = append(h.servers, server)
 }
 
-// decliningServers servers turn requests away, as does one that was started at the address of
-// another.
+// decliningServers decline all requests, like a server that was started at the address of
+// another one.
 type decliningServers struct{ threeServers }
 
 func (decliningServers) Send(context.Context, registry.Server, relay.Call) (relay.Response, error) {
 	return declinedResponse{}, nil
 }
 
-// TestOtherServerAtAddress: a server had ended, the next one at its address turned away
-// what was meant for it, and that was taken for a sign that it goes on. Three verdicts
-// were forgotten at that, and nine more servers ended.
+// TestDeclineIsNoProgress checks that a declined request is not reported as progress of the
+// server. The response may come from a new server at the address of one that has crashed; when
+// it counted, three verdicts were withdrawn and nine more servers crashed.
 func TestDeclineIsNoProgress(t *testing.T) {
-	heard := &progressRecorder{}
-	reply := &recorder{}
+	progress := &progressRecorder{}
+	got := &recorder{}
 	serve(t, catalog.Route{Kind: catalog.KindRepeatable, Attempts: 2, Timeout: time.Second},
-		relay.Parts{Servers: decliningServers{}, Backends: decliningServers{}, Budgets: noRetryBudget{}, Suspects: heard}, relay.Request{Body: emptyBody(t)}, reply)
-	must.NotNil(t, reply.refusal)
-	must.SliceEmpty(t, heard.servers)
+		relay.Parts{Servers: decliningServers{}, Backends: decliningServers{}, Budgets: noRetryBudget{}, Suspects: progress}, relay.Request{Body: emptyBody(t)}, got)
+	must.NotNil(t, got.refusal)
+	must.SliceEmpty(t, progress.servers)
 }
--- a/relay/ready_test.go
+++ b/relay/ready_test.go
@@ -14,30 +14,30 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// instantBackends is servers that answer at once.
+// instantBackends respond at once.
 type instantBackends struct{}
 
 func (instantBackends) Send(context.Context, registry.Server, relay.Call) (relay.Response, error) {
 	return response{200, strings.NewReader("whole")}, nil
 }
 
-// TestRequestBeforeReady lists when a process that has just started knows what the
-// store holds, and what becomes of a request that came before.
+// TestRequestBeforeReady checks how requests are handled that arrive before a starting process
+// has read the store.
 func TestRequestBeforeReady(t *testing.T) {
 	const never = time.Hour
 	tests := []struct {
 		name string
-		// told is when the process knows, left how long the client waits.
-		told, left time.Duration
-		refused    bool
-		after      time.Duration
+		// readyAfter is when the process is ready, timeLeft how long the client waits.
+		readyAfter, timeLeft time.Duration
+		refused              bool
+		want                 time.Duration
 	}{
-		{"at once", 0, 10 * time.Second, false, 0},
-		{"among the starts of a whole deployment", 300 * time.Millisecond, 10 * time.Second, false, 300 * time.Millisecond},
-		{"a client that does not say how long it waits", 300 * time.Millisecond, 0, false, 300 * time.Millisecond},
-		{"in an outage", never, 10 * time.Second, true, 500 * time.Millisecond},
-		{"a client in a hurry", 300 * time.Millisecond, 1500 * time.Millisecond, false, 300 * time.Millisecond},
-		{"too late for a client in a hurry", 300 * time.Millisecond, 600 * time.Millisecond, true, 200 * time.Millisecond},
+		{"ready at once", 0, 10 * time.Second, false, 0},
+		{"all nodes of a deployment start", 300 * time.Millisecond, 10 * time.Second, false, 300 * time.Millisecond},
+		{"client without a time limit", 300 * time.Millisecond, 0, false, 300 * time.Millisecond},
+		{"store outage", never, 10 * time.Second, true, 500 * time.Millisecond},
+		{"client with little time", 300 * time.Millisecond, 1500 * time.Millisecond, false, 300 * time.Millisecond},
+		{"too late for a client with little time", 300 * time.Millisecond, 600 * time.Millisecond, true, 200 * time.Millisecond},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -47,28 +47,28 @@
 					Backends: instantBackends{},
 					Ready:    started,
 				})
-				known := r.Catalog
+				catalogInForce := r.Catalog
 				r.Catalog = func() *catalog.Catalog {
 					select {
 					case <-started:
-						return known()
+						return catalogInForce()
 					default:
 						return catalog.Empty()
 					}
 				}
-				timer := time.AfterFunc(tt.told, func() { close(started) })
+				timer := time.AfterFunc(tt.readyAfter, func() { close(started) })
 				defer timer.Stop()
-				began := time.Now()
-				reply := &recorder{}
+				start := time.Now()
+				got := &recorder{}
 				synctest.Wait()
-				ask(t, r, relay.Request{Body: emptyBody(t), TimeLeft: tt.left}, reply)
+				ask(t, r, relay.Request{Body: emptyBody(t), TimeLeft: tt.timeLeft}, got)
 				if !tt.refused {
-					must.Nil(t, reply.refusal)
-					must.Eq(t, tt.after, time.Since(began))
+					must.Nil(t, got.refusal)
+					must.Eq(t, tt.want, time.Since(start))
 					return
 				}
-				must.Eq(t, relay.ReasonNoConfiguration, reply.refusal.Reason())
-				must.Eq(t, tt.after, time.Since(began))
+				must.Eq(t, relay.ReasonNoConfiguration, got.refusal.Reason())
+				must.Eq(t, tt.want, time.Since(start))
 			})
 		})
 	}
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -18,15 +18,15 @@
 		ids          []string
 		whole        bool
 	}{
-		{"none", "", nil, true},
+		{"empty", "", nil, true},
 		{"two", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []string{"1", "2"}, true},
 		{"carriage returns", "id: 1\r\ndata: a\r\n\r\nid: 2\r\n\r\n", []string{"1", "2"}, true},
 		{"without id", "data: a\n\n", []string{""}, true},
 		{"without space", "id:7\n\n", []string{"7"}, true},
 		{"id in data", "data: id: 9\n\n", []string{""}, true},
 		{"version line first", "x-weight-versions: 2\nid: 3\n\n", []string{"3"}, true},
-		{"cut in an event", "id: 1\n\nid: 2\ndat", []string{"1"}, false},
-		{"cut before the empty line", "id: 1\n", nil, false},
+		{"truncated within an event", "id: 1\n\nid: 2\ndat", []string{"1"}, false},
+		{"truncated before the empty line", "id: 1\n", nil, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -40,7 +40,7 @@
 	}
 }
 
-// FuzzEvents: events joined again are the stream, however it is cut to pieces.
+// FuzzEvents checks that the joined events are the stream, however it is split into reads.
 func FuzzEvents(f *testing.F) {
 	f.Add("id: 1\ndata: a\n\nid: 2\n\n")
 	f.Add("\r\n\r\n\n\n")
@@ -83,7 +83,8 @@
 	}
 }
 
-// TestBodyBroken: the client's failure is told apart from a server's.
+// TestBodyReadError checks that a failure of the client is distinguished from one of the
+// server.
 func TestBodyReadError(t *testing.T) {
 	broken := errors.New("client gone")
 	body := io.MultiReader(strings.NewReader(strings.Repeat("x", 300<<10)), iotest.ErrReader(broken))
--- a/relay/replacement_test.go
+++ b/relay/replacement_test.go
@@ -17,35 +17,30 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// An attempt was ended for another one that could not be ended in its place: a
-// stream was taken away from a server that had paused, since it would have fitted
-// there, and then refused to the others, which had more to do; an answer of a
-// server, a failure or one of a cheap model, was dropped 200 ms before the end of
-// the client's time for one that takes four seconds. In each case the client got
-// a part, or nothing, of what had been there whole:
-//
-//	stalled at a
-//	fits: 1003 ms to the answer's head and 556 ms from there (seen: true): false
-//	broken off: stopped
+// These tests guard against ending an attempt in favor of another one that cannot complete in
+// time. A paused stream was canceled since its own server would have finished it in time, and
+// then no other server could; a 5xx response, or an answer of a cheap model, was dropped 200 ms
+// before the client's deadline for an attempt that takes four seconds. The client then got a
+// part or nothing of a response that had been complete.
 
-// script answers the n-th request that comes to a server.
+// script returns the response to the n-th request that servers get.
 type script func(ctx context.Context, server string, n int) relay.Response
 
-// scriptedBackends are servers that answer as a play says.
+// scriptedBackends respond according to a script.
 type scriptedBackends struct {
 	mu     sync.Mutex
 	script script
 	sent   []string
 }
 
-// setScript changes the play and forgets what was sent.
+// setScript replaces the script and forgets the requests sent so far.
 func (b *scriptedBackends) setScript(p script) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.script, b.sent = p, nil
 }
 
-// sentCount returns how often the servers were sent a request under this play.
+// sentCount returns how many requests were sent under the present script.
 func (b *scriptedBackends) sentCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -55,16 +50,16 @@
 func (b *scriptedBackends) Send(ctx context.Context, s registry.Server, _ relay.Call) (relay.Response, error) {
 	b.mu.Lock()
 	b.sent = append(b.sent, s.ID)
-	play, n := b.script, len(b.sent)
+	script, n := b.script, len(b.sent)
 	b.mu.Unlock()
-	answer := play(ctx, s.ID, n)
-	if answer == nil {
+	resp := script(ctx, s.ID, n)
+	if resp == nil {
 		return nil, relay.Failed.New("no answer")
 	}
-	return answer, nil
+	return resp, nil
 }
 
-// streamWithPauses is a stream of events with a pause before each but the first.
+// streamWithPauses returns a stream of events with a pause before each but the first.
 func streamWithPauses(ctx context.Context, pauses ...time.Duration) relay.Response {
 	parts := []io.Reader{strings.NewReader("id: 1\n\n")}
 	for i, d := range pauses {
@@ -73,12 +68,12 @@
 	return response{200, io.MultiReader(parts...)}
 }
 
-// requestWithPrompt is a request that takes the usual time.
+// requestWithPrompt returns a request of typical size.
 func requestWithPrompt(t *testing.T) relay.Request {
 	return relay.Request{Body: emptyBody(t), Prompt: relay.Prompt{Tokens: 100, MaxOutput: 200}}
 }
 
-// switchableBudget allows repeats while it is on.
+// switchableBudget allows retries while it is on.
 type switchableBudget struct {
 	unlimitedBudget
 	on atomic.Bool
@@ -86,20 +81,21 @@
 
 func (s *switchableBudget) Take(string, float64) bool { return s.on.Load() }
 
-// streamsTaking is a stream that takes the given time.
+// streamsTaking returns a script of streams that take the given time.
 func streamsTaking(d time.Duration) script {
 	return func(ctx context.Context, _ string, _ int) relay.Response { return streamWithPauses(ctx, d) }
 }
 
-// usualStreams is a stream of streamTime.
+// usualStreams take streamDuration.
 var usualStreams = streamsTaking(streamDuration)
 
-// newTrainedRelay returns a relay that has seen such streams.
-func newTrainedRelay(t *testing.T, b *scriptedBackends, target catalog.Route, parts relay.Parts, seenOnes script) *relay.Relay {
+// newTrainedRelay returns a relay that has seen such streams. The script is usualStreams
+// afterwards.
+func newTrainedRelay(t *testing.T, b *scriptedBackends, target catalog.Route, parts relay.Parts, seen script) *relay.Relay {
 	target.Kind, target.Timeout, target.Attempts = catalog.KindStream, 20*time.Second, 3
 	parts.Backends = b
 	r := newRelay(t, target, parts)
-	b.setScript(seenOnes)
+	b.setScript(seen)
 	for range trainingRequests {
 		ask(t, r, requestWithPrompt(t), &recorder{})
 	}
@@ -107,22 +103,21 @@
 	return r
 }
 
-// drainWithin tells a relay that its process ends after the given time, and takes
-// requests until then.
+// drainWithin starts a shutdown that ends after the given time and admits requests until then.
 func drainWithin(r *relay.Relay, left time.Duration) {
 	end := time.Now().Add(left)
 	r.Drain(relay.NewShutdown(time.Now(), end, end))
 }
 
-// TestNothingEndedInVain: what goes on, or is there whole, is given up only for
-// what can be ended in its place.
+// TestNothingAbandonedWithoutReplacement checks that a response which is complete or in
+// progress is abandoned only for one that can complete in time.
 func TestNothingAbandonedWithoutReplacement(t *testing.T) {
-	t.Run("a stream that pauses, others busy", func(t *testing.T) {
+	t.Run("paused stream, other servers busy", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			moves := &switchableBudget{}
+			reroutes := &switchableBudget{}
 			b, servers := &scriptedBackends{}, &listedServers{list: threeServers{}.Servers("")}
 			target := catalog.Route{MaxPause: 800 * time.Millisecond, Objective: 2 * time.Second}
-			r := newTrainedRelay(t, b, target, relay.Parts{Servers: servers, Reroutes: moves}, streamsTaking(time.Second))
+			r := newTrainedRelay(t, b, target, relay.Parts{Servers: servers, Reroutes: reroutes}, streamsTaking(time.Second))
 			servers.list = servers.list[1:]
 			b.setScript(func(ctx context.Context, _ string, _ int) relay.Response {
 				select {
@@ -136,7 +131,7 @@
 			}
 			synctest.Wait()
 			servers.list = threeServers{}.Servers("")
-			moves.on.Store(true)
+			reroutes.on.Store(true)
 			b.setScript(func(ctx context.Context, server string, _ int) relay.Response {
 				return streamWithPauses(ctx, 1400*time.Millisecond)
 			})
@@ -148,11 +143,11 @@
 			time.Sleep(time.Minute)
 		})
 	})
-	t.Run("a stream that pauses late in its time", func(t *testing.T) {
+	t.Run("paused stream, little time left", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			moves, b := &switchableBudget{}, &scriptedBackends{}
-			r := newTrainedRelay(t, b, catalog.Route{MaxPause: time.Second}, relay.Parts{Reroutes: moves}, usualStreams)
-			moves.on.Store(true)
+			reroutes, b := &switchableBudget{}, &scriptedBackends{}
+			r := newTrainedRelay(t, b, catalog.Route{MaxPause: time.Second}, relay.Parts{Reroutes: reroutes}, usualStreams)
+			reroutes.on.Store(true)
 			b.setScript(func(ctx context.Context, _ string, n int) relay.Response {
 				if n == 1 {
 					return streamWithPauses(ctx, time.Second, time.Second, 1500*time.Millisecond)
@@ -167,7 +162,7 @@
 		})
 	})
 	for _, leaving := range []bool{true, false} {
-		t.Run("a server's own failure", func(t *testing.T) {
+		t.Run("server error", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := &scriptedBackends{}
 				r := newTrainedRelay(t, b, catalog.Route{}, relay.Parts{Reroutes: noReroutes{}}, usualStreams)
@@ -177,7 +172,7 @@
 						return streamWithPauses(ctx, streamDuration)
 					}
 					time.Sleep(late)
-					return response{500, strings.NewReader("the server's own word")}
+					return response{500, strings.NewReader("error of the server")}
 				})
 				request, got := requestWithPrompt(t), &recorder{}
 				if leaving {
@@ -191,7 +186,7 @@
 			})
 		})
 	}
-	t.Run("a cheap model's answer", func(t *testing.T) {
+	t.Run("answer of a cheap model", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			b := &slowLargeModel{}
 			target := catalog.Route{Kind: catalog.KindStream, Timeout: 2 * time.Hour, Attempts: 3, Models: threeModels}
@@ -207,7 +202,7 @@
 	})
 }
 
-// listedServers are those of a list.
+// listedServers are the servers of a list.
 type listedServers struct {
 	allUsable
 	list []registry.Server
@@ -215,28 +210,28 @@
 
 func (s *listedServers) Servers(string) []registry.Server { return s.list }
 
-// TestLengthsLearned: how long answers take is learned from whole ones, and from
-// those that were cut off later than expected, and from nothing else; a stream
-// that has just begun has all of its length before it.
+// TestDurationsLearned checks that durations are learned from whole responses, and from those
+// that were cut off later than expected, and from nothing else, and that a stream that has just
+// begun counts with its whole duration.
 func TestDurationsLearned(t *testing.T) {
 	tests := []struct {
 		name string
-		// teach answers the n-th request before the stop.
+		// teach responds to the n-th request before the shutdown.
 		teach script
-		// left is how long the process has then, taken whether a request is.
-		left  time.Duration
-		taken bool
+		// left is the time until the process ends, admitted whether it accepts the request.
+		left     time.Duration
+		admitted bool
 	}{
-		{"a stream that was not found is no stream", func(ctx context.Context, _ string, _ int) relay.Response {
+		{"404 responses of a stream route", func(ctx context.Context, _ string, _ int) relay.Response {
 			return response{404, strings.NewReader("no")}
 		}, 3 * time.Second, false},
-		{"two in three take longer than their clients wait", func(ctx context.Context, _ string, n int) relay.Response {
+		{"two of three exceed the client timeout", func(ctx context.Context, _ string, n int) relay.Response {
 			if n%3 == 0 {
 				return streamWithPauses(ctx, time.Second)
 			}
 			return streamWithPauses(ctx, time.Hour)
 		}, 6 * time.Second, false},
-		{"all as usual", usualStreams, 6 * time.Second, true},
+		{"usual streams", usualStreams, 6 * time.Second, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -250,11 +245,11 @@
 				b.setScript(usualStreams)
 				drainWithin(r, tt.left)
 				ask(t, r, requestWithPrompt(t), &recorder{})
-				must.Eq(t, tt.taken, b.sentCount() > 0)
+				must.Eq(t, tt.admitted, b.sentCount() > 0)
 			})
 		})
 	}
-	t.Run("a stream that broke off after its first event", func(t *testing.T) {
+	t.Run("truncated after the first event", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			b := &scriptedBackends{}
 			r := newTrainedRelay(t, b, catalog.Route{}, relay.Parts{Reroutes: noReroutes{}}, usualStreams)
--- a/relay/serve_test.go
+++ b/relay/serve_test.go
@@ -15,7 +15,7 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// responsesInTurn gives one answer after the other.
+// responsesInTurn returns one response after the other.
 type responsesInTurn struct{ answers []response }
 
 func (b *responsesInTurn) Send(context.Context, registry.Server, relay.Call) (relay.Response, error) {
@@ -24,7 +24,7 @@
 	return a, nil
 }
 
-// cutBody is a body that breaks off after its text.
+// cutBody is a body that fails after the given text.
 func cutBody(text string) io.Reader {
 	return io.MultiReader(strings.NewReader(text), errorReader{errors.New("cut")})
 }
@@ -33,8 +33,8 @@
 
 func (r errorReader) Read([]byte) (int, error) { return 0, r.err }
 
-// TestBrokenAnswers: whatever follows an answer that broke off, what the
-// client gets is whole, or is broken off.
+// TestTruncatedResponses checks that the client's response is complete or aborted, whatever
+// follows a truncated response of a server.
 func TestTruncatedResponses(t *testing.T) {
 	large := strings.Repeat("x", 100<<10)
 	const begun = "id: 1\ndata: a\n\n"
@@ -45,12 +45,12 @@
 		want    string
 		broken  bool
 	}{
-		{"plain, within the headroom", catalog.KindRepeatable, []response{{200, cutBody("abc")}, {200, strings.NewReader("abcdef")}}, "abcdef", false},
-		{"plain, after the headroom", catalog.KindRepeatable, []response{{200, cutBody(large[:80<<10])}, {200, strings.NewReader(large)}}, large[:80<<10], true},
-		{"stream, taken up", catalog.KindStream, []response{{200, cutBody(begun + "id: 2\nda")}, {200, strings.NewReader("id: 2\n\n")}}, begun + "id: 2\n\n", false},
+		{"plain, truncated within the buffer", catalog.KindRepeatable, []response{{200, cutBody("abc")}, {200, strings.NewReader("abcdef")}}, "abcdef", false},
+		{"plain, truncated after the buffer", catalog.KindRepeatable, []response{{200, cutBody(large[:80<<10])}, {200, strings.NewReader(large)}}, large[:80<<10], true},
+		{"stream, resumed", catalog.KindStream, []response{{200, cutBody(begun + "id: 2\nda")}, {200, strings.NewReader("id: 2\n\n")}}, begun + "id: 2\n\n", false},
 		{"stream, then not found", catalog.KindStream, []response{{200, cutBody(begun)}, {404, strings.NewReader("error")}, {404, strings.NewReader("error")}}, begun, true},
-		{"stream, then failed", catalog.KindStream, []response{{200, cutBody(begun)}, {500, strings.NewReader("error")}, {500, strings.NewReader("error")}}, begun, true},
-		{"stream, cut before its first event", catalog.KindStream, []response{{200, cutBody("id: 1\nda")}, {200, strings.NewReader(begun)}}, begun, false},
+		{"stream, then server error", catalog.KindStream, []response{{200, cutBody(begun)}, {500, strings.NewReader("error")}, {500, strings.NewReader("error")}}, begun, true},
+		{"stream, truncated in its first event", catalog.KindStream, []response{{200, cutBody("id: 1\nda")}, {200, strings.NewReader(begun)}}, begun, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/relay/shutdown_test.go
+++ b/relay/shutdown_test.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// streamDuration is how long answers take from their heads to their ends.
+	// streamDuration is the time from header to end of a response.
 	streamDuration = 4 * time.Second
-	// trainingRequests is how many answers a relay has seen before its process is to end,
-	// enough to be sure of how long they take.
+	// trainingRequests is how many responses a relay has seen before its shutdown, enough to
+	// know their duration.
 	trainingRequests = 10
 )
 
-// timedBackend is a server whose streams take streamTime between two events.
+// timedBackend sends streams with streamDuration between two events.
 type timedBackend struct {
-	// truncateAfter lets the first stream break off so long after its first
-	// event; below zero it does not.
+	// truncateAfter is when the first stream breaks off after its first event; never if below
+	// zero.
 	truncateAfter time.Duration
 	sends         int
-	// abandoned is sent to when a request is given up before its end.
+	// abandoned receives the cause when a request is canceled before its end.
 	abandoned chan error
 }
 
@@ -47,7 +47,7 @@
 	return response{200, io.MultiReader(first, &silentPause{ctx, streamDuration, b.abandoned}, strings.NewReader("id: 2\n\n"))}, nil
 }
 
-// silentPause is a time in which nothing comes.
+// silentPause is a reader that returns no data for some time.
 type silentPause struct {
 	ctx       context.Context
 	takes     time.Duration
@@ -67,8 +67,8 @@
 	}
 }
 
-// drainingRelay is a relay before servers whose answers take streamTime, which have
-// answered a few requests, and whose process then has the given time to go.
+// drainingRelay is a relay that has handled a few requests of streamDuration and shuts down
+// after a given time.
 type drainingRelay struct {
 	backend *timedBackend
 	relay   *relay.Relay
@@ -92,19 +92,18 @@
 	return got
 }
 
-// TestTakenWhileLeaving: a relay whose process is to end takes what will be
-// answered by then. Of the rest it says at once that it has not run, and no
-// server gets it.
+// TestAdmissionWhileDraining checks that a draining relay admits requests that will complete in
+// time, and refuses the others at once as not run, without sending them to a server.
 func TestAdmissionWhileDraining(t *testing.T) {
 	tests := []struct {
-		name  string
-		left  time.Duration
-		taken bool
+		name     string
+		left     time.Duration
+		admitted bool
 	}{
-		{"time enough", 20 * time.Second, true},
-		{"for twice as long", 2 * streamDuration, true},
-		{"for half", streamDuration / 2, false},
-		{"none", 0, false},
+		{"ample time", 20 * time.Second, true},
+		{"twice the duration", 2 * streamDuration, true},
+		{"half the duration", streamDuration / 2, false},
+		{"no time", 0, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -112,7 +111,7 @@
 				s := newDrainingRelay(t, tt.left)
 				start := time.Now()
 				got := s.ask(t)
-				if tt.taken {
+				if tt.admitted {
 					must.Eq(t, "id: 1\n\nid: 2\n\n", got.String())
 					return
 				}
@@ -127,8 +126,8 @@
 	}
 }
 
-// TestUnknownWhileLeaving: a relay that has seen no such answer takes only what
-// its route's time bounds.
+// TestUnknownDurationWhileDraining checks that a relay that has seen no such responses admits
+// only requests whose route timeout ends before the shutdown.
 func TestUnknownDurationWhileDraining(t *testing.T) {
 	for _, timeout := range []time.Duration{5 * time.Second, 20 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -143,8 +142,8 @@
 	}
 }
 
-// TestBrokenWhileLeaving: a stream that breaks off is taken up at another server
-// if it can be ended there. Otherwise the client is told at once, and turns to
+// TestTruncationWhileDraining checks that a truncated stream is resumed at another server if it
+// can complete there in time, and is otherwise aborted at once, so that the client turns to
 // another node.
 func TestTruncationWhileDraining(t *testing.T) {
 	const left = 2 * streamDuration
@@ -170,8 +169,8 @@
 	}
 }
 
-// slowLargeModel is a server whose large model takes streamTime, and whose models
-// are as sure of their answers as they are told to be.
+// slowLargeModel is a server whose large model takes streamDuration and whose models report the
+// given confidence.
 type slowLargeModel struct {
 	confidence float64
 	sent       []string
@@ -186,7 +185,7 @@
 	return ratedResponse{response{200, body}, b.confidence}, nil
 }
 
-// ratedResponse is an answer that tells its model's confidence.
+// ratedResponse is a response with a confidence.
 type ratedResponse struct {
 	response
 	confidence float64
@@ -194,8 +193,8 @@
 
 func (a ratedResponse) Confidence() (float64, bool) { return a.confidence, true }
 
-// TestNoCostlierModelWhileLeaving: the answer of a cheap model goes out, however
-// unsure it is, where a costlier model's would not be whole in time.
+// TestNoEscalationWhileDraining checks that the answer of a cheap model is delivered, whatever
+// its confidence, if the answer of a more expensive one would not complete in time.
 func TestNoEscalationWhileDraining(t *testing.T) {
 	tests := []struct {
 		left time.Duration
@@ -220,8 +219,8 @@
 	}
 }
 
-// TestStop: what is under way when the process ends is ended, its client is
-// told, and its server is left.
+// TestClose checks that open requests are ended: the client's response is aborted and the
+// attempt at the server canceled.
 func TestClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newDrainingRelay(t, 20*time.Second)
@@ -239,9 +238,9 @@
 	})
 }
 
-// TestTakenLate: what comes after the last time for it, on a connection that was
-// open or whose header had begun, is taken only if its own time ends first: it
-// must not be broken off by any chance.
+// TestAdmissionAfterLastAdmit checks that a request that arrives after lastAdmit, on an open
+// connection or with its header already begun, is admitted only if its own deadline is before
+// the end, so that it is never cut off.
 func TestAdmissionAfterLastAdmit(t *testing.T) {
 	for _, timeLeft := range []time.Duration{streamDuration / 2, time.Hour} {
 		synctest.Test(t, func(t *testing.T) {
--- a/relay/stale_choice_test.go
+++ b/relay/stale_choice_test.go
@@ -13,47 +13,47 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// TestOvertaken: between the choice of a server and the first byte that is sent there lie
-// a dial, which may take a second, and whatever keeps the process from running. A server
-// may have left meanwhile, and the news may have grown old; the request went out all the
-// same. It is now looked at once more, goes to another server, or waits for fresh news,
-// and no server counts as tried, no retry as spent.
+// TestStaleChoice checks that the choice of the server is verified before the first byte is
+// sent. Between the two, a dial may take a second or the process may not be scheduled;
+// meanwhile the server may leave or the store view may become too old, and the request was sent
+// nevertheless. It must go to another server or wait for a fresh view, without counting a
+// server as tried or a retry as used.
 func TestStaleChoice(t *testing.T) {
 	tests := []struct {
 		name string
-		// before is what the process knows when the request comes; nil for all.
+		// before sets the state when the request arrives; nil for a fresh view.
 		before func(l *leavingServers)
-		// meanwhile happens between the choice and the first byte of the first attempt.
-		meanwhile func(l *leavingServers)
-		sent      []string
+		// beforeFirstByte runs between the choice and the first byte of the first attempt.
+		beforeFirstByte func(l *leavingServers)
+		sent            []string
 	}{
-		{"nothing", nil, func(*leavingServers) {}, []string{"a"}},
-		{"the server leaves", nil, func(l *leavingServers) { l.gone = "a" }, []string{"b"}},
-		{"the news grows old", nil, func(l *leavingServers) { l.stale = true }, []string{"a"}},
-		{"the news was old before", func(l *leavingServers) { l.stale, l.nextGone = true, "a" }, func(*leavingServers) {}, []string{"b"}},
-		{"the news grows old, and tells of the leaving", nil, func(l *leavingServers) { l.stale, l.nextGone = true, "a" }, []string{"b"}},
+		{"no change", nil, func(*leavingServers) {}, []string{"a"}},
+		{"server leaves", nil, func(l *leavingServers) { l.gone = "a" }, []string{"b"}},
+		{"view becomes stale", nil, func(l *leavingServers) { l.stale = true }, []string{"a"}},
+		{"view was stale before", func(l *leavingServers) { l.stale, l.nextGone = true, "a" }, func(*leavingServers) {}, []string{"b"}},
+		{"view becomes stale, refresh shows the server as gone", nil, func(l *leavingServers) { l.stale, l.nextGone = true, "a" }, []string{"b"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l := &leavingServers{beforeFirstByte: tt.meanwhile}
+			l := &leavingServers{beforeFirstByte: tt.beforeFirstByte}
 			if tt.before != nil {
 				tt.before(l)
 			}
-			reply := &recorder{}
+			got := &recorder{}
 			serve(t, catalog.Route{Kind: catalog.KindOnce, Attempts: 1, Timeout: time.Second}, relay.Parts{Servers: l, StoreView: l, Backends: l, Budgets: noRetryBudget{}},
-				relay.Request{Body: emptyBody(t)}, reply)
-			must.Eq(t, 200, reply.status, must.Sprint(reply.refusal))
+				relay.Request{Body: emptyBody(t)}, got)
+			must.Eq(t, 200, got.status, must.Sprint(got.refusal))
 			must.Eq(t, tt.sent, l.sent)
 		})
 	}
 }
 
-// leavingServers are two servers and the news of them.
+// leavingServers are two servers and the store view of them.
 type leavingServers struct {
 	freshView
 	beforeFirstByte func(l *leavingServers)
 	calls           int
-	// gone is the server that has left, next the one that the next news tells of.
+	// gone is the server that has left, nextGone the one that the next refresh shows as gone.
 	gone, nextGone string
 	stale          bool
 	sent           []string
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -18,16 +18,15 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// crashingServers are servers that end under one body. Each end is followed by a new
-// start with another ID.
+// crashingServers crash while they run poisonBody. Each restarts with another ID.
 type crashingServers struct {
 	allUsable
 	servers []registry.Server
 	started int
-	// runTime is how long a server runs the deadly request.
+	// runTime is how long a server runs the request before it crashes.
 	runTime time.Duration
-	// ended counts the servers that ended.
-	ended int
+	// crashed counts the crashes.
+	crashed int
 }
 
 func newCrashingServers(n int) *crashingServers {
@@ -52,7 +51,7 @@
 		return response{200, strings.NewReader("answer")}, nil
 	}
 	time.Sleep(c.runTime)
-	c.ended++
+	c.crashed++
 	var left []registry.Server
 	for _, s := range c.servers {
 		if s.ID != server.ID {
@@ -64,7 +63,7 @@
 	return nil, errs.New(relay.Failed, "send", "connection reset")
 }
 
-// sharedSuspects is a list that all nodes have in common.
+// sharedSuspects is a suspect list shared by all nodes.
 type sharedSuspects struct{ *suspect.List }
 
 func (s sharedSuspects) ReportLost(digest, server uint64)      { s.List.Lost(digest, server, 0) }
@@ -75,19 +74,19 @@
 }
 func (s sharedSuspects) AllowTest(context.Context, uint64) bool { return false }
 
-// TestPoisonRequest is a client that sends a request again and again, each time to
-// another node, under which every server ends. On a day with such requests 60
-// servers of 18 ended; one request was sent 23 times more after three had. It
-// ends three servers at the most here, its last answers come at once, say that it
-// ran and invite nobody back, and others are served meanwhile.
+// TestPoisonRequest checks that a request that crashes every server, sent again and again
+// through different nodes, crashes at most three of them, while other requests are served. Its
+// last refusals must come at once, say that the request ran and suggest no retry. On a day with
+// such requests a deployment of 18 servers lost 60, restarted ones included; one request was
+// sent 23 more times after three servers had crashed.
 func TestPoisonRequest(t *testing.T) {
-	for _, runs := range []time.Duration{0, 10 * time.Millisecond, 100 * time.Millisecond, time.Second} {
-		t.Run(fmt.Sprint("servers end after ", runs), func(t *testing.T) {
+	for _, runTime := range []time.Duration{0, 10 * time.Millisecond, 100 * time.Millisecond, time.Second} {
+		t.Run(fmt.Sprint("servers crash after ", runTime), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				timers := timer.New()
 				defer timers.Close()
 				servers, list := newCrashingServers(6), sharedSuspects{suspect.New(timers)}
-				servers.runTime = runs
+				servers.runTime = runTime
 				target := catalog.Route{Kind: catalog.KindRepeatable, Timeout: 10 * time.Second, Attempts: 2}
 				var nodes []*relay.Relay
 				for range 4 {
@@ -106,18 +105,18 @@
 					must.NotNil(t, got.refusal)
 					if try > 1 {
 						must.Eq(t, relay.ReasonSuspected, got.refusal.Reason())
-						must.Eq(t, 502, got.refusal.Status(), must.Sprint("it has run"))
+						must.Eq(t, 502, got.refusal.Status(), must.Sprint("the request has run"))
 						must.Eq(t, 0, got.refusal.RetryAfter())
 					}
 					must.Eq(t, "answer", send(nodes[try%len(nodes)], "harmless").String())
 				}
-				must.Eq(t, 3, servers.ended)
+				must.Eq(t, 3, servers.crashed)
 			})
 		})
 	}
 }
 
-// suspectsAllowingTest are suspects that let a refused request be sent once more.
+// suspectsAllowingTest allow a refused request to be sent as a test.
 type suspectsAllowingTest struct {
 	sharedSuspects
 	tests int
@@ -128,18 +127,18 @@
 	return o.tests >= 0
 }
 
-// TestRefusedOnceMore: a request that is refused is put to the test now and then: at one
-// server, whatever the route allows. It is served if that one answers.
+// TestSuspectRequestTested checks that a refused request can be tested at one server, whatever
+// the route's attempts, and is served if that server responds.
 func TestSuspectRequestTested(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		text string
 		want string
-		// ended is how many servers end by it.
-		ended int
+		// crashed is how many servers crash.
+		crashed int
 	}{
-		{"ends its servers still", poisonBody, "", 1},
-		{"was refused wrongly", "harmless", "answer", 0},
+		{"still crashes servers", poisonBody, "", 1},
+		{"refused wrongly", "harmless", "answer", 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -154,8 +153,8 @@
 				got := &recorder{}
 				ask(t, node, relay.Request{Body: body}, got)
 				must.Eq(t, tt.want, got.String())
-				must.Eq(t, tt.ended, servers.ended)
-				must.LessEq(t, 0, list.tests, must.Sprint("it was refused"))
+				must.Eq(t, tt.crashed, servers.crashed)
+				must.LessEq(t, 0, list.tests, must.Sprint("the request must have been refused and tested"))
 				if tt.want == "" {
 					must.Eq(t, relay.ReasonSuspected, got.refusal.Reason())
 				}
--- a/relay/watchdog_test.go
+++ b/relay/watchdog_test.go
@@ -15,8 +15,7 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// silentBody is a server that answers nothing, or a body that does not go on,
-// until the request is given up.
+// silentBody returns nothing until the request is canceled.
 type silentBody struct{ ctx context.Context }
 
 func (s silentBody) Read([]byte) (int, error) {
@@ -24,8 +23,8 @@
 	return 0, s.ctx.Err()
 }
 
-// silentBackends lets the first attempts fall silent: before their answer, or
-// after the given beginning of it.
+// silentBackends let the first attempts fall silent, either before the response or after the
+// given prefix of it.
 type silentBackends struct {
 	silent int
 	prefix string
@@ -52,8 +51,8 @@
 	return c.recorder.Write(p)
 }
 
-// TestSlowClient: neither a client that reads slowly nor one that sends a long
-// body slowly makes its server late.
+// TestSlowClient checks that neither a client that reads slowly nor one that sends a long body
+// slowly makes its server count as late.
 func TestSlowClient(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		reads := &readsRequestFirst{}
@@ -76,8 +75,7 @@
 	return 0, io.EOF
 }
 
-// eventPerRead is a stream that comes an event at a time, until its request is
-// given up.
+// eventPerRead returns one event per read until its request is canceled.
 type eventPerRead struct {
 	ctx    context.Context
 	events []string
@@ -95,7 +93,7 @@
 	return n, nil
 }
 
-// readsRequestFirst answers once it has the whole request.
+// readsRequestFirst responds once it has read the whole request.
 type readsRequestFirst struct{ sends int }
 
 func (b *readsRequestFirst) Send(ctx context.Context, _ registry.Server, call relay.Call) (relay.Response, error) {
@@ -106,12 +104,12 @@
 	return response{200, &eventPerRead{ctx, []string{"id: 1\n\n", "id: 2\n\n"}}}, nil
 }
 
-// oneServer is all there is.
+// oneServer is a set of one server.
 type oneServer struct{ allUsable }
 
 func (oneServer) Servers(string) []registry.Server { return []registry.Server{{ID: "a"}} }
 
-// slowBackend answers after a few seconds.
+// slowBackend responds after a few seconds.
 type slowBackend struct{ sends int }
 
 func (b *slowBackend) Send(ctx context.Context, _ registry.Server, _ relay.Call) (relay.Response, error) {
@@ -123,8 +121,7 @@
 	return response{200, strings.NewReader("id: 1\n\n")}, nil
 }
 
-// TestOnlyServer: no request is taken away from the only server that could
-// answer it.
+// TestOnlyServer checks that no request is rerouted from the only server.
 func TestOnlyServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow, got := &slowBackend{}, &recorder{}
@@ -134,40 +131,39 @@
 	})
 }
 
-// serveStream passes one request on a resumable route through a relay before
-// three servers.
-func serveStream(t *testing.T, backends relay.Backends, sent io.Reader, reply relay.ResponseWriter) {
-	serveStreamFrom(t, threeServers{}, backends, sent, reply)
+// serveStream handles one request on a resumable stream route with three servers.
+func serveStream(t *testing.T, backends relay.Backends, sent io.Reader, w relay.ResponseWriter) {
+	serveStreamFrom(t, threeServers{}, backends, sent, w)
 }
 
-// serveStreamFrom passes one request on a resumable route through a relay.
-func serveStreamFrom(t *testing.T, servers relay.Servers, backends relay.Backends, sent io.Reader, reply relay.ResponseWriter) {
+// serveStreamFrom handles one request on a resumable stream route with the given servers.
+func serveStreamFrom(t *testing.T, servers relay.Servers, backends relay.Backends, sent io.Reader, w relay.ResponseWriter) {
 	target := catalog.Route{Kind: catalog.KindStream, Timeout: time.Hour, Attempts: 3, Objective: 2 * time.Second, MaxPause: time.Second}
 	body, err := relay.NewBody(sent, -1)
 	must.NoError(t, err)
-	serve(t, target, relay.Parts{Servers: servers, Backends: backends}, relay.Request{Body: body}, reply)
+	serve(t, target, relay.Parts{Servers: servers, Backends: backends}, relay.Request{Body: body}, w)
 }
 
-// TestLateServers: a request that may run again is taken away from a server
-// that is late, in time for another one; others are not.
+// TestLateServerReplaced checks that a repeatable request is rerouted from a late server in
+// time, and that other requests are not.
 func TestLateServerReplaced(t *testing.T) {
 	const objective, timeout = 2 * time.Second, 10 * time.Second
 	tests := []struct {
 		name     string
 		kind     catalog.Kind
 		backends silentBackends
-		moves    relay.Budgets
+		reroutes relay.Budgets
 		sends    int
 		want     string
 		within   time.Duration
 	}{
-		{"answer", catalog.KindRepeatable, silentBackends{silent: 1}, unlimitedBudget{}, 2, "id: 2\n\n", objective},
+		{"plain", catalog.KindRepeatable, silentBackends{silent: 1}, unlimitedBudget{}, 2, "id: 2\n\n", objective},
 		{"stream", catalog.KindStream, silentBackends{silent: 1}, unlimitedBudget{}, 2, "id: 2\n\n", objective},
 		{"stream, twice", catalog.KindStream, silentBackends{silent: 2}, unlimitedBudget{}, 3, "id: 2\n\n", 2 * objective},
-		{"stream, begun", catalog.KindStream, silentBackends{silent: 1, prefix: "id: 1\n\n"}, unlimitedBudget{}, 2, "id: 1\n\nid: 2\n\n", objective},
+		{"stream, after an event", catalog.KindStream, silentBackends{silent: 1, prefix: "id: 1\n\n"}, unlimitedBudget{}, 2, "id: 1\n\nid: 2\n\n", objective},
 		{"stream, all attempts", catalog.KindStream, silentBackends{silent: 9}, unlimitedBudget{}, 3, "", timeout + time.Second},
-		{"may not run again", catalog.KindOnce, silentBackends{silent: 1}, unlimitedBudget{}, 1, "", timeout + time.Second},
-		{"too many moved", catalog.KindStream, silentBackends{silent: 1}, noReroutes{}, 1, "", timeout + time.Second},
+		{"not repeatable", catalog.KindOnce, silentBackends{silent: 1}, unlimitedBudget{}, 1, "", timeout + time.Second},
+		{"no reroute budget", catalog.KindStream, silentBackends{silent: 1}, noReroutes{}, 1, "", timeout + time.Second},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -175,7 +171,7 @@
 				target := catalog.Route{Kind: tt.kind, Timeout: timeout, Attempts: 3, Objective: objective, MaxPause: time.Second}
 				got := &recorder{}
 				start := time.Now()
-				serve(t, target, relay.Parts{Backends: &tt.backends, Reroutes: tt.moves}, relay.Request{Body: emptyBody(t)}, got)
+				serve(t, target, relay.Parts{Backends: &tt.backends, Reroutes: tt.reroutes}, relay.Request{Body: emptyBody(t)}, got)
 				must.Eq(t, tt.want, got.String())
 				must.Eq(t, tt.sends, len(tt.backends.sent))
 				must.Less(t, tt.within, time.Since(start))
