--- a/relay/choose.go
+++ b/relay/choose.go
@@ -10,57 +10,58 @@
 	"github.com/violettally/violettally/route"
 )
 
-// pickService splits a route's requests over its services by their weights.
-// Requests of one session fall on the same side.
-func pickService(r *catalog.Route, q *Request) string {
+// pickService distributes a route's requests over its services by weight. All requests of a
+// session go to the same service.
+func pickService(rt *catalog.Route, q *Request) string {
 	total := 0.0
-	for _, t := range r.Targets {
+	for _, t := range rt.Targets {
 		total += t.Weight
 	}
-	at := rendezvous.Position(rendezvous.Hash(r.Name+"/"+q.key())) * total
-	for _, t := range r.Targets {
-		if at -= t.Weight; at < 0 {
+	position := rendezvous.Position(rendezvous.Hash(rt.Name+"/"+q.hashKey())) * total
+	for _, t := range rt.Targets {
+		if position -= t.Weight; position < 0 {
 			return t.Service
 		}
 	}
-	return r.Targets[len(r.Targets)-1].Service
+	return rt.Targets[len(rt.Targets)-1].Service
 }
 
-// key is what decides by hash: the session, or else the request itself.
-func (q *Request) key() string {
+// hashKey is the key for hash-based choices: the session, or else the request ID.
+func (q *Request) hashKey() string {
 	if q.Session != "" {
 		return q.Session
 	}
 	return q.ID
 }
 
-// chooses reports whether the system chooses the model.
-func (x *exchange) chooses() bool { return x.request.AnyModel && len(x.route.Models) > 0 }
+// systemChooses reports whether the system chooses the model, rather than the client.
+func (x *exchange) systemChooses() bool { return x.request.AnyModel && len(x.route.Models) > 0 }
 
-// chooseModel picks the model that answers next, where the client has nothing
-// yet. One whose answer could not be dropped for a better one is not asked.
+// chooseModel picks the model to ask next, unless the client already has part of a response.
+// Where no escalation may follow, it skips to a model whose answer need not be replaced, if
+// that one is worth asking.
 func (x *exchange) chooseModel() {
-	if !x.chooses() || x.begun {
+	if !x.systemChooses() || x.responseStarted {
 		return
 	}
-	mayEscalate := x.mayDrop(x.runs+1) && x.relay.Budgets.Allows(x.service, spareForRetries)
-	first := x.relay.Ladder.First(len(x.route.Models), mayEscalate)
+	mayEscalate := x.mayRunAfter(x.runs+1) && x.relay.Budgets.Allows(x.service, retryReserve)
+	first := x.relay.Cascade.First(len(x.route.Models), mayEscalate)
 	switch {
-	case first <= x.step:
-	case !x.pays(first, noConfidence):
+	case first <= x.modelIndex:
+	case !x.worthAsking(first, confidenceUnknown):
 		x.record.Note("model", "%s, though nothing may follow: %s would be late", x.model(), x.route.Models[first])
 	default:
-		x.step = first
+		x.modelIndex = first
 		x.record.Note("model", "%s at once, since nothing may follow", x.model())
 	}
 }
 
-// pays reports whether the model at a step is worth asking in place of an
-// answer of the given confidence, by the load that there is.
-func (x *exchange) pays(step int, confidence float64) bool {
-	before := x.step
-	defer func() { x.step = before }()
-	x.step = step
+// worthAsking reports whether, at the present load, the model at the given index is worth
+// asking in place of an answer of the given confidence.
+func (x *exchange) worthAsking(step int, confidence float64) bool {
+	current := x.modelIndex
+	defer func() { x.modelIndex = current }()
+	x.modelIndex = step
 	servers, _ := x.servers()
 	forecast := x.relay.Balancer.Forecast(x.task(servers))
 	offer := cascade.Offer{
@@ -70,19 +71,19 @@
 		Left:       x.route.Objective - x.elapsed(),
 		Objective:  x.route.Objective,
 	}
-	length, known := x.length()
-	pays := x.relay.Ladder.Pays(offer) && x.relay.endsInTime(x.deadline, forecast.Latency()+length, known)
+	length, known := x.bodyDuration()
+	pays := x.relay.Cascade.Pays(offer) && x.relay.endsInTime(x.deadline, forecast.Latency()+length, known)
 	x.record.Note("offer", "%s for confidence %.0f: %d ms, of it %d waiting, %d left: %t", x.model(), confidence,
 		forecast.Latency().Milliseconds(), forecast.Wait.Milliseconds(), offer.Left.Milliseconds(), pays)
 	return pays
 }
 
-// model is the one that the system chose; "" leaves it to the client.
+// model returns the model that the system chose; "" leaves the choice to the client.
 func (x *exchange) model() string {
-	if !x.chooses() {
+	if !x.systemChooses() {
 		return ""
 	}
-	return x.route.Models[x.step]
+	return x.route.Models[x.modelIndex]
 }
 
 // choose picks the server of the next attempt.
@@ -91,26 +92,26 @@
 	x.version = version
 	use, err := x.relay.Balancer.Choose(x.task(servers))
 	if err != nil {
-		return nil, "", refuse(ReasonNoServer, comeBackSoon, "service %s, %d known, %d tried: %v", x.service, x.known, len(x.tried), err)
+		return nil, "", refusalf(ReasonNoServer, retrySoon, "service %s, %d known, %d tried: %v", x.service, x.knownServers, len(x.tried), err)
 	}
 	x.tried[use.Server().Incarnation()] = true
 	x.record.Choose(x.model(), version, use.Server().ID)
 	return use, version, nil
 }
 
-// servers returns the servers that may get the next attempt, and the version
-// under which it is counted.
+// servers returns the candidates for the next attempt, and the version under which it is
+// counted.
 func (x *exchange) servers() ([]registry.Server, string) {
 	known := x.relay.Servers.Servers(x.service)
-	left := x.untried(known)
-	x.known = len(known)
-	x.others = len(left) - 1
-	return x.relay.Versions.Choose(x.service, x.request.key(), x.version, left)
+	candidates := x.untried(known)
+	x.knownServers = len(known)
+	x.otherServers = len(candidates) - 1
+	return x.relay.Versions.Choose(x.service, x.request.hashKey(), x.version, candidates)
 }
 
-// untried returns the servers that have not had the request. Versions are
-// chosen among these, since few servers hold a version at first, and a request
-// is better served by another version than not at all.
+// untried returns the servers that have not been sent the request. The version is chosen among
+// these: early in a roll-out few servers hold the new version, and another version is better
+// than no response.
 func (x *exchange) untried(servers []registry.Server) []registry.Server {
 	if len(x.tried) == 0 {
 		return servers
--- a/relay/estimates_test.go
+++ b/relay/estimates_test.go
@@ -12,9 +12,9 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// TestEstimatesAreRead: what a decision tells of its estimates is in the form
-// that package accuracy reads.
-func TestEstimatesAreRead(t *testing.T) {
+// TestDecisionStepsParse checks that package accuracy can parse the estimates in a decision
+// record.
+func TestDecisionStepsParse(t *testing.T) {
 	const answered, unanswered = "35 to 50", "no answer yet"
 	tests := []struct {
 		name     string
@@ -23,16 +23,16 @@
 		models   []string
 		offers   map[string]int
 	}{
-		{"one model after the other", 3, true, []string{"large", "middle", "small"}, map[string]int{answered: 2}},
-		{"the costliest at once", 1, true, []string{"large"}, map[string]int{unanswered: 1}},
+		{"escalation through all models", 3, true, []string{"large", "middle", "small"}, map[string]int{answered: 2}},
+		{"most expensive model at once", 1, true, []string{"large"}, map[string]int{unanswered: 1}},
 		{"plain request", 3, false, []string{""}, map[string]int{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Attempts: tt.attempts, Models: threeModels}
 			records := decision.New("n")
-			parts := relay.Parts{Backends: &modelsAsked{}, Moves: noMoves{}, Records: records}
-			serve(t, target, parts, relay.Request{AnyModel: tt.anyModel, Body: noBody(t)}, &received{})
+			parts := relay.Parts{Backends: &modelRecorder{}, Reroutes: noReroutes{}, Records: records}
+			serve(t, target, parts, relay.Request{AnyModel: tt.anyModel, Body: emptyBody(t)}, &recorder{})
 			summary, ok := records.Find("1")
 			must.True(t, ok)
 			table := accuracy.New()
--- a/relay/events.go
+++ b/relay/events.go
@@ -9,62 +9,61 @@
 
 // event is one event of a stream.
 type event struct {
-	// raw is the event as it came, with the empty line that ends it.
+	// raw holds the bytes of the event, including the empty line that ends it.
 	raw []byte
-	// id is what the client may resume after; "" if the event sets none.
+	// id is the event ID from which the client can resume; "" if the event sets none.
 	id string
 }
 
-// maxEvent bounds one event in bytes. Those of the deployments have some
-// hundred.
-const maxEvent = 1 << 20
+// maxEventSize bounds one event in bytes; typical events have a few hundred.
+const maxEventSize = 1 << 20
 
 // events splits a stream (WHATWG HTML, "Server-sent events") into events.
 type events struct {
 	body io.Reader
-	// buffer holds what was read and is not yet a whole event.
-	buffer []byte
-	chunk  []byte
+	// unparsed holds bytes that do not form a whole event yet.
+	unparsed   []byte
+	readBuffer []byte
 }
 
 // newEvents returns the events of a stream.
 func newEvents(body io.Reader) *events {
-	return &events{body: body, chunk: make([]byte, chunk)}
+	return &events{body: body, readBuffer: make([]byte, readSize)}
 }
 
-// errCutEvent says that a stream ended within an event.
-var errCutEvent = errors.New("stream ended within an event")
+// errTruncatedEvent means that the stream ended within an event.
+var errTruncatedEvent = errors.New("stream ended within an event")
 
-// next returns the next whole event, io.EOF after the last.
+// next returns the next whole event, or io.EOF after the last one.
 func (e *events) next() (event, error) {
 	for {
-		if end := eventEnd(e.buffer); end > 0 {
-			raw := bytes.Clone(e.buffer[:end])
-			e.buffer = e.buffer[end:]
+		if end := eventEnd(e.unparsed); end > 0 {
+			raw := bytes.Clone(e.unparsed[:end])
+			e.unparsed = e.unparsed[end:]
 			return event{raw: raw, id: eventID(raw)}, nil
 		}
-		if len(e.buffer) > maxEvent {
+		if len(e.unparsed) > maxEventSize {
 			return event{}, errors.New("event is too large")
 		}
-		n, err := e.body.Read(e.chunk)
-		e.buffer = append(e.buffer, e.chunk[:n]...)
+		n, err := e.body.Read(e.readBuffer)
+		e.unparsed = append(e.unparsed, e.readBuffer[:n]...)
 		switch {
 		case n > 0:
-		case errors.Is(err, io.EOF) && len(e.buffer) > 0:
-			return event{}, errCutEvent
+		case errors.Is(err, io.EOF) && len(e.unparsed) > 0:
+			return event{}, errTruncatedEvent
 		case err != nil:
 			return event{}, err
 		}
 	}
 }
 
-// eventEnd returns the length of the first event with its empty line; zero if
-// it is not whole.
+// eventEnd returns the length of the first event including its empty line; zero if it is
+// incomplete.
 func eventEnd(data []byte) int {
 	end := 0
-	for _, mark := range []string{"\n\n", "\r\n\r\n"} {
-		if at := bytes.Index(data, []byte(mark)); at >= 0 && (end == 0 || at+len(mark) < end) {
-			end = at + len(mark)
+	for _, terminator := range []string{"\n\n", "\r\n\r\n"} {
+		if i := bytes.Index(data, []byte(terminator)); i >= 0 && (end == 0 || i+len(terminator) < end) {
+			end = i + len(terminator)
 		}
 	}
 	return end
--- /dev/null
+++ b/relay/forward.go
@@ -0,0 +1,140 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/violettally/violettally/catalog"
+	"github.com/violettally/violettally/route"
+)
+
+const (
+	// plainBufferSize is how many bytes of a plain response are buffered before the client gets
+	// any, so that a response that breaks off before can be retried elsewhere.
+	plainBufferSize = 64 << 10
+	// readSize is the size of one read in bytes.
+	readSize = 16 << 10
+	// progressInterval is the time between two reports of a stream's progress.
+	progressInterval = 200 * time.Millisecond
+)
+
+// forward copies a response to the client as it arrives.
+func (x *exchange) forward(ctx context.Context, use *route.Assignment, sent time.Time, resp Response, wd *watchdog) *failure {
+	if x.route.Kind == catalog.KindStream && resp.Status() == http.StatusOK {
+		return x.forwardStream(ctx, use, sent, resp, wd)
+	}
+	return x.forwardPlain(ctx, use, resp, wd)
+}
+
+// forwardPlain forwards a response that is not a stream. If it breaks off within
+// plainBufferSize, the client has got nothing yet.
+func (x *exchange) forwardPlain(ctx context.Context, use *route.Assignment, resp Response, wd *watchdog) *failure {
+	buffered, err := io.ReadAll(io.LimitReader(resp.Body(), plainBufferSize))
+	if err != nil {
+		return x.interrupted(ctx, use, err)
+	}
+	wd.stop() // a response that the client has part of can't be rerouted
+	x.startResponse(resp)
+	if x.writer.Write(buffered) != nil {
+		return x.clientGone(use)
+	}
+	chunk := make([]byte, readSize)
+	for len(buffered) == plainBufferSize {
+		n, err := resp.Body().Read(chunk)
+		if x.writer.Write(chunk[:n]) != nil {
+			return x.clientGone(use)
+		}
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			f := x.interrupted(ctx, use, err)
+			f.partial = true
+			return f
+		}
+	}
+	x.complete(use, resp)
+	return nil
+}
+
+// forwardStream forwards whole events only, so that a stream that breaks off within an event
+// can be resumed after the previous one.
+func (x *exchange) forwardStream(ctx context.Context, use *route.Assignment, sent time.Time, resp Response, wd *watchdog) *failure {
+	events := newEvents(resp.Body())
+	lastReport := sent
+	for {
+		wd.reset(time.Duration(maxPauseFactor * float64(x.route.MaxPause)))
+		event, err := events.next()
+		wd.stop() // a slow client says nothing about the server
+		if errors.Is(err, io.EOF) {
+			break
+		}
+		if err != nil {
+			return x.interrupted(ctx, use, err)
+		}
+		use.RecordProgress()
+		if time.Since(lastReport) > progressInterval {
+			lastReport = time.Now()
+			x.reportProgress(use, sent, resp)
+		}
+		x.startResponse(resp)
+		if x.writer.Write(event.raw) != nil {
+			return x.clientGone(use)
+		}
+		if event.id != "" {
+			x.lastEventID = event.id
+		}
+	}
+	x.startResponse(resp)
+	x.complete(use, resp)
+	return nil
+}
+
+// startResponse sends the header, unless an earlier attempt of the same request has sent it.
+func (x *exchange) startResponse(resp Response) {
+	if !x.responseStarted {
+		x.responseStarted = true
+		x.firstByte = max(1, x.elapsed())
+		x.writer.WriteHeader(resp)
+	}
+}
+
+// complete ends an attempt whose whole response has been forwarded.
+func (x *exchange) complete(use *route.Assignment, resp Response) {
+	use.End(route.OutcomeOK)
+	x.reportAnswered()
+	if resp.Status() == http.StatusOK {
+		x.learnDuration(x.relay.durations.learn)
+	}
+	x.relay.Counters.Completed(x.route.Name, resp.Status(), x.firstByte, x.elapsed())
+}
+
+// clientGone ends an attempt whose client has stopped reading.
+func (x *exchange) clientGone(use *route.Assignment) *failure {
+	use.End(route.OutcomeNeutral)
+	x.reportAbandoned(use)
+	x.learnDuration(x.relay.durations.learnTruncated)
+	x.record.Note("client left", "after event %q", x.lastEventID)
+	return nil
+}
+
+// interrupted returns the failure for a response that broke off.
+func (x *exchange) interrupted(ctx context.Context, use *route.Assignment, err error) *failure {
+	x.learnDuration(x.relay.durations.learnTruncated)
+	switch {
+	case stalled(ctx):
+		use.EndStalled()
+		x.reportAbandoned(use)
+		return stalledFailure()
+	case ctx.Err() != nil:
+		use.End(route.OutcomeNeutral)
+		x.reportAbandoned(use)
+	default:
+		use.End(route.OutcomeFailed)
+		x.reportLost(ctx, use)
+	}
+	return &failure{reason: ReasonServerFailed, ran: true, serverLost: ctx.Err() == nil, cause: "answer broke off: " + err.Error()}
+}
--- /dev/null
+++ b/relay/outcome.go
@@ -0,0 +1,175 @@
+package relay
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/joomcode/errorx"
+
+	"github.com/violettally/violettally/registry"
+	"github.com/violettally/violettally/rollout"
+	"github.com/violettally/violettally/route"
+)
+
+const (
+	// retryReserve is the share of the retry budget that escalations and reroutes leave to
+	// requests that got no response at all.
+	retryReserve = 0.25
+	// confidenceUnknown is the confidence assumed where there is no answer yet: as likely poor
+	// as good.
+	confidenceUnknown = 50
+	// minAttemptTime is the time that must be left for a further attempt; the fastest responses
+	// take about that long.
+	minAttemptTime = 50 * time.Millisecond
+)
+
+// recordVersionSample records a response as a sample for its version. Only responses by the
+// server itself count, with the time until the header, or until the attempt was given up as
+// late.
+func (x *exchange) recordVersionSample(ctx context.Context, use *route.Assignment, version string, resp Response, wait time.Duration) {
+	late := resp == nil && stalled(ctx)
+	if version == "" || (resp == nil && !late) || (resp != nil && resp.Declined()) {
+		return
+	}
+	x.relay.Versions.Count(x.service, version, rollout.Answer{
+		Kind:      x.kind(),
+		Failed:    !late && isServerError(resp),
+		Wait:      wait,
+		Expected:  use.ExpectedServiceTime(),
+		Late:      late,
+		Objective: x.route.Objective,
+	})
+}
+
+// checkHeader decides on a response by its header. It returns nil if the response is to be
+// forwarded.
+func (x *exchange) checkHeader(ctx context.Context, use *route.Assignment, sent time.Time, resp Response, err error) *failure {
+	if err != nil {
+		return x.classifyError(ctx, use, err)
+	}
+	if load, ok := resp.Load(); ok {
+		use.RecordLoad(load)
+	}
+	if resp.Declined() {
+		// The response may come from another server, at the address of one that has ended, so
+		// it is not reported as progress.
+		use.End(route.OutcomeDeclined)
+		return &failure{reason: ReasonDeclined, retryAfter: resp.RetryAfter(), cause: http.StatusText(resp.Status())}
+	}
+	x.reportProgress(use, sent, resp)
+	x.record.Note("head", "after %d ms, expected %d, of it %d waiting; confidence %s of %s",
+		time.Since(sent).Milliseconds(), use.ExpectedLatency().Milliseconds(), use.ExpectedWait().Milliseconds(), formatConfidence(resp), x.model())
+	x.headerReceived = time.Now()
+	use.RecordResponseStart()
+	use.RecordResult(isServerError(resp))
+	x.runs++
+	if x.responseStarted && resp.Status() != http.StatusOK {
+		// The client is in the middle of a stream and can only be sent the rest of it.
+		use.End(route.OutcomeNeutral)
+		return &failure{reason: ReasonServerFailed, ran: true, cause: "resumed stream: " + http.StatusText(resp.Status())}
+	}
+	if isServerError(resp) && x.mayRunAgain() && x.mayReplaceResponse() && x.relay.Budgets.Take(x.service, 0) {
+		use.End(route.OutcomeNeutral)
+		return &failure{reason: ReasonServerFailed, ran: true, budgetTaken: true, cause: http.StatusText(resp.Status())}
+	}
+	if next, ok := x.escalation(resp); ok {
+		use.End(route.OutcomeOK)
+		x.reportAbandoned(use)
+		x.modelIndex = next
+		return &failure{escalates: true, ran: true}
+	}
+	return nil
+}
+
+// formatConfidence formats a model's confidence for the decision record.
+func formatConfidence(resp Response) string {
+	if value, ok := resp.Confidence(); ok {
+		return strconv.FormatFloat(value, 'f', 0, 64)
+	}
+	return "none"
+}
+
+// isServerError reports whether the status is 5xx.
+func isServerError(resp Response) bool { return resp.Status() >= http.StatusInternalServerError }
+
+// classifyError returns the failure of an attempt that got no response.
+func (x *exchange) classifyError(ctx context.Context, use *route.Assignment, err error) *failure {
+	if stalled(ctx) {
+		use.EndStalled()
+		x.reportAbandoned(use)
+		x.runs++
+		return stalledFailure()
+	}
+	if canceledAsSuspected(ctx) {
+		use.End(route.OutcomeNeutral)
+		x.runs++
+		return &failure{reason: ReasonSuspected, ran: true, budgetTaken: true, cause: errSuspected.Error()}
+	}
+	if errorx.IsOfType(err, StaleChoice) {
+		use.End(route.OutcomeNeutral)
+		delete(x.tried, use.Server().Incarnation()) // nothing was sent to it
+		return &failure{reason: ReasonOvertaken, budgetTaken: true, cause: err.Error()}
+	}
+	outcome := route.OutcomeFailed
+	if errors.Is(ctx.Err(), context.Canceled) {
+		outcome = route.OutcomeNeutral
+	}
+	use.End(outcome)
+	if errorx.IsOfType(err, NotRun) {
+		return &failure{reason: ReasonUnreachable, cause: err.Error()}
+	}
+	x.runs++
+	if ctx.Err() != nil {
+		x.reportAbandoned(use)
+	}
+	x.reportLost(ctx, use)
+	reason := ReasonServerFailed
+	if x.request.Body.Err() != nil {
+		reason = ReasonBodyBroken
+	}
+	return &failure{reason: reason, ran: true, serverLost: ctx.Err() == nil, cause: err.Error()}
+}
+
+// escalation returns the model to ask in place of one whose answer has too low a confidence.
+func (x *exchange) escalation(resp Response) (next int, ok bool) {
+	confidence, reported := resp.Confidence()
+	if !x.systemChooses() || !reported || resp.Status() != http.StatusOK || x.responseStarted || !x.mayRunAgain() {
+		return 0, false
+	}
+	last := !x.mayRunAfter(x.runs + 1)
+	next, ok = x.relay.Cascade.Next(len(x.route.Models), x.modelIndex, confidence, last)
+	if !ok {
+		return 0, false
+	}
+	// The server that responded may run the other model as well.
+	tried := x.tried
+	x.tried = make(map[registry.Incarnation]bool)
+	defer func() {
+		if !ok {
+			x.tried = tried
+		}
+	}()
+	switch {
+	case !x.worthAsking(next, confidence):
+		x.record.Note("keep", "confidence %.0f of %s, but %s does not pay", confidence, x.model(), x.route.Models[next])
+		return 0, false
+	case !x.relay.Budgets.Take(x.service, retryReserve):
+		x.record.Note("keep", "confidence %.0f of %s, but the budget for repeats is used up", confidence, x.model())
+		return 0, false
+	}
+	x.record.Note("escalate", "confidence %.0f of %s", confidence, x.model())
+	x.relay.Counters.Escalated(x.route.Models[next])
+	return next, true
+}
+
+// mayRunAgain reports whether one more server may run the request now.
+func (x *exchange) mayRunAgain() bool {
+	return x.route.Repeatable() && x.runs < x.route.Attempts && time.Until(x.deadline) > minAttemptTime && x.request.Body.Replayable()
+}
+
+// mayRunAfter reports whether another run may follow once the given number of servers have run
+// the request.
+func (x *exchange) mayRunAfter(runs int) bool { return x.route.Repeatable() && runs < x.route.Attempts }
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -13,26 +13,26 @@
 	"github.com/violettally/violettally/route"
 )
 
-// TestOverload: where the costlier models would be late, the cheapest one's
-// answer goes out, however unsure it is; once there is no load they are asked
-// again.
+// TestOverload checks that the cheapest model's answer is delivered, whatever its confidence,
+// if the more expensive models would be late, and that those are asked again once the load is
+// gone.
 func TestOverload(t *testing.T) {
 	tests := []struct {
 		name    string
 		budgets relay.Budgets
 	}{
-		{"escalations", noBound{}},
-		{"no budget for repeats", noRepeats{}},
+		{"escalations", unlimitedBudget{}},
+		{"no retry budget", noRetryBudget{}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				balancer, backends := route.NewBalancer("", func(string) {}), &modelsAsked{}
+				balancer, backends := route.NewBalancer("", func(string) {}), &modelRecorder{}
 				target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Objective: time.Second, Attempts: 3, Models: threeModels}
-				parts := relay.Parts{Balancer: balancer, Budgets: tt.budgets, Moves: noMoves{}, Backends: backends}
+				parts := relay.Parts{Balancer: balancer, Budgets: tt.budgets, Reroutes: noReroutes{}, Backends: backends}
 				ask := func() []string {
 					backends.sent = nil
-					serve(t, target, parts, relay.Request{AnyModel: true, Body: noBody(t)}, &received{})
+					serve(t, target, parts, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
 					return backends.sent
 				}
 				var busy []*route.Assignment
@@ -52,23 +52,23 @@
 	}
 }
 
-// firstOnly is a roll-out that lets requests go to the first server alone.
-type firstOnly struct{ noRollout }
+// firstServerOnly is a roll-out that admits only the first server.
+type firstServerOnly struct{ noRollout }
 
-func (firstOnly) Choose(_, _, _ string, s []registry.Server) ([]registry.Server, string) {
+func (firstServerOnly) Choose(_, _, _ string, s []registry.Server) ([]registry.Server, string) {
 	return s[:1], "v1"
 }
 
-// TestOverloadInRollout: whether a costlier model would be late is asked of the
-// servers that may get the request; idle ones of another version do not count.
+// TestOverloadInRollout checks that only servers that may get the request count when the
+// lateness of a more expensive model is forecast, and idle servers of another version do not.
 func TestOverloadInRollout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		balancer, backends := route.NewBalancer("", func(string) {}), &modelsAsked{}
+		balancer, backends := route.NewBalancer("", func(string) {}), &modelRecorder{}
 		target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Objective: time.Second, Attempts: 3, Models: threeModels}
 		_, err := balancer.Choose(route.Task{Servers: threeServers{}.Servers("")[:1], PromptTokens: 1, Initial: route.InitialEstimate{Rate: 5000}})
 		must.NoError(t, err)
-		parts := relay.Parts{Balancer: balancer, Versions: firstOnly{}, Moves: noMoves{}, Backends: backends}
-		serve(t, target, parts, relay.Request{AnyModel: true, Body: noBody(t)}, &received{})
+		parts := relay.Parts{Balancer: balancer, Versions: firstServerOnly{}, Reroutes: noReroutes{}, Backends: backends}
+		serve(t, target, parts, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
 		must.Eq(t, []string{"small"}, backends.sent)
 	})
 }
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -12,104 +12,113 @@
 	"github.com/violettally/violettally/suspect"
 )
 
-// suspected reports whether servers end under the request, so that it is to be
-// sent to no further one.
+// suspected reports whether servers crash while running this request, so that it must not be
+// sent to another one.
 func (x *exchange) suspected() bool {
-	return !x.relay.Suspects.Empty() && x.relay.Suspects.Refuses(x.content())
+	return !x.relay.Suspects.Empty() && x.relay.Suspects.Refuses(x.contentDigest())
 }
 
-// content returns the digest of what servers are given of the request.
-func (x *exchange) content() uint64 {
+// contentDigest returns the digest of the content that servers get.
+func (x *exchange) contentDigest() uint64 {
 	if x.digest == 0 {
-		x.digest = content(x.request)
+		x.digest = digestContent(x.request)
 	}
 	return x.digest
 }
 
-// content returns the digest of what servers are given of a request.
-func content(q *Request) uint64 { return suspect.Digest(q.Path, q.Body.Head(), q.Body.Length()) }
+// digestContent computes the digest of the content that servers get.
+func digestContent(q *Request) uint64 {
+	return suspect.Digest(q.Path, q.Body.Buffered(), q.Body.Length())
+}
 
-// tests reports whether this request, which is refused, is the one that is sent once
-// more to see whether servers still end under it: to one server, once.
-func (x *exchange) tests(ctx context.Context) bool {
-	if x.tested || !x.relay.Suspects.Test(ctx, x.content()) {
+// takeTest reports whether this refused request is to be sent to one server as a test whether
+// servers still crash. It returns true at most once per request.
+func (x *exchange) takeTest(ctx context.Context) bool {
+	if x.testSent || !x.relay.Suspects.AllowTest(ctx, x.contentDigest()) {
 		return false
 	}
-	x.tested = true
-	x.record.Note("test", "content %016x is refused and sent to one server", x.content())
+	x.testSent = true
+	x.record.Note("test", "content %016x is refused and sent to one server", x.contentDigest())
 	return true
 }
 
-// lost takes note that a server ended an attempt without an answer, or with a
-// part of one. Where this node or its client ended it, the server may be well.
-func (x *exchange) lost(ctx context.Context, use *route.Assignment) {
+// reportLost reports that a server ended an attempt with no response or a truncated one. If
+// this node or the client ended the attempt, nothing is reported, since the server may be
+// healthy.
+func (x *exchange) reportLost(ctx context.Context, use *route.Assignment) {
 	if ctx.Err() != nil || x.request.Body.Err() != nil {
 		return
 	}
-	x.relay.Suspects.Lost(x.content(), use.Server().Incarnation().Hash())
-	x.record.Note("lost", "at %s; content %016x, lost at %d servers", use.Server().ID, x.content(), x.relay.Suspects.Ends(x.content()))
+	x.relay.Suspects.ReportLost(x.contentDigest(), use.Server().Incarnation().Hash())
+	x.record.Note("lost", "at %s; content %016x, lost at %d servers", use.Server().ID, x.contentDigest(), x.relay.Suspects.Ends(x.contentDigest()))
 }
 
-// afterLoss lies between a lost attempt and the next one. Servers that end together show
-// it meanwhile, so that the next attempt goes to none of them; and if one ends under it as
-// well, that is for another cause (suspect.IncidentWindow).
-const afterLoss = suspect.IncidentWindow + 10*time.Millisecond
+// delayAfterLoss is the delay between a lost attempt and the next one. Servers that crash
+// together are seen as gone by then, so the next attempt does not go to one of them; if its
+// server crashes too, that has another cause (suspect.IncidentWindow).
+const delayAfterLoss = suspect.IncidentWindow + 10*time.Millisecond
 
-// pause returns after d, or when the context ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for d or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, d)
 	defer cancel()
 	<-ctx.Done()
 }
 
-// left takes note that this attempt was given up, though the server may run it on.
-func (x *exchange) left(use *route.Assignment) {
-	x.relay.Suspects.Left(x.content(), use.Server().Incarnation().Hash())
+// reportAbandoned reports that this attempt was given up while the server may still run the
+// request.
+func (x *exchange) reportAbandoned(use *route.Assignment) {
+	x.relay.Suspects.ReportAbandoned(x.contentDigest(), use.Server().Incarnation().Hash())
 }
 
-// goesOn takes note that something came of a server's answer to what was sent to it at a
-// time.
-func (x *exchange) goesOn(use *route.Assignment, sent time.Time, answer Answer) {
+// reportProgress reports that part of the response to a request sent at the given time has
+// arrived.
+func (x *exchange) reportProgress(use *route.Assignment, sent time.Time, resp Response) {
 	if !x.relay.Suspects.Empty() {
-		x.relay.Suspects.Runs(use.Server().Incarnation().Hash(), sent, answer.Opened())
+		x.relay.Suspects.ReportProgress(use.Server().Incarnation().Hash(), sent, resp.ConnOpened())
 	}
 }
 
-// cleared takes note that a server has answered the request.
-func (x *exchange) cleared() { x.relay.Suspects.Answered(x.content()) }
+// reportAnswered reports that a server has completed its response.
+func (x *exchange) reportAnswered() { x.relay.Suspects.ReportAnswered(x.contentDigest()) }
 
-// errTakenBack ends an attempt whose request is refused since it was sent.
-var errTakenBack = errors.New("servers end under the request")
+// errSuspected is the cancellation cause of attempts whose request has become suspected since
+// it was sent.
+var errSuspected = errors.New("servers end under the request")
 
-// takenBack reports whether an attempt was ended for that.
-func takenBack(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errTakenBack) }
+// canceledAsSuspected reports whether the attempt was canceled with errSuspected.
+func canceledAsSuspected(ctx context.Context) bool {
+	return errors.Is(context.Cause(ctx), errSuspected)
+}
 
-// TakeBack ends the attempts with a request that servers have not begun to answer:
-// they would end under it as well when its turn comes there.
-func (r *Relay) TakeBack(digest uint64) {
-	for _, w := range r.waiting.all() {
-		if content(w.request) == digest {
-			w.cancel(errTakenBack)
+// CancelPending cancels all attempts with the given content that have no response yet: the
+// servers would crash as well once they run it.
+func (r *Relay) CancelPending(digest uint64) {
+	for _, w := range r.pending.all() {
+		if digestContent(w.request) == digest {
+			w.cancel(errSuspected)
 		}
 	}
 }
 
-// waiting holds the attempts of which no answer has begun.
-type waiting struct {
+// pendingAttempts is the set of attempts whose response has not begun.
+type pendingAttempts struct {
 	mu       sync.Mutex
-	attempts map[*waitingAttempt]struct{}
+	attempts map[*pendingAttempt]struct{}
 }
 
-type waitingAttempt struct {
+type pendingAttempt struct {
 	request *Request
 	cancel  context.CancelCauseFunc
 }
 
-func newWaiting() *waiting { return &waiting{attempts: make(map[*waitingAttempt]struct{})} }
+func newPendingAttempts() *pendingAttempts {
+	return &pendingAttempts{attempts: make(map[*pendingAttempt]struct{})}
+}
 
-// add notes an attempt until what it returns is called.
-func (w *waiting) add(q *Request, cancel context.CancelCauseFunc) (remove func()) {
-	a := &waitingAttempt{request: q, cancel: cancel}
+// add adds an attempt to the set; remove deletes it.
+func (w *pendingAttempts) add(q *Request, cancel context.CancelCauseFunc) (remove func()) {
+	a := &pendingAttempt{request: q, cancel: cancel}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.attempts[a] = struct{}{}
@@ -120,8 +129,8 @@
 	}
 }
 
-// all returns the attempts that wait now.
-func (w *waiting) all() []*waitingAttempt {
+// all returns the present attempts.
+func (w *pendingAttempts) all() []*pendingAttempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Collect(maps.Keys(w.attempts))
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -18,41 +18,40 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// crashing are servers that end under one body. Each end is followed by a new
-// start with another ID.
-type crashing struct {
+// crashingServers crash while they run poisonBody. Each restarts with another ID.
+type crashingServers struct {
 	allUsable
 	servers []registry.Server
 	started int
-	// runs is how long a server runs the deadly request.
-	runs time.Duration
-	// ended counts the servers that ended.
-	ended int
+	// runTime is how long a server runs the request before it crashes.
+	runTime time.Duration
+	// crashed counts the crashes.
+	crashed int
 }
 
-func newCrashing(n int) *crashing {
-	c := &crashing{}
+func newCrashingServers(n int) *crashingServers {
+	c := &crashingServers{}
 	for range n {
 		c.start()
 	}
 	return c
 }
 
-func (c *crashing) start() {
+func (c *crashingServers) start() {
 	c.started++
 	c.servers = append(c.servers, registry.Server{ID: fmt.Sprintf("s%d", c.started)})
 }
 
-func (c *crashing) Servers(string) []registry.Server { return c.servers }
+func (c *crashingServers) Servers(string) []registry.Server { return c.servers }
 
-const deadly = "ends its server"
+const poisonBody = "ends its server"
 
-func (c *crashing) Send(_ context.Context, server registry.Server, call relay.Call) (relay.Answer, error) {
-	if string(call.Request.Body.Head()) != deadly {
-		return given{200, strings.NewReader("answer")}, nil
+func (c *crashingServers) Send(_ context.Context, server registry.Server, call relay.Call) (relay.Response, error) {
+	if string(call.Request.Body.Buffered()) != poisonBody {
+		return response{200, strings.NewReader("answer")}, nil
 	}
-	time.Sleep(c.runs)
-	c.ended++
+	time.Sleep(c.runTime)
+	c.crashed++
 	var left []registry.Server
 	for _, s := range c.servers {
 		if s.ID != server.ID {
@@ -64,98 +63,100 @@
 	return nil, errs.New(relay.Failed, "send", "connection reset")
 }
 
-// suspects is a list that all nodes have in common.
-type suspects struct{ *suspect.Detector }
+// sharedSuspects is a suspect list shared by all nodes.
+type sharedSuspects struct{ *suspect.Detector }
 
-func (s suspects) Lost(digest, server uint64) { s.Detector.RecordLoss(digest, server, 0) }
-func (s suspects) Left(digest, server uint64) { s.Detector.RecordAbandoned(digest, server) }
-func (s suspects) Answered(digest uint64)     { s.Detector.RecordAnswer(digest) }
-func (s suspects) Runs(server uint64, sent, opened time.Time) {
+func (s sharedSuspects) ReportLost(digest, server uint64) { s.Detector.RecordLoss(digest, server, 0) }
+func (s sharedSuspects) ReportAbandoned(digest, server uint64) {
+	s.Detector.RecordAbandoned(digest, server)
+}
+func (s sharedSuspects) ReportAnswered(digest uint64) { s.Detector.RecordAnswer(digest) }
+func (s sharedSuspects) ReportProgress(server uint64, sent, opened time.Time) {
 	s.Detector.ServerResponded(server, time.Since(sent), time.Since(opened))
 }
-func (s suspects) Test(context.Context, uint64) bool { return false }
+func (s sharedSuspects) AllowTest(context.Context, uint64) bool { return false }
 
-// TestDeadlyRequest is a client that sends a request again and again, each time to
-// another node, under which every server ends. On a day with such requests 60
-// servers of 18 ended; one request was sent 23 times more after three had. It
-// ends three servers at the most here, its last answers come at once, say that it
-// ran and invite nobody back, and others are served meanwhile.
-func TestDeadlyRequest(t *testing.T) {
-	for _, runs := range []time.Duration{0, 10 * time.Millisecond, 100 * time.Millisecond, time.Second} {
-		t.Run(fmt.Sprint("servers end after ", runs), func(t *testing.T) {
+// TestPoisonRequest checks that a request that crashes every server, sent again and again
+// through different nodes, crashes at most three of them, while other requests are served. Its
+// last refusals must come at once, say that the request ran and suggest no retry. On a day with
+// such requests a deployment of 18 servers lost 60, restarted ones included; one request was
+// sent 23 more times after three servers had crashed.
+func TestPoisonRequest(t *testing.T) {
+	for _, runTime := range []time.Duration{0, 10 * time.Millisecond, 100 * time.Millisecond, time.Second} {
+		t.Run(fmt.Sprint("servers crash after ", runTime), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				timers := timer.New()
 				defer timers.Close()
-				servers, list := newCrashing(6), suspects{suspect.New(timers)}
-				servers.runs = runs
+				servers, list := newCrashingServers(6), sharedSuspects{suspect.New(timers)}
+				servers.runTime = runTime
 				target := catalog.Route{Kind: catalog.KindRepeatable, Timeout: 10 * time.Second, Attempts: 2}
 				var nodes []*relay.Relay
 				for range 4 {
 					nodes = append(nodes, newRelay(t, target, relay.Parts{Servers: servers, Backends: servers, Suspects: list}))
 				}
-				send := func(node *relay.Relay, text string) *received {
+				send := func(node *relay.Relay, text string) *recorder {
 					body, err := relay.NewBody(strings.NewReader(text), int64(len(text)))
 					must.NoError(t, err)
-					got := &received{}
+					got := &recorder{}
 					ask(t, node, relay.Request{Body: body}, got)
 					return got
 				}
 				for try := range 8 {
 					time.Sleep(100 * time.Millisecond)
-					got := send(nodes[try%len(nodes)], deadly)
+					got := send(nodes[try%len(nodes)], poisonBody)
 					must.NotNil(t, got.refusal)
 					if try > 1 {
 						must.Eq(t, relay.ReasonSuspected, got.refusal.Reason())
-						must.Eq(t, 502, got.refusal.Status(), must.Sprint("it has run"))
+						must.Eq(t, 502, got.refusal.Status(), must.Sprint("the request has run"))
 						must.Eq(t, 0, got.refusal.RetryAfter())
 					}
 					must.Eq(t, "answer", send(nodes[try%len(nodes)], "harmless").String())
 				}
-				must.Eq(t, 3, servers.ended)
+				must.Eq(t, 3, servers.crashed)
 			})
 		})
 	}
 }
 
-// onceMore are suspects that let a refused request be sent once more.
-type onceMore struct {
-	suspects
+// suspectsAllowingTest allow a refused request to be sent as a test.
+type suspectsAllowingTest struct {
+	sharedSuspects
 	tests int
 }
 
-func (o *onceMore) Test(context.Context, uint64) bool {
+func (o *suspectsAllowingTest) AllowTest(context.Context, uint64) bool {
 	o.tests--
 	return o.tests >= 0
 }
 
-// TestRefusedOnceMore: a request that is refused is put to the test now and then: at one
-// server, whatever the route allows. It is served if that one answers.
-func TestRefusedOnceMore(t *testing.T) {
+// TestSuspectRequestTested checks that a refused request can be tested at one server, whatever
+// the route's attempts, and is served if that server responds.
+func TestSuspectRequestTested(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		text string
 		want string
-		// ended is how many servers end by it.
-		ended int
+		// crashed is how many servers crash.
+		crashed int
 	}{
-		{"ends its servers still", deadly, "", 1},
-		{"was refused wrongly", "harmless", "answer", 0},
+		{"still crashes servers", poisonBody, "", 1},
+		{"refused wrongly", "harmless", "answer", 0},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				timers := timer.New()
 				defer timers.Close()
-				servers, list := newCrashing(6), &onceMore{suspects: suspects{suspect.New(timers)}, tests: 1}
+				servers, list := newCrashingServers(6), &suspectsAllowingTest{sharedSuspects: sharedSuspects{suspect.New(timers)}, tests: 1}
 				target := catalog.Route{Kind: catalog.KindRepeatable, Timeout: 10 * time.Second, Attempts: 3}
 				node := newRelay(t, target, relay.Parts{Servers: servers, Backends: servers, Suspects: list})
 				list.ApplyStored(suspect.Digest("/", []byte(tt.text), int64(len(tt.text))), 0)
 				body, err := relay.NewBody(strings.NewReader(tt.text), int64(len(tt.text)))
 				must.NoError(t, err)
-				got := &received{}
+				got := &recorder{}
 				ask(t, node, relay.Request{Body: body}, got)
 				must.Eq(t, tt.want, got.String())
-				must.Eq(t, tt.ended, servers.ended)
-				must.LessEq(t, 0, list.tests, must.Sprint("it was refused"))
+				must.Eq(t, tt.crashed, servers.crashed)
+				must.LessEq(t, 0, list.tests, must.Sprint("the request must have been refused and tested"))
 				if tt.want == "" {
 					must.Eq(t, relay.ReasonSuspected, got.refusal.Reason())
 				}
--- a/relay/work.go
+++ b/relay/task.go
@@ -7,15 +7,15 @@
 	"github.com/violettally/violettally/route"
 )
 
-// What an answer is assumed to take before the first one has come. One answer
-// outweighs it.
+// Assumed response times before the first response has been seen. One response outweighs them.
 const (
-	// assumedBase is the time in milliseconds in which an idle server begins
-	// its answer, beside reading a prompt.
-	assumedBase = 30.0
-	// assumedRate is the time in milliseconds in which the costliest model
-	// reads a token; engines of large models read 10 to 50 in a millisecond.
-	assumedRate = 0.05
+	// assumedBaseMillis is the time in milliseconds until an idle server starts its response,
+	// without the time to process a prompt.
+	assumedBaseMillis = 30.0
+	// assumedMillisPerPromptToken is the time in milliseconds in which the most expensive model
+	// processes a prompt token; engines of large models process 10 to 50 tokens per
+	// millisecond.
+	assumedMillisPerPromptToken = 0.05
 )
 
 // task describes the next attempt to the balancer.
@@ -24,7 +24,7 @@
 		Servers:   servers,
 		Exclude:   x.tried,
 		Kind:      x.workKind(),
-		Initial:   route.InitialEstimate{Base: assumedBase},
+		Initial:   route.InitialEstimate{Base: assumedBaseMillis},
 		BodyBytes: int(max(0, x.request.Body.Length())),
 	}
 	prompt := x.request.Prompt
@@ -33,19 +33,19 @@
 	}
 	t.PromptTokens = prompt.Tokens
 	t.Prompt = prefix.NewChain(x.model(), prompt.Parts)
-	t.Initial.Rate = assumedRate
+	t.Initial.Rate = assumedMillisPerPromptToken
 	if engine := x.engine(); engine != nil {
 		t.CacheCapacity = engine.CacheTokens
-		t.Initial.Rate *= pace(engine, x.model())
+		t.Initial.Rate *= relativeCost(engine, x.model())
 	}
 	return t
 }
 
-// kind groups requests that usually take equally long.
+// kind groups requests whose responses usually take equally long.
 func (x *exchange) kind() string { return x.route.Name + "/" + x.model() }
 
-// workKind groups requests that take equally long for the same size: those for
-// a model, whichever route they come by, or else those of a route.
+// workKind groups requests that take equally long for the same size: those for the same model
+// on any route, or else those of the same route.
 func (x *exchange) workKind() string {
 	if x.request.Prompt.Tokens > 0 {
 		return x.service + "/" + x.model()
@@ -53,7 +53,7 @@
 	return x.service + "/" + x.route.Name
 }
 
-// engine describes the engines of the service; nil if it has none.
+// engine returns the engine of the service; nil if it has none.
 func (x *exchange) engine() *catalog.Engine {
 	service := x.relay.Catalog().Service(x.service)
 	if service == nil {
@@ -62,9 +62,9 @@
 	return service.Engine
 }
 
-// pace is how long a model is assumed to take, as a share of the costliest
-// one's time. The declared costs stand in for it: they rise with a model's size.
-func pace(engine *catalog.Engine, model string) float64 {
+// relativeCost returns the assumed processing time of a model relative to the most expensive
+// one. It is taken from the declared costs, which grow with the size of the model.
+func relativeCost(engine *catalog.Engine, model string) float64 {
 	highest := 0.0
 	for _, cost := range engine.Costs {
 		highest = max(highest, cost)
