--- a/adapter/peer/client.go
+++ b/adapter/peer/client.go
@@ -356,11 +356,11 @@
 }
 
 // AskLimit asks a grantor for a share.
-func (c *Client) AskLimit(ctx context.Context, to view.Member, ask limit.Ask) (limit.Grant, error) {
+func (c *Client) AskLimit(ctx context.Context, to view.Member, ask limit.LeaseRequest) (limit.Grant, error) {
 	if to.ID == c.self {
 		return c.node.Grant(ask), nil
 	}
-	return invoke[limit.Ask, limit.Grant](ctx, c, to.Peer, callLimit, ask)
+	return invoke[limit.LeaseRequest, limit.Grant](ctx, c, to.Peer, callLimit, ask)
 }
 
 // Counts asks a node for its counts of good and bad answers.
--- a/adapter/peer/server.go
+++ b/adapter/peer/server.go
@@ -33,7 +33,7 @@
 	Probe(h member.Heartbeat) member.Heartbeat
 	Newer(known map[string]int64) map[string]document.Item
 	Heard(address string, revisions map[string]int64)
-	Grant(ask limit.Ask) limit.Grant
+	Grant(ask limit.LeaseRequest) limit.Grant
 	Counts() (node string, counts rollout.Counts)
 	Recall(journal string) billing.Recollection
 	KeepCheckpoint(a ledger.Account)
@@ -77,7 +77,7 @@
 		callTransfer: handle(func(_ context.Context, r claim.TransferRequest) (claim.TransferReply, error) {
 			return replica.Transfer(r), nil
 		}),
-		callLimit:  handle(func(_ context.Context, a limit.Ask) (limit.Grant, error) { return node.Grant(a), nil }),
+		callLimit:  handle(func(_ context.Context, a limit.LeaseRequest) (limit.Grant, error) { return node.Grant(a), nil }),
 		callCounts: answerCounts(node.Counts),
 		callRecall: handle(func(_ context.Context, r recallRequest) (billing.Recollection, error) {
 			return node.Recall(r.Journal), nil
--- a/admit/admit.go
+++ b/admit/admit.go
@@ -10,7 +10,7 @@
 //
 // # Usage
 //
-//	release, err := queue.Acquire(ctx, admit.Ticket{Account: "dispatch", …})
+//	release, err := queue.Acquire(ctx, admit.Request{Account: "dispatch", …})
 //	if err != nil {
 //		return err // admit.Refused, with RetryAfter
 //	}
@@ -64,8 +64,8 @@
 	minRetryAfter = 200 * time.Millisecond
 )
 
-// Ticket is one request's claim to capacity.
-type Ticket struct {
+// Request is one request's claim to capacity.
+type Request struct {
 	Account  string
 	Priority config.Priority
 	// Deadline by which the work has to be done; zero for none.
@@ -88,7 +88,7 @@
 // waiter is a request in the queue. Its channel is closed when it is admitted
 // or, with late set, refused.
 type waiter struct {
-	ticket  Ticket
+	ticket  Request
 	arrived time.Time
 	decided chan struct{}
 	late    bool
@@ -116,7 +116,7 @@
 
 // Acquire waits until the request may run. The function that it returns must
 // be called when the work has ended.
-func (q *Queue) Acquire(ctx context.Context, t Ticket) (release func(), err error) {
+func (q *Queue) Acquire(ctx context.Context, t Request) (release func(), err error) {
 	w, err := q.enter(t)
 	if err != nil {
 		return nil, err
@@ -151,7 +151,7 @@
 }
 
 // enter admits, queues or refuses a request.
-func (q *Queue) enter(t Ticket) (*waiter, error) {
+func (q *Queue) enter(t Request) (*waiter, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	capacity := max(1, q.capacity())
@@ -187,7 +187,7 @@
 // priority and above, or, since accounts take turns, behind its account's own
 // at the account's part of the capacity, whichever is less. What the account's
 // requests really waited for lately corrects both upwards.
-func (q *Queue) expectedWait(t Ticket, capacity int) time.Duration {
+func (q *Queue) expectedWait(t Request, capacity int) time.Duration {
 	own, accounts := 1, map[string]bool{t.Account: true}
 	for _, w := range q.waiting {
 		if w.ticket.Priority < t.Priority {
@@ -227,13 +227,13 @@
 }
 
 // releaser returns the function that ends a request's work, once.
-func (q *Queue) releaser(t Ticket) func() {
+func (q *Queue) releaser(t Request) func() {
 	start := time.Now()
 	var once sync.Once
 	return func() { once.Do(func() { q.release(t, time.Since(start)) }) }
 }
 
-func (q *Queue) release(t Ticket, took time.Duration) {
+func (q *Queue) release(t Request, took time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.running--
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -37,7 +37,7 @@
 			for start := time.Now(); time.Since(start) < d; time.Sleep(time.Duration(float64(time.Second) / l.rate)) {
 				group.Go(func() {
 					deadline := time.Now().Add(l.deadline)
-					release, err := q.Acquire(context.Background(), admit.Ticket{Account: l.account, Priority: l.priority, Deadline: deadline})
+					release, err := q.Acquire(context.Background(), admit.Request{Account: l.account, Priority: l.priority, Deadline: deadline})
 					if err == nil {
 						time.Sleep(l.work)
 						release()
@@ -104,7 +104,7 @@
 		others.Go(func() { offer(q, time.Second, load{account: "a", rate: 5, work: time.Second, deadline: time.Minute}) })
 		time.Sleep(900 * time.Millisecond)
 		start := time.Now()
-		_, err := q.Acquire(t.Context(), admit.Ticket{Account: "b", Deadline: time.Now().Add(500 * time.Millisecond)})
+		_, err := q.Acquire(t.Context(), admit.Request{Account: "b", Deadline: time.Now().Add(500 * time.Millisecond)})
 		must.True(t, errorx.IsOfType(err, admit.Late), must.Sprint(err))
 		must.Eq(t, 0, time.Since(start))
 		must.Greater(t, 500*time.Millisecond, admit.RetryAfter(err))
--- a/dispatch/plain.go
+++ b/dispatch/plain.go
@@ -131,7 +131,7 @@
 // admit waits for the pool's capacity, or refuses at once.
 func (d *Dispatcher) admit(ctx context.Context, r *Request, pool string, record *decision.Record) (release func(), _ *Refusal) {
 	start := d.Timers.Now()
-	ticket := admit.Ticket{Account: r.Account.Name, Priority: r.Account.Priority, Deadline: r.Deadline}
+	ticket := admit.Request{Account: r.Account.Name, Priority: r.Account.Priority, Deadline: r.Deadline}
 	if r.Patient {
 		ticket.Priority = config.PriorityPatient
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -91,7 +91,7 @@
 	runners  *platform.Runners
 	balancer *route.Balancer
 	picker   *rollout.Picker
-	services *rollout.Services
+	services *rollout.ServicePicker
 	driver   *rollout.Driver
 	leases   *lease.Holder
 	client   *peer.Client
@@ -163,7 +163,7 @@
 // node holds the lease.
 func (g *Gateway) makeRollouts() {
 	g.picker = rollout.NewPicker()
-	g.services = rollout.NewServices(g.picker, canaryMargin*g.settings.Bounds.CanaryShare)
+	g.services = rollout.NewServicePicker(g.picker, canaryMargin*g.settings.Bounds.CanaryShare)
 	g.leases = lease.New(driverLease, g.self.ID, g.store, g.timers, leaseTime, lease.WithCandidates(g.mayDrive))
 	g.driver = rollout.NewDriver(stagesKey, stages{g}, collector{g}, g.leases, g.services.Models, g.timers)
 }
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -26,7 +26,7 @@
 func (g *Gateway) takeOrder(c mirror.Change) {
 	service := strings.TrimPrefix(c.Key, platform.OrderPrefix)
 	if c.Deleted {
-		g.services.Drop(service)
+		g.services.RemoveOrder(service)
 		return
 	}
 	order, err := platform.DecodeOrder(c.Value)
@@ -35,7 +35,7 @@
 		return
 	}
 	order.Service = service
-	g.services.Take(order)
+	g.services.SetOrder(order)
 }
 
 // takeStages puts the driver's stages in force.
@@ -43,7 +43,7 @@
 	if c.Key != stagesKey || c.Deleted {
 		return
 	}
-	if err := g.picker.Take(document.Item{Data: c.Value, Revision: c.Revision}); err != nil {
+	if err := g.picker.Apply(document.Item{Data: c.Value, Revision: c.Revision}); err != nil {
 		slog.Error("stored stages cannot be read", "revision", c.Revision, "error", err)
 		return
 	}
--- a/limit/grantor.go
+++ b/limit/grantor.go
@@ -7,13 +7,13 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// Limits returns an account's limit in requests a second, zero for none.
-type Limits func(account string) float64
+// LimitFunc returns an account's limit in requests a second, zero for none.
+type LimitFunc func(account string) float64
 
 // Grantor leases out shares of the accounts that the view gives to this node.
 // It is safe for concurrent use.
 type Grantor struct {
-	limits Limits
+	limits LimitFunc
 	timers *timer.Service
 
 	mu       sync.Mutex
@@ -46,7 +46,7 @@
 const takeoverWait = 3 * time.Second
 
 // NewGrantor returns a grantor without leases.
-func NewGrantor(limits Limits, timers *timer.Service) *Grantor {
+func NewGrantor(limits LimitFunc, timers *timer.Service) *Grantor {
 	return &Grantor{limits: limits, timers: timers, accounts: make(map[string]*outstanding)}
 }
 
@@ -65,7 +65,7 @@
 
 // Grant answers an ask. It refuses asks of another epoch, since two views may
 // name two grantors.
-func (g *Grantor) Grant(ask Ask) Grant {
+func (g *Grantor) Grant(ask LeaseRequest) Grant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if ask.Epoch != g.epoch {
@@ -79,16 +79,16 @@
 		mine = &leased{}
 		o.leases[ask.Node] = mine
 	}
-	mine.demand, mine.held = ask.Demand, ask.Held
+	mine.demand, mine.held = ask.Demand, ask.HeldShare
 	pool := g.limits(ask.Account) * (1 - evenShare)
 	share := min(o.fairShare(ask.Node, pool), pool-o.others(ask.Node))
 	if now.Sub(o.since) < takeoverWait {
 		// Leases of the grantor before may still be out: renew, no more.
-		share = min(share, ask.Held)
+		share = min(share, ask.HeldShare)
 	}
 	mine.granted = max(0, share)
-	mine.expires = now.Add(max(leaseLife, time.Duration(ask.HeldMillis)*time.Millisecond))
-	return Grant{Share: mine.granted, LifeMillis: leaseLife.Milliseconds()}
+	mine.expires = now.Add(max(leaseLife, time.Duration(ask.HeldTTLMillis)*time.Millisecond))
+	return Grant{Share: mine.granted, TTLMillis: leaseLife.Milliseconds()}
 }
 
 func (g *Grantor) outstanding(account string, now time.Time) *outstanding {
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -46,36 +46,36 @@
 	minBurst   = 1
 )
 
-// Ask is a node's request for a share, in requests a second.
-type Ask struct {
+// LeaseRequest is a node's request for a share, in requests a second.
+type LeaseRequest struct {
 	Epoch   int64   `cbor:"1,keyasint"`
 	Account string  `cbor:"2,keyasint"`
 	Node    string  `cbor:"3,keyasint"`
 	Demand  float64 `cbor:"4,keyasint"`
-	// Held is the share that the node holds now, for HeldMillis longer.
-	Held       float64 `cbor:"5,keyasint"`
-	HeldMillis int64   `cbor:"6,keyasint"`
+	// HeldShare is the share that the node holds now, for HeldMillis longer.
+	HeldShare     float64 `cbor:"5,keyasint"`
+	HeldTTLMillis int64   `cbor:"6,keyasint"`
 }
 
 // Grant is the answer. A refused ask leaves the node what it holds.
 type Grant struct {
-	Refused    bool    `cbor:"1,keyasint"`
-	Share      float64 `cbor:"2,keyasint"`
-	LifeMillis int64   `cbor:"3,keyasint"`
+	Refused   bool    `cbor:"1,keyasint"`
+	Share     float64 `cbor:"2,keyasint"`
+	TTLMillis int64   `cbor:"3,keyasint"`
 }
 
-// Grantors finds an account's grantor and asks it.
-type Grantors interface {
-	// Ask sends the ask to the grantor that the view in force names; it fills
+// GrantorClient finds an account's grantor and asks it.
+type GrantorClient interface {
+	// RequestLease sends the ask to the grantor that the view in force names; it fills
 	// in epoch and node.
-	Ask(ctx context.Context, ask Ask) (Grant, error)
+	RequestLease(ctx context.Context, ask LeaseRequest) (Grant, error)
 	// Members returns the number of nodes in the view.
 	Members() int
 }
 
 // Limiter is one node's part of the limits. It is safe for concurrent use.
 type Limiter struct {
-	grantors Grantors
+	grantors GrantorClient
 	timers   *timer.Service
 
 	mu       sync.Mutex
@@ -103,7 +103,7 @@
 }
 
 // New returns a limiter.
-func New(grantors Grantors, timers *timer.Service) *Limiter {
+func New(grantors GrantorClient, timers *timer.Service) *Limiter {
 	return &Limiter{grantors: grantors, timers: timers, accounts: make(map[string]*share)}
 }
 
@@ -171,7 +171,7 @@
 			ctx, cancel := context.WithTimeout(ctx, leaseInterval)
 			defer cancel()
 			start := l.timers.Steady()
-			grant, err := l.grantors.Ask(ctx, ask)
+			grant, err := l.grantors.RequestLease(ctx, ask)
 			if err == nil && !grant.Refused {
 				l.take(ask.Account, grant, start)
 			}
@@ -180,19 +180,19 @@
 	renewals.Wait()
 }
 
-func (l *Limiter) asks() []Ask {
+func (l *Limiter) asks() []LeaseRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.timers.Steady()
-	var asks []Ask
+	var asks []LeaseRequest
 	for name, s := range l.accounts {
 		s.demand = s.demand*(1-demandMemory) + float64(s.arrived)*demandMemory
 		s.arrived = 0
 		l.refresh(s)
-		ask := Ask{Account: name, Demand: s.demand}
+		ask := LeaseRequest{Account: name, Demand: s.demand}
 		if now.Before(s.expires) {
-			ask.Held = s.granted
-			ask.HeldMillis = s.expires.Sub(now).Milliseconds()
+			ask.HeldShare = s.granted
+			ask.HeldTTLMillis = s.expires.Sub(now).Milliseconds()
 		}
 		if s.wanted(now) {
 			asks = append(asks, ask)
@@ -207,5 +207,5 @@
 	defer l.mu.Unlock()
 	s := l.accounts[account]
 	s.granted = grant.Share
-	s.expires = start.Add(time.Duration(grant.LifeMillis) * time.Millisecond)
+	s.expires = start.Add(time.Duration(grant.TTLMillis) * time.Millisecond)
 }
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -33,7 +33,7 @@
 
 func (l link) Members() int { return len(l.f.nodes) }
 
-func (l link) Ask(_ context.Context, ask limit.Ask) (limit.Grant, error) {
+func (l link) RequestLease(_ context.Context, ask limit.LeaseRequest) (limit.Grant, error) {
 	if l.f.down.Load() {
 		return limit.Grant{}, fmt.Errorf("the grantor does not answer")
 	}
--- a/node/node.go
+++ b/node/node.go
@@ -306,7 +306,7 @@
 }
 
 func (n *Node) takeRollouts(item document.Item) {
-	if err := n.picker.Take(item); err != nil {
+	if err := n.picker.Apply(item); err != nil {
 		slog.Error("stored roll-outs cannot be used", "error", err)
 	}
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -93,7 +93,7 @@
 	p.n.spreader.Heard(address, revisions)
 }
 
-func (p peerNode) Grant(ask limit.Ask) limit.Grant { return p.n.grantor.Grant(ask) }
+func (p peerNode) Grant(ask limit.LeaseRequest) limit.Grant { return p.n.grantor.Grant(ask) }
 
 func (p peerNode) Counts() (string, rollout.Counts) { return p.n.self.ID, p.n.picker.Counts() }
 
@@ -132,7 +132,7 @@
 
 func (g grantors) Members() int { return len(g.n.keeper.Current().Members()) }
 
-func (g grantors) Ask(ctx context.Context, ask limit.Ask) (limit.Grant, error) {
+func (g grantors) RequestLease(ctx context.Context, ask limit.LeaseRequest) (limit.Grant, error) {
 	v := g.n.keeper.Current()
 	owner, ok := g.n.limitOwner(v, ask.Account)
 	if !ok {
--- a/rollout/driver.go
+++ b/rollout/driver.go
@@ -14,8 +14,8 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// Shared changes the stages at the platform and puts them in force.
-type Shared interface {
+// DocumentStore changes the stages at the platform and puts them in force.
+type DocumentStore interface {
 	Update(ctx context.Context, name string, change func(old []byte) ([]byte, error)) (document.Item, error)
 }
 
@@ -39,7 +39,7 @@
 // Driver moves roll-outs on while this node holds the lease.
 type Driver struct {
 	name      string
-	shared    Shared
+	shared    DocumentStore
 	collector Collector
 	lease     Lease
 	timers    *timer.Service
@@ -47,12 +47,12 @@
 
 	// tests are by "model@version" of the candidate and what they look for:
 	// three for each candidate, of which the guards may leave out two.
-	tests map[string]*Test
+	tests map[string]*SequentialTest
 	nodes *nodes
 }
 
 // NewDriver returns a driver that writes the shared document of that name.
-func NewDriver(name string, shared Shared, collector Collector, lease Lease, models func() []config.Model, timers *timer.Service) *Driver {
+func NewDriver(name string, shared DocumentStore, collector Collector, lease Lease, models func() []config.Model, timers *timer.Service) *Driver {
 	return &Driver{
 		name:      name,
 		shared:    shared,
@@ -60,7 +60,7 @@
 		lease:     lease,
 		timers:    timers,
 		models:    models,
-		tests:     make(map[string]*Test),
+		tests:     make(map[string]*SequentialTest),
 		nodes:     newNodes(),
 	}
 }
@@ -128,7 +128,7 @@
 func (d *Driver) next(m *config.Model, p Progress, known bool) Progress {
 	now := d.timers.Now().UTC()
 	if !known || p.Version != m.Rollout.Version {
-		return Progress{Version: m.Rollout.Version, Since: now, Reason: "started"}
+		return Progress{Version: m.Rollout.Version, StageSince: now, Reason: "started"}
 	}
 	if p.Verdict != VerdictRunning {
 		return p
@@ -151,7 +151,7 @@
 		return d.size(m, p, stage, baseline, now)
 	}
 	enough := candidate.Answers-p.Samples >= int64(stage.MinSamples)
-	longEnough := now.Sub(p.Since).Seconds() >= stage.MinSeconds
+	longEnough := now.Sub(p.StageSince).Seconds() >= stage.MinSeconds
 	if !enough || !longEnough {
 		return p
 	}
@@ -159,7 +159,7 @@
 	if last && m.Rollout.Replace && d.nodes.running(inServiceName(m)) > 0 {
 		return p
 	}
-	p.Since, p.Evidence, p.Samples = now, test.Score(), candidate.Answers
+	p.StageSince, p.Evidence, p.Samples = now, test.Score(), candidate.Answers
 	return p.passed(last)
 }
 
@@ -175,7 +175,7 @@
 // passed moves on from a stage that has been passed. What was set for that
 // stage alone is dropped.
 func (p Progress) passed(last bool) Progress {
-	p.Share, p.Held = 0, ""
+	p.Share, p.StickySessions = 0, ""
 	if last {
 		p.Verdict, p.Reason = VerdictComplete, "all stages passed"
 		return p
@@ -192,7 +192,7 @@
 // size sets the share by which a stage gives about as many answers as wanted,
 // and holds the sessions that are under way.
 func (d *Driver) size(m *config.Model, p Progress, stage config.Stage, baseline Count, now time.Time) Progress {
-	elapsed := now.Sub(p.Since).Seconds()
+	elapsed := now.Sub(p.StageSince).Seconds()
 	left := stage.MinSeconds - elapsed
 	if elapsed < measureTime.Seconds() || left <= 0 {
 		return p
@@ -203,7 +203,7 @@
 	if inService == "" {
 		return p
 	}
-	p.Held = encodeSlots(d.nodes.recent(inService))
+	p.StickySessions = encodeSlots(d.nodes.recent(inService))
 	p.Reason = fmt.Sprintf("share for %d answers of about %.0f requests", stage.WantSamples, expected)
 	return p
 }
@@ -233,10 +233,10 @@
 
 // test returns one of the tests of a model's candidate, which last as long as
 // the process.
-func (d *Driver) test(m *config.Model, of string) *Test {
+func (d *Driver) test(m *config.Model, of string) *SequentialTest {
 	name := countName(m.Name, m.Rollout.Version) + " " + of
 	if d.tests[name] == nil {
-		d.tests[name] = &Test{}
+		d.tests[name] = &SequentialTest{}
 	}
 	return d.tests[name]
 }
--- a/rollout/driver_test.go
+++ b/rollout/driver_test.go
@@ -18,7 +18,7 @@
 // driver too, and once only if a node was merely out of reach.
 func TestNodesGo(t *testing.T) {
 	s := services(t, `{}`)
-	s.Take(rollout.Order{Service: "s", Target: "v2", Period: time.Minute})
+	s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: time.Minute})
 	w := &driverWorld{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 1}}}`)}
 	newDriver := func() *rollout.Driver { return rollout.NewDriver("rollouts", w, w, w, s.Models, timer.New()) }
 	progress := func() rollout.Progress {
@@ -38,12 +38,12 @@
 	first := newDriver()
 	steps(first, 1, map[string]rollout.Counts{"a": counted(20, 2), "b": counted(20, 0)})
 	steps(first, 5, map[string]rollout.Counts{"b": counted(20, 0)})
-	must.Eq(t, rollout.Tally{Answers: 20, Bad: 2}, progress().Gone)
-	must.Eq(t, rollout.Tally{Answers: 100}, progress().GoneInService)
+	must.Eq(t, rollout.StoredCount{Answers: 20, Bad: 2}, progress().DepartedCandidate)
+	must.Eq(t, rollout.StoredCount{Answers: 100}, progress().DepartedBaseline)
 	// The node answers again, and goes again.
 	steps(first, 1, map[string]rollout.Counts{"a": counted(25, 2), "b": counted(20, 0)})
 	steps(first, 5, map[string]rollout.Counts{"b": counted(20, 0)})
-	must.Eq(t, rollout.Tally{Answers: 25, Bad: 2}, progress().Gone)
+	must.Eq(t, rollout.StoredCount{Answers: 25, Bad: 2}, progress().DepartedCandidate)
 	must.Eq(t, rollout.VerdictRunning, progress().Verdict)
 	// The next driver has the failures of all: seven of sixty-five.
 	steps(newDriver(), 1, map[string]rollout.Counts{"c": counted(40, 5)})
@@ -60,7 +60,7 @@
 func TestRunningAtSilentNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := services(t, `{}`)
-		s.Take(rollout.Order{Service: "s", Target: "v2", Period: 10 * time.Second})
+		s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 10 * time.Second})
 		since, err := json.Marshal(time.Now().UTC())
 		must.NoError(t, err)
 		w := &driverWorld{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 2, "since": ` + string(since) + `}}}`)}
@@ -93,8 +93,8 @@
 func TestSessionsAtSilentNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		picker := rollout.NewPicker()
-		s := rollout.NewServices(picker, 1)
-		s.Take(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
+		s := rollout.NewServicePicker(picker, 1)
+		s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
 		w := &driverWorld{token: 1}
 		d := rollout.NewDriver("rollouts", w, w, w, s.Models, timer.New())
 		step := func(counts map[string]rollout.Counts) rollout.Progress {
@@ -109,7 +109,7 @@
 		time.Sleep(2 * time.Second) // long enough for the requests to be counted
 		p := step(map[string]rollout.Counts{})
 		must.Positive(t, p.Share)
-		must.NotEq(t, "", p.Held)
+		must.NotEq(t, "", p.StickySessions)
 	})
 }
 
@@ -120,7 +120,7 @@
 // earlier is a node with requests under way from before the order, and the driver
 // of a roll-out.
 type earlier struct {
-	*rollout.Services
+	*rollout.ServicePicker
 	picker *rollout.Picker
 	world  *driverWorld
 	driver *rollout.Driver
@@ -128,12 +128,12 @@
 
 func newEarlier(requests int) *earlier {
 	e := &earlier{picker: rollout.NewPicker(), world: &driverWorld{token: 1}}
-	e.Services = rollout.NewServices(e.picker, 1)
+	e.ServicePicker = rollout.NewServicePicker(e.picker, 1)
 	for i := range requests {
 		_, version := e.Choose("s", fmt.Sprint(i), "", runners)
 		e.Begin("s", version, fmt.Sprint(i))
 	}
-	e.Take(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
+	e.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
 	e.driver = rollout.NewDriver("rollouts", e.world, e.world, e.world, e.Models, timer.New())
 	return e
 }
@@ -181,7 +181,7 @@
 // TestNothingKept: services without an order leave nothing behind in the counts.
 func TestNothingKept(t *testing.T) {
 	picker := rollout.NewPicker()
-	s := rollout.NewServices(picker, 0)
+	s := rollout.NewServicePicker(picker, 0)
 	for i := range 100 {
 		s.Begin(fmt.Sprint(i), "", "k")
 		s.End(fmt.Sprint(i), "", "k")
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -20,7 +20,7 @@
 	defaultAlarm    = 0.01
 )
 
-// Test is a sequential test of "the candidate gives more bad answers than the
+// SequentialTest is a sequential test of "the candidate gives more bad answers than the
 // version in service, by the tolerated increase or more" against "no more". It
 // follows two sums of log likelihood ratios. The first runs from the start; it
 // exceeds log(1/a) for a good version with probability a at most, however long
@@ -28,7 +28,7 @@
 // that turns bad late is found too (Page, 1954); it has a new chance of a false
 // alarm with each answer, so its bound grows with the number of answers that
 // the roll-out will see. Each has half of the accepted false alarms.
-type Test struct {
+type SequentialTest struct {
 	fromStart float64
 	recent    float64
 	seen      Count
@@ -40,7 +40,7 @@
 
 // Update takes the counts so far and reports whether the candidate is to be
 // stopped. Planned is the number of answers that the whole roll-out needs.
-func (t *Test) Update(g config.Guards, planned int, candidate, baseline Count) (stop bool) {
+func (t *SequentialTest) Update(g config.Guards, planned int, candidate, baseline Count) (stop bool) {
 	answers, bad := candidate.Answers-t.seen.Answers, candidate.Bad-t.seen.Bad
 	t.seen = candidate
 	if answers < 0 || bad < 0 {
@@ -64,7 +64,7 @@
 const minRate = 0.001
 
 // Score returns the present evidence against the candidate.
-func (t *Test) Score() float64 { return max(t.fromStart, t.recent) }
+func (t *SequentialTest) Score() float64 { return max(t.fromStart, t.recent) }
 
 func orDefault(value, fallback float64) float64 {
 	if value <= 0 {
--- a/rollout/nodes.go
+++ b/rollout/nodes.go
@@ -36,13 +36,13 @@
 func (n *nodes) totals(target, inService string, p *Progress) (candidate, baseline Count) {
 	for node, counts := range n.counted {
 		if n.gone(node) {
-			p.Gone, p.GoneInService = p.Gone.add(counts[target]), p.GoneInService.add(counts[inService])
+			p.DepartedCandidate, p.DepartedBaseline = p.DepartedCandidate.add(counts[target]), p.DepartedBaseline.add(counts[inService])
 			continue
 		}
 		candidate = candidate.add(counts[target])
 		baseline = baseline.add(counts[inService])
 	}
-	return candidate.add(p.Gone.count()), baseline.add(p.GoneInService.count())
+	return candidate.add(p.DepartedCandidate.count()), baseline.add(p.DepartedBaseline.count())
 }
 
 // running returns how many requests run under a name, as far as is known. A node
@@ -51,7 +51,7 @@
 	running := int64(0)
 	for node, counts := range n.counted {
 		if !n.gone(node) {
-			running += counts[name].Running + counts[name].Earlier
+			running += counts[name].Running + counts[name].RunningBeforeOrder
 		}
 	}
 	return running
@@ -65,7 +65,7 @@
 		if n.gone(node) {
 			continue
 		}
-		for _, slot := range counts[name].Recent {
+		for _, slot := range counts[name].RecentSessions {
 			recent[slot] = true
 		}
 	}
@@ -105,5 +105,5 @@
 // add sums up two counts. Recent is left out: it is gathered by itself.
 func (c Count) add(other Count) Count {
 	return Count{Answers: c.Answers + other.Answers, Bad: c.Bad + other.Bad, Slow: c.Slow + other.Slow,
-		Running: c.Running + other.Running, Earlier: c.Earlier + other.Earlier}
+		Running: c.Running + other.Running, RunningBeforeOrder: c.RunningBeforeOrder + other.RunningBeforeOrder}
 }
--- a/rollout/picker.go
+++ b/rollout/picker.go
@@ -29,8 +29,8 @@
 	return &Picker{counts: make(Counts), recent: make(map[string]map[uint32]session)}
 }
 
-// Take puts stored stages in force.
-func (p *Picker) Take(item document.Item) error {
+// Apply puts stored stages in force.
+func (p *Picker) Apply(item document.Item) error {
 	stages, err := DecodeStages(item.Data)
 	if err != nil {
 		return err
@@ -40,7 +40,7 @@
 	p.stages = stages
 	p.held = make(map[string]map[uint32]bool)
 	for model, progress := range stages.Models {
-		p.held[model] = decodeSlots(progress.Held)
+		p.held[model] = decodeSlots(progress.StickySessions)
 	}
 	return nil
 }
@@ -142,15 +142,15 @@
 	p.run(model, version, func(c *Count) { c.Running-- })
 }
 
-// BeginEarlier is Begin for a request that is sent while no roll-out is known;
+// BeginBeforeOrder is Begin for a request that is sent while no roll-out is known;
 // EndEarlier counts its end, then or later.
-func (p *Picker) BeginEarlier(model, version string) {
-	p.run(model, version, func(c *Count) { c.Earlier++ })
+func (p *Picker) BeginBeforeOrder(model, version string) {
+	p.run(model, version, func(c *Count) { c.RunningBeforeOrder++ })
 }
 
-// EndEarlier is the counterpart of BeginEarlier.
-func (p *Picker) EndEarlier(model, version string) {
-	p.run(model, version, func(c *Count) { c.Earlier-- })
+// EndBeforeOrder is the counterpart of BeginEarlier.
+func (p *Picker) EndBeforeOrder(model, version string) {
+	p.run(model, version, func(c *Count) { c.RunningBeforeOrder-- })
 }
 
 // run changes the number of requests that run on a version. It keeps no count
@@ -161,7 +161,7 @@
 	name := countName(model, version)
 	c := p.counts[name]
 	change(&c)
-	if c.Answers == 0 && c.Running == 0 && c.Earlier == 0 {
+	if c.Answers == 0 && c.Running == 0 && c.RunningBeforeOrder == 0 {
 		delete(p.counts, name)
 		return
 	}
@@ -176,7 +176,7 @@
 	maps.Copy(counts, p.counts)
 	for name := range p.recent {
 		c := counts[name]
-		c.Recent = p.recentSlots(name)
+		c.RecentSessions = p.recentSlots(name)
 		counts[name] = c
 	}
 	return counts
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -8,7 +8,7 @@
 // collects the counts, moves the stage on, or stops the roll-out. What a node
 // that has gone had counted stays with the stages.
 //
-// A [Picker] picks versions of a model. [Services] picks servers of a service
+// A [Picker] picks versions of a model. [ServicePicker] picks servers of a service
 // whose version an [Order] replaces.
 //
 // # Usage
@@ -54,11 +54,11 @@
 
 // Progress is the state of one model's roll-out.
 type Progress struct {
-	Version string    `json:"version"`
-	Stage   int       `json:"stage"`
-	Since   time.Time `json:"since"`
-	Verdict Verdict   `json:"verdict"`
-	Reason  string    `json:"reason"`
+	Version    string    `json:"version"`
+	Stage      int       `json:"stage"`
+	StageSince time.Time `json:"since"`
+	Verdict    Verdict   `json:"verdict"`
+	Reason     string    `json:"reason"`
 	// Evidence is the test's score when it last moved, and Samples the
 	// answers it rests on.
 	Evidence float64 `json:"evidence"`
@@ -66,27 +66,27 @@
 	// Share is the stage's where it has to be lowered by the number of
 	// requests; zero until that is known.
 	Share float64 `json:"share,omitempty"`
-	// Held lists the sessions, by their slots, that were under way when the
+	// StickySessions lists the sessions, by their slots, that were under way when the
 	// share was set; they stay on the version in service during that stage.
-	Held string `json:"held,omitempty"`
-	// Gone holds what nodes that have gone counted of the candidate, and
+	StickySessions string `json:"held,omitempty"`
+	// DepartedCandidate holds what nodes that have gone counted of the candidate, and
 	// GoneInService of the version in service: the next driver cannot ask them.
-	Gone          Tally `json:"gone,omitzero"`
-	GoneInService Tally `json:"gone_in_service,omitzero"`
+	DepartedCandidate StoredCount `json:"gone,omitzero"`
+	DepartedBaseline  StoredCount `json:"gone_in_service,omitzero"`
 }
 
-// Tally is the part of a count that outlives its node.
-type Tally struct {
+// StoredCount is the part of a count that outlives its node.
+type StoredCount struct {
 	Answers int64 `json:"answers"`
 	Bad     int64 `json:"bad"`
 	Slow    int64 `json:"slow"`
 }
 
-func (t Tally) add(c Count) Tally {
-	return Tally{Answers: t.Answers + c.Answers, Bad: t.Bad + c.Bad, Slow: t.Slow + c.Slow}
+func (t StoredCount) add(c Count) StoredCount {
+	return StoredCount{Answers: t.Answers + c.Answers, Bad: t.Bad + c.Bad, Slow: t.Slow + c.Slow}
 }
 
-func (t Tally) count() Count { return Count{Answers: t.Answers, Bad: t.Bad, Slow: t.Slow} }
+func (t StoredCount) count() Count { return Count{Answers: t.Answers, Bad: t.Bad, Slow: t.Slow} }
 
 // Stages is the shared document: the roll-outs by model, and the fencing
 // token of the driver that wrote them.
@@ -119,13 +119,13 @@
 	Slow int64 `cbor:"5,keyasint,omitempty" json:"slow,omitempty"`
 	// Running is how many requests the node has there now; it also falls.
 	Running int64 `cbor:"3,keyasint" json:"running"`
-	// Earlier is how many requests run there that the node sent while it knew of
+	// RunningBeforeOrder is how many requests run there that the node sent while it knew of
 	// no order. Running leaves them out, since a first stage is sized by what
 	// came since the order.
-	Earlier int64 `cbor:"6,keyasint,omitempty" json:"earlier,omitempty"`
-	// Recent are the slots of the sessions that lately had a request there,
+	RunningBeforeOrder int64 `cbor:"6,keyasint,omitempty" json:"earlier,omitempty"`
+	// RecentSessions are the slots of the sessions that lately had a request there,
 	// as far as a first stage could move them.
-	Recent []uint32 `cbor:"4,keyasint,omitempty" json:"recent,omitempty"`
+	RecentSessions []uint32 `cbor:"4,keyasint,omitempty" json:"recent,omitempty"`
 }
 
 // Counts are a node's counts by "model@version".
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -24,7 +24,7 @@
 // exposure runs the sequential test on answers of a version that is worse by
 // increase and returns after how many of them it is stopped, limit if never.
 func exposure(random *rand.Rand, increase float64, turnsBadAt, limit int) int {
-	test := &rollout.Test{}
+	test := &rollout.SequentialTest{}
 	candidate, baseline := rollout.Count{}, rollout.Count{Answers: 2000, Bad: 100}
 	for n := 1; n <= limit; n++ {
 		rate := usualBad
@@ -144,7 +144,7 @@
 	}
 	first, second := newDriver(), newDriver()
 	step(first, 5, 0, 0)
-	must.Eq(t, rollout.Progress{Version: "v2", Stage: 0, Since: progress().Since, Reason: "started"}, progress())
+	must.Eq(t, rollout.Progress{Version: "v2", Stage: 0, StageSince: progress().StageSince, Reason: "started"}, progress())
 	step(first, 5, 10, 0)
 	must.Eq(t, 1, progress().Stage)
 	step(second, 7, 12, 0)
@@ -180,7 +180,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			p := rollout.NewPicker()
-			must.NoError(t, p.Take(document.Item{Data: []byte(tt.stages), Revision: 1}))
+			must.NoError(t, p.Apply(document.Item{Data: []byte(tt.stages), Revision: 1}))
 			got := 0
 			const keys = 2000
 			for i := range keys {
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -72,9 +72,9 @@
 	MaxBadIncrease: 0.1, FineBadIncrease: 0.005, MaxSlowIncrease: 0.3, UsualSlow: 0.125, FalseAlarm: 0.01,
 }
 
-// Services picks the servers of a service by the orders in force. It is safe
+// ServicePicker picks the servers of a service by the orders in force. It is safe
 // for concurrent use.
-type Services struct {
+type ServicePicker struct {
 	picker *Picker
 	// share of the requests that a first stage gives to the target.
 	share float64
@@ -103,10 +103,10 @@
 	Objective time.Duration
 }
 
-// NewServices returns a picker of servers without orders. The first stage of
+// NewServicePicker returns a picker of servers without orders. The first stage of
 // a roll-out gives the target the given share of the requests.
-func NewServices(picker *Picker, share float64) *Services {
-	return &Services{
+func NewServicePicker(picker *Picker, share float64) *ServicePicker {
+	return &ServicePicker{
 		picker: picker,
 		share:  share,
 		usual:  usual{waits: make(map[string]*usualWait)},
@@ -114,8 +114,8 @@
 	}
 }
 
-// Take puts an order in force in place of the service's last one.
-func (s *Services) Take(o Order) {
+// SetOrder puts an order in force in place of the service's last one.
+func (s *ServicePicker) SetOrder(o Order) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.models[o.Service] = config.Model{
@@ -138,15 +138,15 @@
 	slog.Info("roll-out ordered", "service", o.Service, "target", o.Target, "period_ms", o.Period.Milliseconds())
 }
 
-// Drop takes back the order for a service.
-func (s *Services) Drop(service string) {
+// RemoveOrder takes back the order for a service.
+func (s *ServicePicker) RemoveOrder(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.models, service)
 }
 
 // Models returns the services that have an order, as the driver sees them.
-func (s *Services) Models() []config.Model {
+func (s *ServicePicker) Models() []config.Model {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	models := make([]config.Model, 0, len(s.models))
@@ -160,7 +160,7 @@
 // their answers are counted; "" if the service has no order. The key decides
 // on which side of the share the request falls: its session, or else its ID.
 // A request that was counted under a name before stays there while it can.
-func (s *Services) Choose(service, key, before string, servers []registry.Server) ([]registry.Server, string) {
+func (s *ServicePicker) Choose(service, key, before string, servers []registry.Server) ([]registry.Server, string) {
 	s.mu.Lock()
 	m, ordered := s.models[service]
 	s.mu.Unlock()
@@ -189,9 +189,9 @@
 // that is sent now; End counts its end. Requests to the version in service are
 // counted without an order too, and their sessions remembered: a stream that was
 // there before the order may end long after it, and its session goes on.
-func (s *Services) Begin(service, version, key string) {
+func (s *ServicePicker) Begin(service, version, key string) {
 	if version == "" {
-		s.picker.BeginEarlier(service, oldVersion)
+		s.picker.BeginBeforeOrder(service, oldVersion)
 	} else {
 		s.picker.Begin(service, version)
 	}
@@ -199,18 +199,18 @@
 }
 
 // End is the counterpart of Begin.
-func (s *Services) End(service, version, key string) {
+func (s *ServicePicker) End(service, version, key string) {
 	if version == "" {
-		s.picker.EndEarlier(service, oldVersion)
+		s.picker.EndBeforeOrder(service, oldVersion)
 	} else {
 		s.picker.End(service, version)
 	}
 	s.remember(service, version, key, -1)
 }
 
-func (s *Services) remember(service, version, key string, change int) {
+func (s *ServicePicker) remember(service, version, key string, change int) {
 	if version == "" || version == oldVersion {
-		s.picker.Remember(service, oldVersion, key, s.share, change)
+		s.picker.TrackSession(service, oldVersion, key, s.share, change)
 	}
 }
 
@@ -219,7 +219,7 @@
 // at least in the first stage. A version may be bad only under load, and the
 // first requests, spread over all servers, are no load. All nodes take the same
 // servers, and more of them as the share rises.
-func (s *Services) loaded(m *config.Model, servers []registry.Server, older int) []registry.Server {
+func (s *ServicePicker) loaded(m *config.Model, servers []registry.Server, older int) []registry.Server {
 	share := s.picker.share(m)
 	if share <= 0 || share >= 1 || older == 0 {
 		return servers
@@ -255,7 +255,7 @@
 }
 
 // Count takes one answer as evidence on a version that Choose named.
-func (s *Services) Count(service, version string, a Answer) {
+func (s *ServicePicker) Count(service, version string, a Answer) {
 	slow := a.Late || s.usual.slow(a)
 	if version == oldVersion && !a.Failed && !a.Late {
 		s.usual.learn(a.Kind, a.Wait)
@@ -264,7 +264,7 @@
 }
 
 // stopped reports whether the roll-out to a target was stopped as worse.
-func (s *Services) stopped(service, target string) bool {
+func (s *ServicePicker) stopped(service, target string) bool {
 	progress, ok := s.picker.Progress(service)
 	return ok && progress.Version == target && progress.Verdict == VerdictStopped
 }
--- a/rollout/service_test.go
+++ b/rollout/service_test.go
@@ -17,11 +17,11 @@
 
 var runners = []registry.Server{{ID: "old-1", Version: "v1"}, {ID: "old-2", Version: "v1"}, {ID: "new-1", Version: "v2"}}
 
-func services(t *testing.T, stages string) *rollout.Services {
+func services(t *testing.T, stages string) *rollout.ServicePicker {
 	picker := rollout.NewPicker()
-	must.NoError(t, picker.Take(document.Item{Data: []byte(stages), Revision: 1}))
-	s := rollout.NewServices(picker, 0.1)
-	s.Take(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
+	must.NoError(t, picker.Apply(document.Item{Data: []byte(stages), Revision: 1}))
+	s := rollout.NewServicePicker(picker, 0.1)
+	s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
 	return s
 }
 
@@ -117,9 +117,9 @@
 func TestSessionsUnderWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		seenAt, elsewhere := rollout.NewPicker(), rollout.NewPicker()
-		a, b := rollout.NewServices(seenAt, 0.1), rollout.NewServices(elsewhere, 0.1)
-		for _, s := range []*rollout.Services{a, b} {
-			s.Take(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
+		a, b := rollout.NewServicePicker(seenAt, 0.1), rollout.NewServicePicker(elsewhere, 0.1)
+		for _, s := range []*rollout.ServicePicker{a, b} {
+			s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
 		}
 		w := &driverWorld{token: 1}
 		d := rollout.NewDriver("rollouts", w, w, w, a.Models, timer.New())
@@ -127,7 +127,7 @@
 			w.counts = map[string]rollout.Counts{"a": seenAt.Counts(), "b": elsewhere.Counts()}
 			d.Step(context.Background(), 1)
 			for _, p := range []*rollout.Picker{seenAt, elsewhere} {
-				must.NoError(t, p.Take(document.Item{Data: w.stored, Revision: int64(w.writes)}))
+				must.NoError(t, p.Apply(document.Item{Data: w.stored, Revision: int64(w.writes)}))
 			}
 		}
 		step()
@@ -165,7 +165,7 @@
 	servers, version := s.Choose("other", "k", "", runners)
 	must.Eq(t, runners, servers)
 	must.Eq(t, "", version)
-	s.Drop("s")
+	s.RemoveOrder("s")
 	servers, _ = s.Choose("s", "k", "", runners)
 	must.Eq(t, runners, servers)
 }
@@ -208,7 +208,7 @@
 // is more than is usual for its kind.
 func TestSlowForItsSize(t *testing.T) {
 	picker := rollout.NewPicker()
-	s := rollout.NewServices(picker, 0.1)
+	s := rollout.NewServicePicker(picker, 0.1)
 	for range 20 {
 		s.Count("s", "in-service", rollout.Answer{Kind: "brief", Wait: 50 * time.Millisecond})
 	}
@@ -227,7 +227,7 @@
 // the objective.
 func TestSlowWithoutUsual(t *testing.T) {
 	picker := rollout.NewPicker()
-	s := rollout.NewServices(picker, 0.1)
+	s := rollout.NewServicePicker(picker, 0.1)
 	for _, wait := range []time.Duration{60, 290, 310, 480} {
 		s.Count("s", "v2", rollout.Answer{Kind: "look", Wait: wait * time.Millisecond, Objective: 300 * time.Millisecond})
 	}
@@ -240,8 +240,8 @@
 func TestSessionBeforeOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		picker := rollout.NewPicker()
-		s := rollout.NewServices(picker, 1)
-		recent := func() int { return len(picker.Counts()["s@in-service"].Recent) }
+		s := rollout.NewServicePicker(picker, 1)
+		recent := func() int { return len(picker.Counts()["s@in-service"].RecentSessions) }
 		s.Begin("s", "", "session")
 		time.Sleep(8 * time.Second)
 		must.Eq(t, 1, recent())
--- a/rollout/slots.go
+++ b/rollout/slots.go
@@ -40,10 +40,10 @@
 // over reports whether a session is not under way any more.
 func (s session) over() bool { return s.running <= 0 && time.Since(s.at) > sessionLife }
 
-// Remember notes that a request of a session to a version begins, with a change
+// TrackSession notes that a request of a session to a version begins, with a change
 // of 1, or ends, with one of -1, if a first stage of the given share could move
 // the session.
-func (p *Picker) Remember(model, version, key string, share float64, change int) {
+func (p *Picker) TrackSession(model, version, key string, share float64, change int) {
 	if position(model, key) >= share {
 		return
 	}
--- a/rollout/verdict_test.go
+++ b/rollout/verdict_test.go
@@ -50,10 +50,10 @@
 
 // judged drives a roll-out in its second stage one step on by what a node has
 // counted, and returns how it then stands.
-func judged(t *testing.T, count func(s *rollout.Services)) rollout.Progress {
+func judged(t *testing.T, count func(s *rollout.ServicePicker)) rollout.Progress {
 	picker := rollout.NewPicker()
-	s := rollout.NewServices(picker, 0.1)
-	s.Take(rollout.Order{Service: "s", Target: "v2", Period: time.Minute})
+	s := rollout.NewServicePicker(picker, 0.1)
+	s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: time.Minute})
 	w := &driverWorld{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 1}}}`)}
 	d := rollout.NewDriver("rollouts", w, w, w, s.Models, timer.New())
 	count(s)
@@ -67,7 +67,7 @@
 // TestLateVersion: a version whose requests are taken to other servers before
 // they could be slow is stopped all the same.
 func TestLateVersion(t *testing.T) {
-	p := judged(t, func(s *rollout.Services) {
+	p := judged(t, func(s *rollout.ServicePicker) {
 		for i := range 300 {
 			s.Count("s", "in-service", rollout.Answer{Kind: "look", Wait: 60 * time.Millisecond})
 			s.Count("s", "v2", rollout.Answer{Kind: "look", Wait: 160 * time.Millisecond, Late: i%2 == 0})
@@ -92,7 +92,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := judged(t, func(s *rollout.Services) {
+			p := judged(t, func(s *rollout.ServicePicker) {
 				for i := range 300 {
 					usual := 100 * time.Millisecond
 					if i%50 == 0 {
