--- a/admit/admit.go
+++ b/admit/admit.go
@@ -50,16 +50,16 @@
 }
 
 const (
-	// patientFloor is the share of the capacity that patient work keeps.
-	patientFloor = 0.1
-	// agingStep is the wait after which patient work counts as standard.
-	agingStep = 30 * time.Second
-	// waitersPerSlot bounds the queue of the priorities above patient.
-	waitersPerSlot = 16
-	// patientPerSlot bounds the queue of patient work, which may be long.
-	patientPerSlot = 256
-	// serviceMemory is the weight of one request in the mean service time.
-	serviceMemory = 0.05
+	// patientMinShare is the share of the capacity that patient work keeps.
+	patientMinShare = 0.1
+	// patientAgingTime is the wait after which patient work counts as standard.
+	patientAgingTime = 30 * time.Second
+	// maxWaitingPerSlot bounds the queue of the priorities above patient.
+	maxWaitingPerSlot = 16
+	// maxPatientPerSlot bounds the queue of patient work, which may be long.
+	maxPatientPerSlot = 256
+	// serviceTimeSmoothing is the weight of one request in the mean service time.
+	serviceTimeSmoothing = 0.05
 	// minRetryAfter keeps refused callers from coming back at once.
 	minRetryAfter = 200 * time.Millisecond
 )
@@ -76,48 +76,48 @@
 type Queue struct {
 	capacity func() int
 
-	mu      sync.Mutex
-	running int
-	patient int
-	byOwner map[string]int
-	waiting []*waiter
-	mean    time.Duration
-	paces   map[string]*pace
+	mu                 sync.Mutex
+	running            int
+	runningPatient     int
+	runningByAccount   map[string]int
+	waiting            []*waiter
+	meanServiceTime    time.Duration
+	admissionIntervals map[string]*admissionInterval
 }
 
 // waiter is a request in the queue. Its channel is closed when it is admitted
 // or, with late set, refused.
 type waiter struct {
-	ticket  Request
+	request Request
 	arrived time.Time
 	decided chan struct{}
 	late    bool
 }
 
-// pace is how fast an account's waiting requests are admitted, which under
+// admissionInterval is how fast an account's waiting requests are admitted, which under
 // fairness is not how fast the queue moves.
-type pace struct {
-	last     time.Time
-	interval time.Duration
+type admissionInterval struct {
+	lastAdmission time.Time
+	mean          time.Duration
 }
 
-// paceMemory is the weight of one admission in an account's pace.
-const paceMemory = 0.1
+// intervalSmoothing is the weight of one admission in an account's pace.
+const intervalSmoothing = 0.1
 
-func (p *pace) step(now time.Time) {
-	p.interval += time.Duration(paceMemory * float64(now.Sub(p.last)-p.interval))
-	p.last = now
+func (p *admissionInterval) observe(now time.Time) {
+	p.mean += time.Duration(intervalSmoothing * float64(now.Sub(p.lastAdmission)-p.mean))
+	p.lastAdmission = now
 }
 
 // New returns an empty queue. Its capacity is asked for anew each time.
 func New(capacity func() int) *Queue {
-	return &Queue{capacity: capacity, byOwner: make(map[string]int), paces: make(map[string]*pace)}
+	return &Queue{capacity: capacity, runningByAccount: make(map[string]int), admissionIntervals: make(map[string]*admissionInterval)}
 }
 
 // Acquire waits until the request may run. The function that it returns must
 // be called when the work has ended.
 func (q *Queue) Acquire(ctx context.Context, t Request) (release func(), err error) {
-	w, err := q.enter(t)
+	w, err := q.submit(t)
 	if err != nil {
 		return nil, err
 	}
@@ -129,56 +129,56 @@
 	}
 	select {
 	case <-w.decided:
-		return q.decided(w)
+		return q.result(w)
 	case <-ctx.Done():
 		err = ctx.Err()
 	case <-late:
 		err = context.DeadlineExceeded
 	}
-	if !q.leave(w) {
+	if !q.remove(w) {
 		// It was decided in the same moment.
-		return q.decided(w)
+		return q.result(w)
 	}
 	return nil, errs.Wrap(GivenUp, "acquire", err, "waited %s", time.Since(w.arrived).Round(time.Millisecond))
 }
 
-// decided returns what became of a request that has left the queue.
-func (q *Queue) decided(w *waiter) (release func(), err error) {
+// result returns what became of a request that has left the queue.
+func (q *Queue) result(w *waiter) (release func(), err error) {
 	if w.late {
-		return nil, refused(Late, minRetryAfter, "waited %s and cannot make the deadline any more", time.Since(w.arrived).Round(time.Millisecond))
+		return nil, newRefusal(Late, minRetryAfter, "waited %s and cannot make the deadline any more", time.Since(w.arrived).Round(time.Millisecond))
 	}
-	return q.releaser(w.ticket), nil
+	return q.releaser(w.request), nil
 }
 
-// enter admits, queues or refuses a request.
-func (q *Queue) enter(t Request) (*waiter, error) {
+// submit admits, queues or refuses a request.
+func (q *Queue) submit(t Request) (*waiter, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	capacity := max(1, q.capacity())
-	w := &waiter{ticket: t, arrived: time.Now(), decided: make(chan struct{})}
+	w := &waiter{request: t, arrived: time.Now(), decided: make(chan struct{})}
 	if q.running < capacity && len(q.waiting) == 0 {
 		q.admit(w)
 		return w, nil
 	}
 	wait := q.expectedWait(t, capacity)
-	if !t.Deadline.IsZero() && time.Now().Add(wait+q.mean).After(t.Deadline) {
-		return nil, refused(Late, wait, "would wait %s and run %s", wait.Round(time.Millisecond), q.mean.Round(time.Millisecond))
+	if !t.Deadline.IsZero() && time.Now().Add(wait+q.meanServiceTime).After(t.Deadline) {
+		return nil, newRefusal(Late, wait, "would wait %s and run %s", wait.Round(time.Millisecond), q.meanServiceTime.Round(time.Millisecond))
 	}
-	if q.ahead(t.Priority) >= capacity*q.room(t.Priority) {
-		return nil, refused(Full, wait, "%d requests wait", len(q.waiting))
+	if q.countAhead(t.Priority) >= capacity*q.maxWaiting(t.Priority) {
+		return nil, newRefusal(Full, wait, "%d requests wait", len(q.waiting))
 	}
 	q.waiting = append(q.waiting, w)
 	return w, nil
 }
 
-func (q *Queue) room(p config.Priority) int {
+func (q *Queue) maxWaiting(p config.Priority) int {
 	if p == config.PriorityPatient {
-		return patientPerSlot
+		return maxPatientPerSlot
 	}
-	return waitersPerSlot
+	return maxWaitingPerSlot
 }
 
-func refused(kind *errorx.Type, wait time.Duration, format string, args ...any) error {
+func newRefusal(kind *errorx.Type, wait time.Duration, format string, args ...any) error {
 	err := errorx.Cast(errs.New(kind, "acquire", format, args...))
 	return err.WithProperty(retryAfterProperty, max(minRetryAfter, wait))
 }
@@ -190,27 +190,27 @@
 func (q *Queue) expectedWait(t Request, capacity int) time.Duration {
 	own, accounts := 1, map[string]bool{t.Account: true}
 	for _, w := range q.waiting {
-		if w.ticket.Priority < t.Priority {
+		if w.request.Priority < t.Priority {
 			continue
 		}
-		accounts[w.ticket.Account] = true
-		if w.ticket.Account == t.Account {
+		accounts[w.request.Account] = true
+		if w.request.Account == t.Account {
 			own++
 		}
 	}
-	places := min(q.ahead(t.Priority)+1, own*len(accounts))
-	wait := time.Duration(float64(places) / float64(capacity) * float64(q.mean))
-	if p := q.paces[t.Account]; p != nil && own > 1 {
-		wait = max(wait, time.Duration(own)*p.interval)
+	places := min(q.countAhead(t.Priority)+1, own*len(accounts))
+	wait := time.Duration(float64(places) / float64(capacity) * float64(q.meanServiceTime))
+	if p := q.admissionIntervals[t.Account]; p != nil && own > 1 {
+		wait = max(wait, time.Duration(own)*p.mean)
 	}
 	return wait
 }
 
-// ahead counts the waiting requests of a priority and above.
-func (q *Queue) ahead(p config.Priority) int {
+// countAhead counts the waiting requests of a priority and above.
+func (q *Queue) countAhead(p config.Priority) int {
 	n := 0
 	for _, w := range q.waiting {
-		if w.ticket.Priority >= p {
+		if w.request.Priority >= p {
 			n++
 		}
 	}
@@ -219,9 +219,9 @@
 
 func (q *Queue) admit(w *waiter) {
 	q.running++
-	q.byOwner[w.ticket.Account]++
-	if w.ticket.Priority == config.PriorityPatient {
-		q.patient++
+	q.runningByAccount[w.request.Account]++
+	if w.request.Priority == config.PriorityPatient {
+		q.runningPatient++
 	}
 	close(w.decided)
 }
@@ -237,16 +237,16 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.running--
-	if q.byOwner[t.Account]--; q.byOwner[t.Account] == 0 {
-		delete(q.byOwner, t.Account)
+	if q.runningByAccount[t.Account]--; q.runningByAccount[t.Account] == 0 {
+		delete(q.runningByAccount, t.Account)
 	}
 	if t.Priority == config.PriorityPatient {
-		q.patient--
+		q.runningPatient--
 	}
-	if q.mean == 0 {
-		q.mean = took
+	if q.meanServiceTime == 0 {
+		q.meanServiceTime = took
 	}
-	q.mean += time.Duration(serviceMemory * float64(took-q.mean))
+	q.meanServiceTime += time.Duration(serviceTimeSmoothing * float64(took-q.meanServiceTime))
 	q.fill()
 }
 
@@ -256,11 +256,11 @@
 	capacity := max(1, q.capacity())
 	now := time.Now()
 	for q.running < capacity && len(q.waiting) > 0 {
-		at := q.best(capacity)
+		at := q.next(capacity)
 		w := q.waiting[at]
 		q.waiting = append(q.waiting[:at], q.waiting[at+1:]...)
-		q.keepPace(w, now)
-		if deadline := w.ticket.Deadline; !deadline.IsZero() && now.Add(q.mean).After(deadline) {
+		q.recordAdmission(w, now)
+		if deadline := w.request.Deadline; !deadline.IsZero() && now.Add(q.meanServiceTime).After(deadline) {
 			w.late = true
 			close(w.decided)
 			continue
@@ -269,58 +269,58 @@
 	}
 }
 
-// keepPace counts an admission; the pace starts anew once an account has
+// recordAdmission counts an admission; the pace starts anew once an account has
 // nothing waiting.
-func (q *Queue) keepPace(w *waiter, now time.Time) {
-	p := q.paces[w.ticket.Account]
-	if p == nil || p.last.Before(w.arrived) {
-		q.paces[w.ticket.Account] = &pace{last: now, interval: q.mean / time.Duration(max(1, q.capacity()))}
+func (q *Queue) recordAdmission(w *waiter, now time.Time) {
+	p := q.admissionIntervals[w.request.Account]
+	if p == nil || p.lastAdmission.Before(w.arrived) {
+		q.admissionIntervals[w.request.Account] = &admissionInterval{lastAdmission: now, mean: q.meanServiceTime / time.Duration(max(1, q.capacity()))}
 		return
 	}
-	p.step(now)
+	p.observe(now)
 }
 
-// best returns the waiting request that runs next.
-func (q *Queue) best(capacity int) int {
-	floor := int(math.Ceil(patientFloor * float64(capacity)))
-	keepFloor := q.patient < floor
+// next returns the waiting request that runs next.
+func (q *Queue) next(capacity int) int {
+	floor := int(math.Ceil(patientMinShare * float64(capacity)))
+	keepFloor := q.runningPatient < floor
 	now := time.Now()
 	best := 0
 	for i, w := range q.waiting {
-		if q.before(w, q.waiting[best], keepFloor, now) {
+		if q.runsBefore(w, q.waiting[best], keepFloor, now) {
 			best = i
 		}
 	}
 	return best
 }
 
-// before reports whether a runs before b, which came earlier.
-func (q *Queue) before(a, b *waiter, keepFloor bool, now time.Time) bool {
+// runsBefore reports whether a runs before b, which came earlier.
+func (q *Queue) runsBefore(a, b *waiter, keepFloor bool, now time.Time) bool {
 	rankA, rankB := rank(a, keepFloor, now), rank(b, keepFloor, now)
 	if rankA != rankB {
 		return rankA > rankB
 	}
-	return q.byOwner[a.ticket.Account] < q.byOwner[b.ticket.Account]
+	return q.runningByAccount[a.request.Account] < q.runningByAccount[b.request.Account]
 }
 
-// aboveAll ranks patient work whose floor is not filled.
-const aboveAll = config.PriorityInteractive + 1
+// rankFirst ranks patient work whose floor is not filled.
+const rankFirst = config.PriorityInteractive + 1
 
 func rank(w *waiter, keepFloor bool, now time.Time) config.Priority {
-	if w.ticket.Priority != config.PriorityPatient {
-		return w.ticket.Priority
+	if w.request.Priority != config.PriorityPatient {
+		return w.request.Priority
 	}
 	if keepFloor {
-		return aboveAll
+		return rankFirst
 	}
-	if now.Sub(w.arrived) > agingStep {
+	if now.Sub(w.arrived) > patientAgingTime {
 		return config.PriorityStandard
 	}
 	return config.PriorityPatient
 }
 
-// leave takes a request out of the queue; false if it was admitted already.
-func (q *Queue) leave(w *waiter) bool {
+// remove takes a request out of the queue; false if it was admitted already.
+func (q *Queue) remove(w *waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for i, other := range q.waiting {
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -14,8 +14,8 @@
 	"github.com/violettally/violettally/config"
 )
 
-// load is a stream of like requests.
-type load struct {
+// testLoad is a stream of like requests.
+type testLoad struct {
 	account  string
 	priority config.Priority
 	// rate per second, each taking work and due after deadline.
@@ -24,12 +24,12 @@
 	deadline time.Duration
 }
 
-// result counts what became of a load.
-type result struct{ done, late, refused int }
+// loadResult counts what became of a load.
+type loadResult struct{ done, late, refused int }
 
 // offer runs loads against a queue for a while, in the bubble's time.
-func offer(q *admit.Queue, d time.Duration, loads ...load) []result {
-	results := make([]result, len(loads))
+func offer(q *admit.Queue, d time.Duration, loads ...testLoad) []loadResult {
+	results := make([]loadResult, len(loads))
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	for i, l := range loads {
@@ -67,7 +67,7 @@
 	for _, rate := range []float64{40, 80, 120, 240} {
 		synctest.Test(t, func(t *testing.T) {
 			q := admit.New(func() int { return 8 })
-			r := offer(q, 20*time.Second, load{account: "a", priority: config.PriorityInteractive, rate: rate, work: 100 * time.Millisecond, deadline: time.Second})[0]
+			r := offer(q, 20*time.Second, testLoad{account: "a", priority: config.PriorityInteractive, rate: rate, work: 100 * time.Millisecond, deadline: time.Second})[0]
 			t.Logf("offered %.0f/s: %d done, %d late, %d refused", rate, r.done, r.late, r.refused)
 			must.GreaterEq(t, int(0.95*20*min(rate, 80)), r.done)
 			must.LessEq(t, r.done/50+5, r.late)
@@ -82,9 +82,9 @@
 		q := admit.New(func() int { return 8 })
 		const work = 100 * time.Millisecond
 		r := offer(q, 20*time.Second,
-			load{account: "flood", priority: config.PriorityInteractive, rate: 200, work: work, deadline: time.Second},
-			load{account: "small", priority: config.PriorityInteractive, rate: 10, work: work, deadline: time.Second},
-			load{account: "patient", priority: config.PriorityPatient, rate: 5, work: work, deadline: time.Hour},
+			testLoad{account: "flood", priority: config.PriorityInteractive, rate: 200, work: work, deadline: time.Second},
+			testLoad{account: "small", priority: config.PriorityInteractive, rate: 10, work: work, deadline: time.Second},
+			testLoad{account: "patient", priority: config.PriorityPatient, rate: 5, work: work, deadline: time.Hour},
 		)
 		t.Logf("flood %+v, small %+v, patient %+v", r[0], r[1], r[2])
 		must.GreaterEq(t, 20*(80-10-5)*9/10, r[0].done, must.Sprint("what is let in makes its deadline"))
@@ -93,15 +93,17 @@
 	})
 }
 
-// TestRefusedAtOnce refuses what cannot make its deadline when it comes, with
+// TestRefusesHopelessRequestImmediately refuses what cannot make its deadline when it comes, with
 // the time to come back.
-func TestRefusedAtOnce(t *testing.T) {
+func TestRefusesHopelessRequestImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admit.New(func() int { return 1 })
-		offer(q, time.Second, load{account: "a", rate: 2, work: time.Second, deadline: time.Minute})
+		offer(q, time.Second, testLoad{account: "a", rate: 2, work: time.Second, deadline: time.Minute})
 		var others sync.WaitGroup
 		defer others.Wait()
-		others.Go(func() { offer(q, time.Second, load{account: "a", rate: 5, work: time.Second, deadline: time.Minute}) })
+		others.Go(func() {
+			offer(q, time.Second, testLoad{account: "a", rate: 5, work: time.Second, deadline: time.Minute})
+		})
 		time.Sleep(900 * time.Millisecond)
 		start := time.Now()
 		_, err := q.Acquire(t.Context(), admit.Request{Account: "b", Deadline: time.Now().Add(500 * time.Millisecond)})
--- a/limit/grantor.go
+++ b/limit/grantor.go
@@ -18,36 +18,36 @@
 
 	mu       sync.Mutex
 	epoch    int64
-	accounts map[string]*outstanding
+	accounts map[string]*accountLeases
 }
 
-// outstanding is what has been leased of one account's limit.
-type outstanding struct {
-	// since is when this node became the account's grantor.
-	since  time.Time
-	leases map[string]*leased
+// accountLeases is what has been leased of one account's limit.
+type accountLeases struct {
+	// grantorSince is when this node became the account's grantor.
+	grantorSince time.Time
+	leases       map[string]*nodeLease
 }
 
-// leased is one node's lease: what it was granted last, and what it last said
+// nodeLease is one node's lease: what it was granted last, and what it last said
 // to hold. It may hold either, if the grant's answer was lost.
-type leased struct {
+type nodeLease struct {
 	granted float64
 	held    float64
 	demand  float64
 	expires time.Time
 }
 
-func (l *leased) most() float64 { return max(l.granted, l.held) }
+func (l *nodeLease) maxHeld() float64 { return max(l.granted, l.held) }
 
-// takeoverWait is how long a new grantor only renews. Every node that it can
+// takeoverGracePeriod is how long a new grantor only renews. Every node that it can
 // reach has told it by then what it holds; a node that it cannot reach may
 // hold an older lease for the rest of leaseLife, and the limit is exceeded by
 // that lease at most.
-const takeoverWait = 3 * time.Second
+const takeoverGracePeriod = 3 * time.Second
 
 // NewGrantor returns a grantor without leases.
 func NewGrantor(limits LimitFunc, timers *timer.Service) *Grantor {
-	return &Grantor{limits: limits, timers: timers, accounts: make(map[string]*outstanding)}
+	return &Grantor{limits: limits, timers: timers, accounts: make(map[string]*accountLeases)}
 }
 
 // SetEpoch tells the grantor that the view changed and which accounts are its
@@ -72,35 +72,35 @@
 		return Grant{Refused: true}
 	}
 	now := g.timers.Now()
-	o := g.outstanding(ask.Account, now)
-	o.expire(now)
+	o := g.leasesOf(ask.Account, now)
+	o.dropExpired(now)
 	mine := o.leases[ask.Node]
 	if mine == nil {
-		mine = &leased{}
+		mine = &nodeLease{}
 		o.leases[ask.Node] = mine
 	}
 	mine.demand, mine.held = ask.Demand, ask.HeldShare
-	pool := g.limits(ask.Account) * (1 - evenShare)
-	share := min(o.fairShare(ask.Node, pool), pool-o.others(ask.Node))
-	if now.Sub(o.since) < takeoverWait {
+	pool := g.limits(ask.Account) * (1 - unleasedFraction)
+	share := min(o.fairShare(ask.Node, pool), pool-o.heldByOthers(ask.Node))
+	if now.Sub(o.grantorSince) < takeoverGracePeriod {
 		// Leases of the grantor before may still be out: renew, no more.
 		share = min(share, ask.HeldShare)
 	}
 	mine.granted = max(0, share)
-	mine.expires = now.Add(max(leaseLife, time.Duration(ask.HeldTTLMillis)*time.Millisecond))
-	return Grant{Share: mine.granted, TTLMillis: leaseLife.Milliseconds()}
+	mine.expires = now.Add(max(leaseTTL, time.Duration(ask.HeldTTLMillis)*time.Millisecond))
+	return Grant{Share: mine.granted, TTLMillis: leaseTTL.Milliseconds()}
 }
 
-func (g *Grantor) outstanding(account string, now time.Time) *outstanding {
+func (g *Grantor) leasesOf(account string, now time.Time) *accountLeases {
 	o := g.accounts[account]
 	if o == nil {
-		o = &outstanding{since: now, leases: make(map[string]*leased)}
+		o = &accountLeases{grantorSince: now, leases: make(map[string]*nodeLease)}
 		g.accounts[account] = o
 	}
 	return o
 }
 
-func (o *outstanding) expire(now time.Time) {
+func (o *accountLeases) dropExpired(now time.Time) {
 	for node, l := range o.leases {
 		if now.After(l.expires) {
 			delete(o.leases, node)
@@ -108,27 +108,27 @@
 	}
 }
 
-// others returns what all other nodes may hold.
-func (o *outstanding) others(node string) float64 {
+// heldByOthers returns what all other nodes may hold.
+func (o *accountLeases) heldByOthers(node string) float64 {
 	sum := 0.0
 	for other, l := range o.leases {
 		if other != node {
-			sum += l.most()
+			sum += l.maxHeld()
 		}
 	}
 	return sum
 }
 
-// headroom lets a share exceed the demand, so that a rise is not refused
+// demandHeadroom lets a share exceed the demand, so that a rise is not refused
 // before the next renewal.
-const headroom = 1.3
+const demandHeadroom = 1.3
 
 // fairShare fills the pool evenly up to each node's demand (max-min
 // fairness); what is left over is split evenly.
-func (o *outstanding) fairShare(node string, pool float64) float64 {
+func (o *accountLeases) fairShare(node string, pool float64) float64 {
 	want := make(map[string]float64, len(o.leases))
 	for name, l := range o.leases {
-		want[name] = l.demand * headroom
+		want[name] = l.demand * demandHeadroom
 	}
 	left, open := pool, len(want)
 	share := make(map[string]float64, len(want))
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -30,20 +30,20 @@
 )
 
 const (
-	leaseInterval = time.Second
-	// leaseLife outlasts the removal of a dead grantor from the view, so that
+	renewInterval = time.Second
+	// leaseTTL outlasts the removal of a dead grantor from the view, so that
 	// nodes keep their shares until there is a new one.
-	leaseLife = 15 * time.Second
-	// evenShare is the part of a limit that is split evenly without leases.
-	evenShare = 0.2
-	// demandMemory is the weight of the last second's demand in the average.
-	demandMemory = 0.5
+	leaseTTL = 15 * time.Second
+	// unleasedFraction is the part of a limit that is split evenly without leases.
+	unleasedFraction = 0.2
+	// demandSmoothing is the weight of the last second's demand in the average.
+	demandSmoothing = 0.5
 	// idleDemand, in requests a second, is no demand. An account without it
 	// keeps a lease for idleLife, so that its next burst finds one, and renews
 	// it only as it runs out.
-	idleDemand = 0.01
-	idleLife   = 10 * time.Minute
-	minBurst   = 1
+	idleDemand         = 0.01
+	idleLeaseRetention = 10 * time.Minute
+	minBurst           = 1
 )
 
 // LeaseRequest is a node's request for a share, in requests a second.
@@ -75,36 +75,36 @@
 
 // Limiter is one node's part of the limits. It is safe for concurrent use.
 type Limiter struct {
-	grantors GrantorClient
-	timers   *timer.Service
+	grantor GrantorClient
+	timers  *timer.Service
 
 	mu       sync.Mutex
-	accounts map[string]*share
+	accounts map[string]*accountShare
 }
 
-// share is what this node may use of one account's limit.
-type share struct {
-	limit   float64
-	burst   int
-	bucket  *rate.Limiter
-	granted float64
-	expires time.Time
-	arrived int
-	demand  float64
-	usedAt  time.Time
+// accountShare is what this node may use of one account's limit.
+type accountShare struct {
+	limit    float64
+	burst    int
+	bucket   *rate.Limiter
+	granted  float64
+	expires  time.Time
+	arrivals int
+	demand   float64
+	usedAt   time.Time
 }
 
-// wanted reports whether the share is to be renewed now.
-func (s *share) wanted(now time.Time) bool {
+// needsRenewal reports whether the share is to be renewed now.
+func (s *accountShare) needsRenewal(now time.Time) bool {
 	if s.demand > idleDemand {
 		return true
 	}
-	return now.Sub(s.usedAt) < idleLife && s.expires.Sub(now) < leaseLife/2
+	return now.Sub(s.usedAt) < idleLeaseRetention && s.expires.Sub(now) < leaseTTL/2
 }
 
 // New returns a limiter.
 func New(grantors GrantorClient, timers *timer.Service) *Limiter {
-	return &Limiter{grantors: grantors, timers: timers, accounts: make(map[string]*share)}
+	return &Limiter{grantor: grantors, timers: timers, accounts: make(map[string]*accountShare)}
 }
 
 // Take takes one request out of the account's share. If there is none left,
@@ -116,10 +116,10 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := l.share(account.Name, account.Limits)
-	s.arrived++
+	s := l.shareOf(account.Name, account.Limits)
+	s.arrivals++
 	s.usedAt = l.timers.Steady()
-	l.refresh(s)
+	l.updateBucket(s)
 	reservation := s.bucket.Reserve()
 	if wait := reservation.Delay(); wait > 0 {
 		reservation.Cancel()
@@ -128,10 +128,10 @@
 	return 0, true
 }
 
-func (l *Limiter) share(account string, limits config.Limits) *share {
+func (l *Limiter) shareOf(account string, limits config.Limits) *accountShare {
 	s := l.accounts[account]
 	if s == nil {
-		s = &share{bucket: rate.NewLimiter(0, minBurst)}
+		s = &accountShare{bucket: rate.NewLimiter(0, minBurst)}
 		l.accounts[account] = s
 	}
 	s.limit, s.burst = limits.RequestsPerSecond, limits.Burst
@@ -141,11 +141,11 @@
 	return s
 }
 
-// refresh sets the bucket to the share that is in force now. The burst is
+// updateBucket sets the bucket to the share that is in force now. The burst is
 // split like the limit, so that all buckets together hold one burst.
-func (l *Limiter) refresh(s *share) {
+func (l *Limiter) updateBucket(s *accountShare) {
 	now := l.timers.Now()
-	held := s.limit * evenShare / float64(max(1, l.grantors.Members()))
+	held := s.limit * unleasedFraction / float64(max(1, l.grantor.Members()))
 	if l.timers.Steady().Before(s.expires) {
 		held += s.granted
 	}
@@ -161,48 +161,48 @@
 
 // Run renews the leases until the context ends.
 func (l *Limiter) Run(ctx context.Context) {
-	l.timers.Every(ctx, leaseInterval, func() { l.renew(ctx) })
+	l.timers.Every(ctx, renewInterval, func() { l.renew(ctx) })
 }
 
 func (l *Limiter) renew(ctx context.Context) {
 	var renewals sync.WaitGroup
-	for _, ask := range l.asks() {
+	for _, ask := range l.leaseRequests() {
 		renewals.Go(func() {
-			ctx, cancel := context.WithTimeout(ctx, leaseInterval)
+			ctx, cancel := context.WithTimeout(ctx, renewInterval)
 			defer cancel()
 			start := l.timers.Steady()
-			grant, err := l.grantors.RequestLease(ctx, ask)
+			grant, err := l.grantor.RequestLease(ctx, ask)
 			if err == nil && !grant.Refused {
-				l.take(ask.Account, grant, start)
+				l.applyGrant(ask.Account, grant, start)
 			}
 		})
 	}
 	renewals.Wait()
 }
 
-func (l *Limiter) asks() []LeaseRequest {
+func (l *Limiter) leaseRequests() []LeaseRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.timers.Steady()
 	var asks []LeaseRequest
 	for name, s := range l.accounts {
-		s.demand = s.demand*(1-demandMemory) + float64(s.arrived)*demandMemory
-		s.arrived = 0
-		l.refresh(s)
+		s.demand = s.demand*(1-demandSmoothing) + float64(s.arrivals)*demandSmoothing
+		s.arrivals = 0
+		l.updateBucket(s)
 		ask := LeaseRequest{Account: name, Demand: s.demand}
 		if now.Before(s.expires) {
 			ask.HeldShare = s.granted
 			ask.HeldTTLMillis = s.expires.Sub(now).Milliseconds()
 		}
-		if s.wanted(now) {
+		if s.needsRenewal(now) {
 			asks = append(asks, ask)
 		}
 	}
 	return asks
 }
 
-// take puts a grant in force. Its life counts from before the ask was sent.
-func (l *Limiter) take(account string, grant Grant, start time.Time) {
+// applyGrant puts a grant in force. Its life counts from before the ask was sent.
+func (l *Limiter) applyGrant(account string, grant Grant, start time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.accounts[account]
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -17,39 +17,39 @@
 
 const accountLimit = 100.0
 
-// fleet is a few limiters with one grantor, which may be out of reach.
-type fleet struct {
-	grantor *limit.Grantor
-	nodes   []*limit.Limiter
-	down    atomic.Bool
-	epoch   atomic.Int64
+// testCluster is a few limiters with one grantor, which may be out of reach.
+type testCluster struct {
+	grantor     *limit.Grantor
+	nodes       []*limit.Limiter
+	grantorDown atomic.Bool
+	epoch       atomic.Int64
 }
 
-// link is one node's way to the grantor.
-type link struct {
-	f    *fleet
-	name string
+// nodeClient is one node's way to the grantor.
+type nodeClient struct {
+	cluster *testCluster
+	name    string
 }
 
-func (l link) Members() int { return len(l.f.nodes) }
+func (l nodeClient) Members() int { return len(l.cluster.nodes) }
 
-func (l link) RequestLease(_ context.Context, ask limit.LeaseRequest) (limit.Grant, error) {
-	if l.f.down.Load() {
+func (l nodeClient) RequestLease(_ context.Context, ask limit.LeaseRequest) (limit.Grant, error) {
+	if l.cluster.grantorDown.Load() {
 		return limit.Grant{}, fmt.Errorf("the grantor does not answer")
 	}
-	ask.Node, ask.Epoch = l.name, l.f.epoch.Load()
-	return l.f.grantor.Grant(ask), nil
+	ask.Node, ask.Epoch = l.name, l.cluster.epoch.Load()
+	return l.cluster.grantor.Grant(ask), nil
 }
 
-func newFleet(t *testing.T, n int) *fleet {
-	f := &fleet{}
+func newFleet(t *testing.T, n int) *testCluster {
+	f := &testCluster{}
 	timers := timer.New()
 	t.Cleanup(timers.Close)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	f.grantor = limit.NewGrantor(func(string) float64 { return accountLimit }, timers)
 	for i := range n {
-		f.nodes = append(f.nodes, limit.New(link{f, fmt.Sprint(i)}, timers))
+		f.nodes = append(f.nodes, limit.New(nodeClient{f, fmt.Sprint(i)}, timers))
 	}
 	for _, node := range f.nodes {
 		go node.Run(ctx)
@@ -59,7 +59,7 @@
 
 // offer sends requests to the nodes at the given rates for a while and
 // returns how many passed per second.
-func (f *fleet) offer(d time.Duration, rates ...float64) float64 {
+func (f *testCluster) offer(d time.Duration, rates ...float64) float64 {
 	account := &config.Account{Name: "desk", Limits: config.Limits{RequestsPerSecond: accountLimit, Burst: 20}}
 	const step = 10 * time.Millisecond
 	owed := make([]float64, len(rates))
@@ -82,7 +82,7 @@
 func TestShares(t *testing.T) {
 	tests := []struct {
 		name   string
-		before func(f *fleet)
+		before func(f *testCluster)
 		rates  []float64
 		// least and most that may pass per second, in the steady state.
 		least, most float64
@@ -90,9 +90,9 @@
 		{"even demand", nil, []float64{100, 100, 100, 100}, 90, 101},
 		{"one node has it all", nil, []float64{300, 0, 0, 0}, 80, 101},
 		{"demand below the limit passes", nil, []float64{40, 10, 0, 0}, 49, 51},
-		{"demand shifts", func(f *fleet) { f.offer(10*time.Second, 300, 0, 0, 0) }, []float64{0, 0, 0, 300}, 75, 101},
-		{"grantor lost, leases held", func(f *fleet) { f.offer(10*time.Second, 100, 100, 100, 100); f.down.Store(true) }, []float64{100, 100, 100, 100}, 45, 101},
-		{"new grantor", func(f *fleet) {
+		{"demand shifts", func(f *testCluster) { f.offer(10*time.Second, 300, 0, 0, 0) }, []float64{0, 0, 0, 300}, 75, 101},
+		{"grantor lost, leases held", func(f *testCluster) { f.offer(10*time.Second, 100, 100, 100, 100); f.grantorDown.Store(true) }, []float64{100, 100, 100, 100}, 45, 101},
+		{"new grantor", func(f *testCluster) {
 			f.offer(10*time.Second, 100, 100, 100, 100)
 			f.epoch.Store(2)
 			f.grantor.SetEpoch(2, func(string) bool { return false })
--- a/rollout/driver.go
+++ b/rollout/driver.go
@@ -30,16 +30,16 @@
 }
 
 const (
-	// driveInterval lies between two steps of the driver.
-	driveInterval = time.Second
-	// writeTime is how long a write of the stages may take.
-	writeTime = time.Second
+	// stepInterval lies between two steps of the driver.
+	stepInterval = time.Second
+	// writeTimeout is how long a write of the stages may take.
+	writeTimeout = time.Second
 )
 
 // Driver moves roll-outs on while this node holds the lease.
 type Driver struct {
 	name      string
-	shared    DocumentStore
+	store     DocumentStore
 	collector Collector
 	lease     Lease
 	timers    *timer.Service
@@ -48,27 +48,27 @@
 	// tests are by "model@version" of the candidate and what they look for:
 	// three for each candidate, of which the guards may leave out two.
 	tests map[string]*SequentialTest
-	nodes *nodes
+	nodes *nodeCounts
 }
 
 // NewDriver returns a driver that writes the shared document of that name.
 func NewDriver(name string, shared DocumentStore, collector Collector, lease Lease, models func() []config.Model, timers *timer.Service) *Driver {
 	return &Driver{
 		name:      name,
-		shared:    shared,
+		store:     shared,
 		collector: collector,
 		lease:     lease,
 		timers:    timers,
 		models:    models,
 		tests:     make(map[string]*SequentialTest),
-		nodes:     newNodes(),
+		nodes:     newNodeCounts(),
 	}
 }
 
 // Run drives until the context ends.
 func (d *Driver) Run(ctx context.Context) {
-	d.timers.Every(ctx, driveInterval, func() {
-		if token, ok := d.lease.Held(writeTime); ok {
+	d.timers.Every(ctx, stepInterval, func() {
+		if token, ok := d.lease.Held(writeTimeout); ok {
 			d.Step(ctx, token)
 		}
 	})
@@ -83,15 +83,15 @@
 	if !active {
 		return
 	}
-	d.nodes.take(d.collector.Collect(ctx))
-	ctx, cancel := context.WithTimeout(ctx, writeTime)
+	d.nodes.update(d.collector.Collect(ctx))
+	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	_, err := d.shared.Update(ctx, d.name, func(old []byte) ([]byte, error) { return d.change(old, token) })
+	_, err := d.store.Update(ctx, d.name, func(old []byte) ([]byte, error) { return d.change(old, token) })
 	if err != nil && !errors.Is(err, document.ErrUnchanged) {
 		slog.Warn("roll-outs not moved on", "error", err)
 		return
 	}
-	d.nodes.forgetGone()
+	d.nodes.dropDeparted()
 }
 
 // change moves every roll-out on in the stored stages.
@@ -133,10 +133,10 @@
 	if p.Verdict != VerdictRunning {
 		return p
 	}
-	candidate, baseline := d.nodes.totals(countName(m.Name, m.Rollout.Version), inServiceName(m), &p)
+	candidate, baseline := d.nodes.totals(countKey(m.Name, m.Rollout.Version), inServiceKey(m), &p)
 	test := d.test(m, "bad")
 	bad := test.Update(m.Rollout.Guards, m.Rollout.Samples(), candidate, baseline)
-	if bad || d.oftenBad(m, candidate, baseline) {
+	if bad || d.slightlyWorse(m, candidate, baseline) {
 		p.Verdict, p.Evidence, p.Samples = VerdictStopped, test.Score(), candidate.Answers
 		p.Reason = fmt.Sprintf("%d of %d answers bad, against %d of %d in service", candidate.Bad, candidate.Answers, baseline.Bad, baseline.Answers)
 		return p
@@ -148,7 +148,7 @@
 	}
 	stage := m.Rollout.Stages[min(p.Stage, len(m.Rollout.Stages)-1)]
 	if stage.WantSamples > 0 && p.Share == 0 {
-		return d.size(m, p, stage, baseline, now)
+		return d.setShare(m, p, stage, baseline, now)
 	}
 	enough := candidate.Answers-p.Samples >= int64(stage.MinSamples)
 	longEnough := now.Sub(p.StageSince).Seconds() >= stage.MinSeconds
@@ -156,25 +156,25 @@
 		return p
 	}
 	last := p.Stage+1 >= len(m.Rollout.Stages)
-	if last && m.Rollout.Replace && d.nodes.running(inServiceName(m)) > 0 {
+	if last && m.Rollout.Replace && d.nodes.running(inServiceKey(m)) > 0 {
 		return p
 	}
 	p.StageSince, p.Evidence, p.Samples = now, test.Score(), candidate.Answers
-	return p.passed(last)
+	return p.advance(last)
 }
 
-// inServiceName is the name under which answers of the version in service are
+// inServiceKey is the name under which answers of the version in service are
 // counted; "" if there is none.
-func inServiceName(m *config.Model) string {
+func inServiceKey(m *config.Model) string {
 	if v := m.InService(); v != nil {
-		return countName(m.Name, v.Name)
+		return countKey(m.Name, v.Name)
 	}
 	return ""
 }
 
-// passed moves on from a stage that has been passed. What was set for that
+// advance moves on from a stage that has been passed. What was set for that
 // stage alone is dropped.
-func (p Progress) passed(last bool) Progress {
+func (p Progress) advance(last bool) Progress {
 	p.Share, p.StickySessions = 0, ""
 	if last {
 		p.Verdict, p.Reason = VerdictComplete, "all stages passed"
@@ -185,32 +185,32 @@
 	return p
 }
 
-// measureTime is how long requests are counted before a stage's share is
+// measureDuration is how long requests are counted before a stage's share is
 // lowered by their number.
-const measureTime = 1500 * time.Millisecond
+const measureDuration = 1500 * time.Millisecond
 
-// size sets the share by which a stage gives about as many answers as wanted,
+// setShare sets the share by which a stage gives about as many answers as wanted,
 // and holds the sessions that are under way.
-func (d *Driver) size(m *config.Model, p Progress, stage config.Stage, baseline Count, now time.Time) Progress {
+func (d *Driver) setShare(m *config.Model, p Progress, stage config.Stage, baseline Count, now time.Time) Progress {
 	elapsed := now.Sub(p.StageSince).Seconds()
 	left := stage.MinSeconds - elapsed
-	if elapsed < measureTime.Seconds() || left <= 0 {
+	if elapsed < measureDuration.Seconds() || left <= 0 {
 		return p
 	}
 	expected := float64(baseline.Answers+baseline.Running) / elapsed * left
 	p.Share = min(stage.Share, float64(stage.WantSamples)/max(1, expected))
-	inService := inServiceName(m)
+	inService := inServiceKey(m)
 	if inService == "" {
 		return p
 	}
-	p.StickySessions = encodeSlots(d.nodes.recent(inService))
+	p.StickySessions = encodeSessions(d.nodes.recentSessions(inService))
 	p.Reason = fmt.Sprintf("share for %d answers of about %.0f requests", stage.WantSamples, expected)
 	return p
 }
 
-// oftenBad makes the same test against a smaller increase, where there is one:
+// slightlyWorse makes the same test against a smaller increase, where there is one:
 // against a large one a few failures in many answers weigh nothing.
-func (d *Driver) oftenBad(m *config.Model, candidate, baseline Count) bool {
+func (d *Driver) slightlyWorse(m *config.Model, candidate, baseline Count) bool {
 	guards := m.Rollout.Guards
 	if guards.FineBadIncrease == 0 {
 		return false
@@ -234,7 +234,7 @@
 // test returns one of the tests of a model's candidate, which last as long as
 // the process.
 func (d *Driver) test(m *config.Model, of string) *SequentialTest {
-	name := countName(m.Name, m.Rollout.Version) + " " + of
+	name := countKey(m.Name, m.Rollout.Version) + " " + of
 	if d.tests[name] == nil {
 		d.tests[name] = &SequentialTest{}
 	}
--- a/rollout/driver_test.go
+++ b/rollout/driver_test.go
@@ -16,10 +16,10 @@
 
 // TestNodesGo: what nodes counted that have gone counts on, under the next
 // driver too, and once only if a node was merely out of reach.
-func TestNodesGo(t *testing.T) {
-	s := services(t, `{}`)
+func TestDepartedNodesKeepCounts(t *testing.T) {
+	s := newServicePicker(t, `{}`)
 	s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: time.Minute})
-	w := &driverWorld{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 1}}}`)}
+	w := &fakeCluster{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 1}}}`)}
 	newDriver := func() *rollout.Driver { return rollout.NewDriver("rollouts", w, w, w, s.Models, timer.New()) }
 	progress := func() rollout.Progress {
 		var stages rollout.Stages
@@ -57,13 +57,13 @@
 
 // TestRunningAtSilentNode: a roll-out waits for what ran on the old version at a
 // node that does not answer, until the node is taken for gone.
-func TestRunningAtSilentNode(t *testing.T) {
+func TestWaitsForRequestsOfUnresponsiveNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := services(t, `{}`)
+		s := newServicePicker(t, `{}`)
 		s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 10 * time.Second})
 		since, err := json.Marshal(time.Now().UTC())
 		must.NoError(t, err)
-		w := &driverWorld{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 2, "since": ` + string(since) + `}}}`)}
+		w := &fakeCluster{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 2, "since": ` + string(since) + `}}}`)}
 		d := rollout.NewDriver("rollouts", w, w, w, s.Models, timer.New())
 		step := func(counts map[string]rollout.Counts) rollout.Verdict {
 			w.counts = counts
@@ -90,12 +90,12 @@
 
 // TestSessionsAtSilentNode: sessions under way at a node that does not answer as
 // the first stage's share is set are held too.
-func TestSessionsAtSilentNode(t *testing.T) {
+func TestStickySessionsOfUnresponsiveNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		picker := rollout.NewPicker()
 		s := rollout.NewServicePicker(picker, 1)
 		s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
-		w := &driverWorld{token: 1}
+		w := &fakeCluster{token: 1}
 		d := rollout.NewDriver("rollouts", w, w, w, s.Models, timer.New())
 		step := func(counts map[string]rollout.Counts) rollout.Progress {
 			w.counts = counts
@@ -117,44 +117,44 @@
 // roll-out with a short period was complete, and the old servers could be stopped,
 // under streams from before the order.
 
-// earlier is a node with requests under way from before the order, and the driver
+// preOrderNode is a node with requests under way from before the order, and the driver
 // of a roll-out.
-type earlier struct {
+type preOrderNode struct {
 	*rollout.ServicePicker
-	picker *rollout.Picker
-	world  *driverWorld
-	driver *rollout.Driver
+	picker  *rollout.Picker
+	cluster *fakeCluster
+	driver  *rollout.Driver
 }
 
-func newEarlier(requests int) *earlier {
-	e := &earlier{picker: rollout.NewPicker(), world: &driverWorld{token: 1}}
+func newPreOrderNode(requests int) *preOrderNode {
+	e := &preOrderNode{picker: rollout.NewPicker(), cluster: &fakeCluster{token: 1}}
 	e.ServicePicker = rollout.NewServicePicker(e.picker, 1)
 	for i := range requests {
-		_, version := e.Choose("s", fmt.Sprint(i), "", runners)
+		_, version := e.Choose("s", fmt.Sprint(i), "", testServers)
 		e.Begin("s", version, fmt.Sprint(i))
 	}
 	e.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
-	e.driver = rollout.NewDriver("rollouts", e.world, e.world, e.world, e.Models, timer.New())
+	e.driver = rollout.NewDriver("rollouts", e.cluster, e.cluster, e.cluster, e.Models, timer.New())
 	return e
 }
 
 // step makes a step of the driver with the node's counts and those of another one.
-func (e *earlier) step(t *testing.T, other rollout.Counts) rollout.Progress {
-	e.world.counts = map[string]rollout.Counts{"a": e.picker.Counts(), "b": other}
+func (e *preOrderNode) step(t *testing.T, other rollout.Counts) rollout.Progress {
+	e.cluster.counts = map[string]rollout.Counts{"a": e.picker.Counts(), "b": other}
 	e.driver.Step(t.Context(), 1)
-	stages, err := rollout.DecodeStages(e.world.stored)
+	stages, err := rollout.DecodeStages(e.cluster.stored)
 	must.NoError(t, err)
 	return stages.Models["s"]
 }
 
 // TestRunningBeforeOrder: a roll-out is not complete while requests from before the
 // order run on the old version.
-func TestRunningBeforeOrder(t *testing.T) {
+func TestWaitsForRequestsBeforeOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEarlier(1)
+		e := newPreOrderNode(1)
 		since, err := json.Marshal(time.Now().UTC())
 		must.NoError(t, err)
-		e.world.stored = []byte(`{"models": {"s": {"version": "v2", "stage": 2, "since": ` + string(since) + `}}}`)
+		e.cluster.stored = []byte(`{"models": {"s": {"version": "v2", "stage": 2, "since": ` + string(since) + `}}}`)
 		answered := rollout.Counts{"s@v2": {Answers: 500}, "s@in-service": {Answers: 500}}
 		time.Sleep(time.Minute) // the last stage has lasted long enough
 		must.Eq(t, rollout.VerdictRunning, e.step(t, answered).Verdict)
@@ -165,10 +165,10 @@
 
 // TestShareWithoutEarlier: the first stage's share goes by the requests since the
 // order, whatever runs from before it.
-func TestShareWithoutEarlier(t *testing.T) {
+func TestShareIgnoresRequestsBeforeOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		share := func(requests int) float64 {
-			e := newEarlier(requests)
+			e := newPreOrderNode(requests)
 			must.Zero(t, e.step(t, nil).Share)
 			time.Sleep(2 * time.Second) // long enough for the requests to be counted
 			return e.step(t, rollout.Counts{"s@in-service": {Answers: 100, Running: 20}}).Share
@@ -179,7 +179,7 @@
 }
 
 // TestNothingKept: services without an order leave nothing behind in the counts.
-func TestNothingKept(t *testing.T) {
+func TestNoCountsWithoutOrder(t *testing.T) {
 	picker := rollout.NewPicker()
 	s := rollout.NewServicePicker(picker, 0)
 	for i := range 100 {
--- a/rollout/picker.go
+++ b/rollout/picker.go
@@ -16,17 +16,17 @@
 	mu     sync.Mutex
 	stages Stages
 	counts Counts
-	// held are by model the slots of the sessions that stay on the version in
+	// stickySessions are by model the slots of the sessions that stay on the version in
 	// service.
-	held map[string]map[uint32]bool
-	// recent are by "model@version" the slots of the sessions that a first
+	stickySessions map[string]map[uint32]bool
+	// recentSessions are by "model@version" the slots of the sessions that a first
 	// stage could move, with the time of their last request.
-	recent map[string]map[uint32]session
+	recentSessions map[string]map[uint32]sessionActivity
 }
 
 // NewPicker returns a picker that knows no stage.
 func NewPicker() *Picker {
-	return &Picker{counts: make(Counts), recent: make(map[string]map[uint32]session)}
+	return &Picker{counts: make(Counts), recentSessions: make(map[string]map[uint32]sessionActivity)}
 }
 
 // Apply puts stored stages in force.
@@ -38,9 +38,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stages = stages
-	p.held = make(map[string]map[uint32]bool)
+	p.stickySessions = make(map[string]map[uint32]bool)
 	for model, progress := range stages.Models {
-		p.held[model] = decodeSlots(progress.StickySessions)
+		p.stickySessions[model] = decodeSessions(progress.StickySessions)
 	}
 	return nil
 }
@@ -68,7 +68,7 @@
 		return nil, errs.New(NoVersion, "pick", "no version of %s takes new sessions", m.Name)
 	case candidate == nil:
 		return inService, nil
-	case inService == nil, position(m.Name, key) < p.share(m) && !p.holds(m.Name, key):
+	case inService == nil, position(m.Name, key) < p.share(m) && !p.isSticky(m.Name, key):
 		return candidate, nil
 	default:
 		return inService, nil
@@ -120,7 +120,7 @@
 func (p *Picker) count(model, version string, bad, slow bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	name := countName(model, version)
+	name := countKey(model, version)
 	c := p.counts[name]
 	c.Answers++
 	if bad {
@@ -134,31 +134,31 @@
 
 // Begin counts a request that starts to run on a version; End counts its end.
 func (p *Picker) Begin(model, version string) {
-	p.run(model, version, func(c *Count) { c.Running++ })
+	p.updateRunning(model, version, func(c *Count) { c.Running++ })
 }
 
 // End is the counterpart of Begin.
 func (p *Picker) End(model, version string) {
-	p.run(model, version, func(c *Count) { c.Running-- })
+	p.updateRunning(model, version, func(c *Count) { c.Running-- })
 }
 
 // BeginBeforeOrder is Begin for a request that is sent while no roll-out is known;
 // EndEarlier counts its end, then or later.
 func (p *Picker) BeginBeforeOrder(model, version string) {
-	p.run(model, version, func(c *Count) { c.RunningBeforeOrder++ })
+	p.updateRunning(model, version, func(c *Count) { c.RunningBeforeOrder++ })
 }
 
 // EndBeforeOrder is the counterpart of BeginEarlier.
 func (p *Picker) EndBeforeOrder(model, version string) {
-	p.run(model, version, func(c *Count) { c.RunningBeforeOrder-- })
+	p.updateRunning(model, version, func(c *Count) { c.RunningBeforeOrder-- })
 }
 
-// run changes the number of requests that run on a version. It keeps no count
+// updateRunning changes the number of requests that run on a version. It keeps no count
 // that says nothing, so that names without a roll-out don't gather.
-func (p *Picker) run(model, version string, change func(*Count)) {
+func (p *Picker) updateRunning(model, version string, change func(*Count)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	name := countName(model, version)
+	name := countKey(model, version)
 	c := p.counts[name]
 	change(&c)
 	if c.Answers == 0 && c.Running == 0 && c.RunningBeforeOrder == 0 {
@@ -174,9 +174,9 @@
 	defer p.mu.Unlock()
 	counts := make(Counts, len(p.counts))
 	maps.Copy(counts, p.counts)
-	for name := range p.recent {
+	for name := range p.recentSessions {
 		c := counts[name]
-		c.RecentSessions = p.recentSlots(name)
+		c.RecentSessions = p.activeSessions(name)
 		counts[name] = c
 	}
 	return counts
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -131,5 +131,5 @@
 // Counts are a node's counts by "model@version".
 type Counts map[string]Count
 
-// countName is the name under which a version's answers are counted.
-func countName(model, version string) string { return model + "@" + version }
+// countKey is the name under which a version's answers are counted.
+func countKey(model, version string) string { return model + "@" + version }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -18,16 +18,16 @@
 
 var guards = config.Guards{BadRating: 0.5, MaxBadIncrease: 0.1, FalseAlarm: 0.01}
 
-// usualBad is the share of bad answers of the version in service.
-const usualBad = 0.05
+// baselineBadRate is the share of bad answers of the version in service.
+const baselineBadRate = 0.05
 
-// exposure runs the sequential test on answers of a version that is worse by
+// answersUntilStopped runs the sequential test on answers of a version that is worse by
 // increase and returns after how many of them it is stopped, limit if never.
-func exposure(random *rand.Rand, increase float64, turnsBadAt, limit int) int {
+func answersUntilStopped(random *rand.Rand, increase float64, turnsBadAt, limit int) int {
 	test := &rollout.SequentialTest{}
 	candidate, baseline := rollout.Count{}, rollout.Count{Answers: 2000, Bad: 100}
 	for n := 1; n <= limit; n++ {
-		rate := usualBad
+		rate := baselineBadRate
 		if n > turnsBadAt {
 			rate += increase
 		}
@@ -42,16 +42,16 @@
 	return limit - turnsBadAt
 }
 
-// fixedStage is the baseline: judge once at the end of a stage of 500 answers.
-func fixedStage(random *rand.Rand, increase float64) (answers int, stopped bool) {
+// judgeFixedStage is the baseline: judge once at the end of a stage of 500 answers.
+func judgeFixedStage(random *rand.Rand, increase float64) (answers int, stopped bool) {
 	const stage = 500
 	bad := 0
 	for range stage {
-		if random.Float64() < usualBad+increase {
+		if random.Float64() < baselineBadRate+increase {
 			bad++
 		}
 	}
-	return stage, float64(bad)/stage > usualBad+guards.MaxBadIncrease/2
+	return stage, float64(bad)/stage > baselineBadRate+guards.MaxBadIncrease/2
 }
 
 // TestExposure compares the sequential test with a stage of fixed size, over
@@ -64,13 +64,13 @@
 		random := rand.New(rand.NewPCG(1, uint64(increase*100)))
 		total, stopped, lateTotal, fixedStopped := 0, 0, 0, 0
 		for range runs {
-			n := exposure(random, increase, 0, limit)
+			n := answersUntilStopped(random, increase, 0, limit)
 			total += n
 			if n < limit {
 				stopped++
 			}
-			lateTotal += exposure(random, increase, 500, limit+500)
-			if _, stops := fixedStage(random, increase); stops {
+			lateTotal += answersUntilStopped(random, increase, 500, limit+500)
+			if _, stops := judgeFixedStage(random, increase); stops {
 				fixedStopped++
 			}
 		}
@@ -87,15 +87,15 @@
 	must.Less(t, 10, mean[0.9])
 }
 
-// driverWorld is a driver with a store in memory and counts from nodes.
-type driverWorld struct {
+// fakeCluster is a driver with a store in memory and counts from nodes.
+type fakeCluster struct {
 	stored []byte
 	counts map[string]rollout.Counts
 	token  int64
 	writes int
 }
 
-func (w *driverWorld) Update(_ context.Context, _ string, change func([]byte) ([]byte, error)) (document.Item, error) {
+func (w *fakeCluster) Update(_ context.Context, _ string, change func([]byte) ([]byte, error)) (document.Item, error) {
 	data, err := change(w.stored)
 	if err != nil {
 		return document.Item{}, err
@@ -105,9 +105,9 @@
 	return document.Item{Data: data, Revision: int64(w.writes)}, nil
 }
 
-func (w *driverWorld) Collect(context.Context) map[string]rollout.Counts { return w.counts }
+func (w *fakeCluster) Collect(context.Context) map[string]rollout.Counts { return w.counts }
 
-func (w *driverWorld) Held(time.Duration) (int64, bool) { return w.token, true }
+func (w *fakeCluster) Held(time.Duration) (int64, bool) { return w.token, true }
 
 func snapshot(t *testing.T) *config.Snapshot {
 	c := config.Config{
@@ -128,7 +128,7 @@
 // TestDriver moves a roll-out on, hands it to another driver in the middle,
 // and fences off a driver that was paused.
 func TestDriver(t *testing.T) {
-	w := &driverWorld{token: 5, counts: map[string]rollout.Counts{}}
+	w := &fakeCluster{token: 5, counts: map[string]rollout.Counts{}}
 	s := snapshot(t)
 	newDriver := func() *rollout.Driver {
 		return rollout.NewDriver("rollouts", w, w, w, s.Models, timer.New())
--- a/rollout/evidence.go
+++ b/rollout/sequential.go
@@ -15,9 +15,9 @@
 }
 
 const (
-	// defaultIncrease and defaultAlarm stand in for guards left at zero.
-	defaultIncrease = 0.1
-	defaultAlarm    = 0.01
+	// defaultBadIncrease and defaultAlarm stand in for guards left at zero.
+	defaultBadIncrease = 0.1
+	defaultFalseAlarm  = 0.01
 )
 
 // SequentialTest is a sequential test of "the candidate gives more bad answers than the
@@ -29,42 +29,42 @@
 // alarm with each answer, so its bound grows with the number of answers that
 // the roll-out will see. Each has half of the accepted false alarms.
 type SequentialTest struct {
-	fromStart float64
-	recent    float64
-	seen      Count
+	sprt    float64
+	cusum   float64
+	counted Count
 }
 
-// minPlanned is the least number of answers that the bound of the second sum
+// minPlannedAnswers is the least number of answers that the bound of the second sum
 // allows for.
-const minPlanned = 500
+const minPlannedAnswers = 500
 
 // Update takes the counts so far and reports whether the candidate is to be
 // stopped. Planned is the number of answers that the whole roll-out needs.
 func (t *SequentialTest) Update(g config.Guards, planned int, candidate, baseline Count) (stop bool) {
-	answers, bad := candidate.Answers-t.seen.Answers, candidate.Bad-t.seen.Bad
-	t.seen = candidate
+	answers, bad := candidate.Answers-t.counted.Answers, candidate.Bad-t.counted.Bad
+	t.counted = candidate
 	if answers < 0 || bad < 0 {
 		// A node that counted is gone; go on from what is left.
 		return false
 	}
-	increase, alarm := orDefault(g.MaxBadIncrease, defaultIncrease), orDefault(g.FalseAlarm, defaultAlarm)/2
+	increase, alarm := orDefault(g.MaxBadIncrease, defaultBadIncrease), orDefault(g.FalseAlarm, defaultFalseAlarm)/2
 	// Laplace's estimate keeps the rate off zero while there are few answers.
 	usual := float64(baseline.Bad+1) / float64(baseline.Answers+2)
 	usual = min(usual, 1-increase-minRate)
 	worse := min(1-minRate, usual+increase)
 	good := answers - bad
 	step := float64(bad)*math.Log(worse/usual) + float64(good)*math.Log((1-worse)/(1-usual))
-	t.fromStart += step
-	t.recent = max(0, t.recent+step)
+	t.sprt += step
+	t.cusum = max(0, t.cusum+step)
 	bound := math.Log(1 / alarm)
-	return t.fromStart >= bound || t.recent >= bound+math.Log(float64(max(planned, minPlanned)))
+	return t.sprt >= bound || t.cusum >= bound+math.Log(float64(max(planned, minPlannedAnswers)))
 }
 
 // minRate keeps the rates of the test within (0, 1).
 const minRate = 0.001
 
 // Score returns the present evidence against the candidate.
-func (t *SequentialTest) Score() float64 { return max(t.fromStart, t.recent) }
+func (t *SequentialTest) Score() float64 { return max(t.sprt, t.cusum) }
 
 func orDefault(value, fallback float64) float64 {
 	if value <= 0 {
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -24,41 +24,41 @@
 }
 
 const (
-	// firstShare of the period belongs to the first stage. The platform wants
+	// firstStageFraction of the period belongs to the first stage. The platform wants
 	// sessions to stay on the old version in the first half; the rest is
 	// margin for a driver that saw the order late.
-	firstShare = 0.52
-	// firstStageWants answers of the target: two of its servers then carry more
+	firstStageFraction = 0.52
+	// firstStageWantSamples answers of the target: two of its servers then carry more
 	// than their later load for the whole stage. More would leave less of what
 	// a bad version may get to the later stages.
-	firstStageWants = 220
-	// firstStageSamples are answers of the target that the first stage needs;
+	firstStageWantSamples = 220
+	// firstStageMinSamples are answers of the target that the first stage needs;
 	// services with few requests give no more in half a period.
-	firstStageSamples = 5
-	// secondShare is between the first stage and all, so that a version that
+	firstStageMinSamples = 5
+	// secondStageShare is between the first stage and all, so that a version that
 	// turns bad under load does not meet all requests at once.
-	secondShare = 0.3
-	// secondPart of the period belongs to the second stage.
-	secondPart = 0.16
-	// lastStageSeconds is how long all requests go to the target before the
+	secondStageShare = 0.3
+	// secondStageFraction of the period belongs to the second stage.
+	secondStageFraction = 0.16
+	// lastStageMinSeconds is how long all requests go to the target before the
 	// old servers may be stopped: every node has then heard of the stage.
-	lastStageSeconds = 1.5
-	// lastPart of the period belongs to the last stage at least.
-	lastPart = 0.08
-	// overLoad is how many times its later part each server of a stage carries.
+	lastStageMinSeconds = 1.5
+	// lastStageFraction of the period belongs to the last stage at least.
+	lastStageFraction = 0.08
+	// targetLoadFactor is how many times its later part each server of a stage carries.
 	// Load comes in waves: on a calm day a version that fails under load alone
 	// failed none of 320 answers at the load of a trough, and one in twenty at
 	// that of a crest (deploy/days/bad-under-load.toml).
-	overLoad = 1.6
-	// mostLoad is how many times its later part each server carries at most. One
+	targetLoadFactor = 1.6
+	// maxLoadFactor is how many times its later part each server carries at most. One
 	// of nine servers carried 2.7 times its part, and good versions were stopped
 	// as slow in four of twelve roll-outs; two carry 1.35 times theirs.
-	mostLoad = 2.2
-	// leastLoaded servers get the first stage's share, so that one slow server
+	maxLoadFactor = 2.2
+	// minFirstStageServers servers get the first stage's share, so that one slow server
 	// does not speak for its version.
-	leastLoaded = 2
-	// oldVersion stands for whatever the servers ran before the order.
-	oldVersion = "in-service"
+	minFirstStageServers = 2
+	// inServiceVersion stands for whatever the servers ran before the order.
+	inServiceVersion = "in-service"
 )
 
 // serviceGuards: a version is bad if its servers fail one answer in ten more,
@@ -76,9 +76,9 @@
 // for concurrent use.
 type ServicePicker struct {
 	picker *Picker
-	// share of the requests that a first stage gives to the target.
-	share float64
-	usual usual
+	// firstStageShare of the requests that a first stage gives to the target.
+	firstStageShare float64
+	baseline        waitBaseline
 
 	mu sync.Mutex
 	// models are the orders by service, as declarations of a roll-out.
@@ -107,10 +107,10 @@
 // a roll-out gives the target the given share of the requests.
 func NewServicePicker(picker *Picker, share float64) *ServicePicker {
 	return &ServicePicker{
-		picker: picker,
-		share:  share,
-		usual:  usual{waits: make(map[string]*usualWait)},
-		models: make(map[string]config.Model),
+		picker:          picker,
+		firstStageShare: share,
+		baseline:        waitBaseline{waits: make(map[string]*meanWait)},
+		models:          make(map[string]config.Model),
 	}
 }
 
@@ -121,15 +121,15 @@
 	s.models[o.Service] = config.Model{
 		Name: o.Service,
 		Versions: []config.Version{
-			{Name: oldVersion, State: config.VersionInService},
+			{Name: inServiceVersion, State: config.VersionInService},
 			{Name: o.Target, State: config.VersionRollingOut},
 		},
 		Rollout: &config.Rollout{
 			Version: o.Target,
 			Stages: []config.Stage{
-				{Share: s.share, MinSamples: firstStageSamples, WantSamples: firstStageWants, MinSeconds: firstShare * o.Period.Seconds()},
-				{Share: secondShare, MinSeconds: secondPart * o.Period.Seconds()},
-				{Share: 1, MinSeconds: max(lastStageSeconds, lastPart*o.Period.Seconds())},
+				{Share: s.firstStageShare, MinSamples: firstStageMinSamples, WantSamples: firstStageWantSamples, MinSeconds: firstStageFraction * o.Period.Seconds()},
+				{Share: secondStageShare, MinSeconds: secondStageFraction * o.Period.Seconds()},
+				{Share: 1, MinSeconds: max(lastStageMinSeconds, lastStageFraction*o.Period.Seconds())},
 			},
 			Guards:  serviceGuards,
 			Replace: true,
@@ -178,11 +178,11 @@
 	if before != "" && !stopped {
 		toTarget = before == target
 	}
-	newer, older := split(servers, target)
+	newer, older := splitByVersion(servers, target)
 	if len(newer) > 0 && !stopped && (toTarget || len(older) == 0) {
-		return s.loaded(&m, newer, len(older)), target
+		return s.concentrate(&m, newer, len(older)), target
 	}
-	return older, oldVersion
+	return older, inServiceVersion
 }
 
 // Begin counts a request of a session that Choose gave a version, "" for none, and
@@ -191,53 +191,53 @@
 // there before the order may end long after it, and its session goes on.
 func (s *ServicePicker) Begin(service, version, key string) {
 	if version == "" {
-		s.picker.BeginBeforeOrder(service, oldVersion)
+		s.picker.BeginBeforeOrder(service, inServiceVersion)
 	} else {
 		s.picker.Begin(service, version)
 	}
-	s.remember(service, version, key, 1)
+	s.trackSession(service, version, key, 1)
 }
 
 // End is the counterpart of Begin.
 func (s *ServicePicker) End(service, version, key string) {
 	if version == "" {
-		s.picker.EndBeforeOrder(service, oldVersion)
+		s.picker.EndBeforeOrder(service, inServiceVersion)
 	} else {
 		s.picker.End(service, version)
 	}
-	s.remember(service, version, key, -1)
+	s.trackSession(service, version, key, -1)
 }
 
-func (s *ServicePicker) remember(service, version, key string, change int) {
-	if version == "" || version == oldVersion {
-		s.picker.TrackSession(service, oldVersion, key, s.share, change)
+func (s *ServicePicker) trackSession(service, version, key string, change int) {
+	if version == "" || version == inServiceVersion {
+		s.picker.TrackSession(service, inServiceVersion, key, s.firstStageShare, change)
 	}
 }
 
-// loaded returns so few of the target's servers that each carries, with the
+// concentrate returns so few of the target's servers that each carries, with the
 // stage's share, overLoad times what it will carry in the end, but leastLoaded
 // at least in the first stage. A version may be bad only under load, and the
 // first requests, spread over all servers, are no load. All nodes take the same
 // servers, and more of them as the share rises.
-func (s *ServicePicker) loaded(m *config.Model, servers []registry.Server, older int) []registry.Server {
+func (s *ServicePicker) concentrate(m *config.Model, servers []registry.Server, older int) []registry.Server {
 	share := s.picker.share(m)
 	if share <= 0 || share >= 1 || older == 0 {
 		return servers
 	}
-	least := leastLoaded
-	if share >= secondShare {
+	least := minFirstStageServers
+	if share >= secondStageShare {
 		least = 1 // a service of few servers would see no load otherwise
 	}
 	load := share * float64(len(servers))
-	n := max(least, int(math.Floor(load/overLoad)))
-	if load/float64(n) > mostLoad {
+	n := max(least, int(math.Floor(load/targetLoadFactor)))
+	if load/float64(n) > maxLoadFactor {
 		n++
 	}
-	return highest(servers, rendezvous.Hash(countName(m.Name, m.Rollout.Version)), n)
+	return topScored(servers, rendezvous.Hash(countKey(m.Name, m.Rollout.Version)), n)
 }
 
-// highest returns the n servers with the highest scores for a key.
-func highest(servers []registry.Server, key uint64, n int) []registry.Server {
+// topScored returns the n servers with the highest scores for a key.
+func topScored(servers []registry.Server, key uint64, n int) []registry.Server {
 	type scored struct {
 		server registry.Server
 		score  uint64
@@ -256,9 +256,9 @@
 
 // Count takes one answer as evidence on a version that Choose named.
 func (s *ServicePicker) Count(service, version string, a Answer) {
-	slow := a.Late || s.usual.slow(a)
-	if version == oldVersion && !a.Failed && !a.Late {
-		s.usual.learn(a.Kind, a.Wait)
+	slow := a.Late || s.baseline.isSlow(a)
+	if version == inServiceVersion && !a.Failed && !a.Late {
+		s.baseline.observe(a.Kind, a.Wait)
 	}
 	s.picker.count(service, version, a.Failed, slow)
 }
@@ -269,8 +269,8 @@
 	return ok && progress.Version == target && progress.Verdict == VerdictStopped
 }
 
-// split parts servers of a version from all others.
-func split(servers []registry.Server, version string) (of, others []registry.Server) {
+// splitByVersion parts servers of a version from all others.
+func splitByVersion(servers []registry.Server, version string) (of, others []registry.Server) {
 	for _, s := range servers {
 		if s.Version == version {
 			of = append(of, s)
--- a/rollout/verdict_test.go
+++ b/rollout/service_driver_test.go
@@ -18,8 +18,8 @@
 // the old servers.
 func TestServiceDriver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &driverWorld{token: 1, counts: map[string]rollout.Counts{}}
-		s := services(t, `{}`)
+		w := &fakeCluster{token: 1, counts: map[string]rollout.Counts{}}
+		s := newServicePicker(t, `{}`)
 		d := rollout.NewDriver("rollouts", w, w, w, s.Models, timer.New())
 		progress := func() rollout.Progress {
 			var stages rollout.Stages
@@ -48,13 +48,13 @@
 	})
 }
 
-// judged drives a roll-out in its second stage one step on by what a node has
+// stepWithCounts drives a roll-out in its second stage one step on by what a node has
 // counted, and returns how it then stands.
-func judged(t *testing.T, count func(s *rollout.ServicePicker)) rollout.Progress {
+func stepWithCounts(t *testing.T, count func(s *rollout.ServicePicker)) rollout.Progress {
 	picker := rollout.NewPicker()
 	s := rollout.NewServicePicker(picker, 0.1)
 	s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: time.Minute})
-	w := &driverWorld{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 1}}}`)}
+	w := &fakeCluster{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 1}}}`)}
 	d := rollout.NewDriver("rollouts", w, w, w, s.Models, timer.New())
 	count(s)
 	w.counts = map[string]rollout.Counts{"n": picker.Counts()}
@@ -66,8 +66,8 @@
 
 // TestLateVersion: a version whose requests are taken to other servers before
 // they could be slow is stopped all the same.
-func TestLateVersion(t *testing.T) {
-	p := judged(t, func(s *rollout.ServicePicker) {
+func TestLateAnswersStopVersion(t *testing.T) {
+	p := stepWithCounts(t, func(s *rollout.ServicePicker) {
 		for i := range 300 {
 			s.Count("s", "in-service", rollout.Answer{Kind: "look", Wait: 60 * time.Millisecond})
 			s.Count("s", "v2", rollout.Answer{Kind: "look", Wait: 160 * time.Millisecond, Late: i%2 == 0})
@@ -78,7 +78,7 @@
 
 // TestSlowVersion: answers that take several times as long as in service stop
 // the target; answers that are long in both versions do not.
-func TestSlowVersion(t *testing.T) {
+func TestSlowAnswersStopVersion(t *testing.T) {
 	tests := []struct {
 		name string
 		// wait is the target's, as a multiple of the usual one, of each
@@ -92,7 +92,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p := judged(t, func(s *rollout.ServicePicker) {
+			p := stepWithCounts(t, func(s *rollout.ServicePicker) {
 				for i := range 300 {
 					usual := 100 * time.Millisecond
 					if i%50 == 0 {
@@ -117,13 +117,13 @@
 
 // TestOftenBad: few failures in many answers stop a version that never fails
 // in service, and do not stop one that fails as often in service.
-func TestOftenBad(t *testing.T) {
+func TestFineBadIncrease(t *testing.T) {
 	for _, tt := range []struct {
 		usual int64
 		want  rollout.Verdict
 	}{{0, rollout.VerdictStopped}, {30, rollout.VerdictRunning}} {
-		w := &driverWorld{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 1}}}`)}
-		d := rollout.NewDriver("rollouts", w, w, w, services(t, `{}`).Models, timer.New())
+		w := &fakeCluster{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 1}}}`)}
+		d := rollout.NewDriver("rollouts", w, w, w, newServicePicker(t, `{}`).Models, timer.New())
 		w.counts = map[string]rollout.Counts{"n": {"s@in-service": {Answers: 3000, Bad: tt.usual}, "s@v2": {Answers: 500, Bad: 5}}}
 		d.Step(context.Background(), 1)
 		stages, err := rollout.DecodeStages(w.stored)
@@ -135,8 +135,8 @@
 // TestServiceDriverStops: failures of the target stop it in each stage.
 func TestServiceDriverStops(t *testing.T) {
 	for stage, fields := range []string{`"stage": 0, "share": 0.05`, `"stage": 1`, `"stage": 2`} {
-		w := &driverWorld{token: 1, counts: map[string]rollout.Counts{}, stored: []byte(`{"models": {"s": {"version": "v2", ` + fields + `}}}`)}
-		d := rollout.NewDriver("rollouts", w, w, w, services(t, `{}`).Models, timer.New())
+		w := &fakeCluster{token: 1, counts: map[string]rollout.Counts{}, stored: []byte(`{"models": {"s": {"version": "v2", ` + fields + `}}}`)}
+		d := rollout.NewDriver("rollouts", w, w, w, newServicePicker(t, `{}`).Models, timer.New())
 		w.counts["n"] = rollout.Counts{"s@in-service": {Answers: 500, Bad: 5}, "s@v2": {Answers: 30, Bad: 10}}
 		d.Step(context.Background(), 1)
 		var stages rollout.Stages
--- a/rollout/service_test.go
+++ b/rollout/service_test.go
@@ -15,9 +15,9 @@
 	"github.com/violettally/violettally/timer"
 )
 
-var runners = []registry.Server{{ID: "old-1", Version: "v1"}, {ID: "old-2", Version: "v1"}, {ID: "new-1", Version: "v2"}}
+var testServers = []registry.Server{{ID: "old-1", Version: "v1"}, {ID: "old-2", Version: "v1"}, {ID: "new-1", Version: "v2"}}
 
-func services(t *testing.T, stages string) *rollout.ServicePicker {
+func newServicePicker(t *testing.T, stages string) *rollout.ServicePicker {
 	picker := rollout.NewPicker()
 	must.NoError(t, picker.Apply(document.Item{Data: []byte(stages), Revision: 1}))
 	s := rollout.NewServicePicker(picker, 0.1)
@@ -35,19 +35,19 @@
 		// share of the requests that go to the target.
 		share float64
 	}{
-		{"not begun", `{}`, runners, 0},
-		{"share not known yet", stage(`"stage": 0`), runners, 0},
-		{"first stage", stage(`"stage": 0, "share": 0.05`), runners, 0.05},
-		{"second stage", stage(`"stage": 1`), runners, 0.3},
-		{"last stage", stage(`"stage": 2`), runners, 1},
-		{"complete", stage(`"stage": 2, "verdict": "complete"`), runners, 1},
-		{"stopped", stage(`"stage": 1, "verdict": "stopped"`), runners, 0},
-		{"target not there yet", stage(`"stage": 2`), runners[:2], 0},
-		{"old ones gone", stage(`"stage": 0, "share": 0.05`), runners[2:], 1},
+		{"not begun", `{}`, testServers, 0},
+		{"share not known yet", stage(`"stage": 0`), testServers, 0},
+		{"first stage", stage(`"stage": 0, "share": 0.05`), testServers, 0.05},
+		{"second stage", stage(`"stage": 1`), testServers, 0.3},
+		{"last stage", stage(`"stage": 2`), testServers, 1},
+		{"complete", stage(`"stage": 2, "verdict": "complete"`), testServers, 1},
+		{"stopped", stage(`"stage": 1, "verdict": "stopped"`), testServers, 0},
+		{"target not there yet", stage(`"stage": 2`), testServers[:2], 0},
+		{"old ones gone", stage(`"stage": 0, "share": 0.05`), testServers[2:], 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := services(t, tt.stages)
+			s := newServicePicker(t, tt.stages)
 			const keys = 2000
 			target := 0
 			for i := range keys {
@@ -67,21 +67,21 @@
 
 // TestStoppedGetsNothing: with no other server left, a stopped version still
 // gets nothing.
-func TestStoppedGetsNothing(t *testing.T) {
-	s := services(t, `{"models": {"s": {"version": "v2", "verdict": "stopped"}}}`)
-	servers, _ := s.Choose("s", "k", "", runners[2:])
+func TestStoppedVersionGetsNoRequests(t *testing.T) {
+	s := newServicePicker(t, `{"models": {"s": {"version": "v2", "verdict": "stopped"}}}`)
+	servers, _ := s.Choose("s", "k", "", testServers[2:])
 	must.SliceEmpty(t, servers)
 }
 
 // TestShareStaysStill: within a stage a session stays on its side, and from
 // stage to stage it only moves to the target.
-func TestShareStaysStill(t *testing.T) {
+func TestSessionsOnlyMoveToTarget(t *testing.T) {
 	stages := []string{`"stage": 0, "share": 0.05`, `"stage": 1`, `"stage": 2`}
 	for i := range 500 {
 		reached := false
 		for _, fields := range stages {
-			s := services(t, `{"models": {"s": {"version": "v2", `+fields+`}}}`)
-			_, version := s.Choose("s", fmt.Sprint(i), "", runners)
+			s := newServicePicker(t, `{"models": {"s": {"version": "v2", `+fields+`}}}`)
+			_, version := s.Choose("s", fmt.Sprint(i), "", testServers)
 			must.True(t, !reached || version == "v2")
 			reached = version == "v2"
 		}
@@ -91,7 +91,7 @@
 
 // TestRequestStays: a request that is sent once more stays on its version,
 // except when that is stopped or has no servers.
-func TestRequestStays(t *testing.T) {
+func TestRetryKeepsVersion(t *testing.T) {
 	running := `{"models": {"s": {"version": "v2", "stage": 2}}}`
 	stopped := `{"models": {"s": {"version": "v2", "verdict": "stopped"}}}`
 	tests := []struct {
@@ -99,14 +99,14 @@
 		servers        []registry.Server
 		want           string
 	}{
-		{running, "in-service", runners, "in-service"},
-		{running, "v2", runners, "v2"},
-		{running, "in-service", runners[2:], "v2"},
-		{running, "v2", runners[:2], "in-service"},
-		{stopped, "v2", runners, "in-service"},
+		{running, "in-service", testServers, "in-service"},
+		{running, "v2", testServers, "v2"},
+		{running, "in-service", testServers[2:], "v2"},
+		{running, "v2", testServers[:2], "in-service"},
+		{stopped, "v2", testServers, "in-service"},
 	}
 	for _, tt := range tests {
-		_, version := services(t, tt.stages).Choose("s", "k", tt.before, tt.servers)
+		_, version := newServicePicker(t, tt.stages).Choose("s", "k", tt.before, tt.servers)
 		must.Eq(t, tt.want, version, must.Sprintf("%+v", tt))
 	}
 }
@@ -114,14 +114,14 @@
 // TestSessionsUnderWay: sessions that had a request just before the first
 // stage's share is set stay on the old version during that stage, also at
 // nodes that have not seen them.
-func TestSessionsUnderWay(t *testing.T) {
+func TestActiveSessionsAreSticky(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		seenAt, elsewhere := rollout.NewPicker(), rollout.NewPicker()
 		a, b := rollout.NewServicePicker(seenAt, 0.1), rollout.NewServicePicker(elsewhere, 0.1)
 		for _, s := range []*rollout.ServicePicker{a, b} {
 			s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
 		}
-		w := &driverWorld{token: 1}
+		w := &fakeCluster{token: 1}
 		d := rollout.NewDriver("rollouts", w, w, w, a.Models, timer.New())
 		step := func() {
 			w.counts = map[string]rollout.Counts{"a": seenAt.Counts(), "b": elsewhere.Counts()}
@@ -133,7 +133,7 @@
 		step()
 		const sessions = 400
 		request := func(session string) {
-			_, version := a.Choose("s", session, "", runners)
+			_, version := a.Choose("s", session, "", testServers)
 			a.Begin("s", version, session)
 			a.End("s", version, session)
 		}
@@ -147,7 +147,7 @@
 		step()
 		moved := func(name string) (moved int) {
 			for i := range sessions {
-				if _, version := b.Choose("s", fmt.Sprint(name, i), "", runners); version == "v2" {
+				if _, version := b.Choose("s", fmt.Sprint(name, i), "", testServers); version == "v2" {
 					moved++
 				}
 			}
@@ -161,18 +161,18 @@
 
 // TestNoOrder: without an order all servers are one.
 func TestNoOrder(t *testing.T) {
-	s := services(t, `{}`)
-	servers, version := s.Choose("other", "k", "", runners)
-	must.Eq(t, runners, servers)
+	s := newServicePicker(t, `{}`)
+	servers, version := s.Choose("other", "k", "", testServers)
+	must.Eq(t, testServers, servers)
 	must.Eq(t, "", version)
 	s.RemoveOrder("s")
-	servers, _ = s.Choose("s", "k", "", runners)
-	must.Eq(t, runners, servers)
+	servers, _ = s.Choose("s", "k", "", testServers)
+	must.Eq(t, testServers, servers)
 }
 
 // TestLoaded: a stage's share falls on so few of the target's servers that
 // each carries more than it will carry in the end; all nodes take the same ones.
-func TestLoaded(t *testing.T) {
+func TestShareIsConcentrated(t *testing.T) {
 	var many []registry.Server
 	for i := range 40 {
 		many = append(many, registry.Server{ID: fmt.Sprint("old", i), Version: "v1"}, registry.Server{ID: fmt.Sprint("new", i), Version: "v2"})
@@ -183,30 +183,30 @@
 		stages string
 		want   int
 	}{{stage(`"stage": 0, "share": 0.01`), 2}, {stage(`"stage": 0, "share": 0.05`), 2}, {stage(`"stage": 1`), 7}, {stage(`"stage": 2`), 40}} {
-		servers, _ := services(t, tt.stages).Choose("s", "k", "v2", many)
+		servers, _ := newServicePicker(t, tt.stages).Choose("s", "k", "v2", many)
 		must.Len(t, tt.want, servers)
 		must.SliceContainsSubset(t, servers, last)
-		again, _ := services(t, tt.stages).Choose("s", "other", "v2", many)
+		again, _ := newServicePicker(t, tt.stages).Choose("s", "other", "v2", many)
 		must.SliceContainsAll(t, servers, again)
 		last = servers
 	}
 }
 
 // TestLoadedFew: of few servers no single one carries several times its part.
-func TestLoadedFew(t *testing.T) {
+func TestConcentrationOnFewServers(t *testing.T) {
 	for _, tt := range []struct{ servers, want int }{{3, 1}, {9, 2}, {12, 2}, {18, 3}} {
 		var all []registry.Server
 		for i := range tt.servers {
 			all = append(all, registry.Server{ID: fmt.Sprint("old", i), Version: "v1"}, registry.Server{ID: fmt.Sprint("new", i), Version: "v2"})
 		}
-		servers, _ := services(t, `{"models": {"s": {"version": "v2", "stage": 1}}}`).Choose("s", "k", "v2", all)
+		servers, _ := newServicePicker(t, `{"models": {"s": {"version": "v2", "stage": 1}}}`).Choose("s", "k", "v2", all)
 		must.Len(t, tt.want, servers)
 	}
 }
 
 // TestSlowForItsSize: an answer is slow against what its size takes, where that
 // is more than is usual for its kind.
-func TestSlowForItsSize(t *testing.T) {
+func TestSlowRelativeToExpectedWait(t *testing.T) {
 	picker := rollout.NewPicker()
 	s := rollout.NewServicePicker(picker, 0.1)
 	for range 20 {
@@ -225,7 +225,7 @@
 
 // TestSlowWithoutUsual: a node that never saw the version in service goes by
 // the objective.
-func TestSlowWithoutUsual(t *testing.T) {
+func TestSlowWithoutBaseline(t *testing.T) {
 	picker := rollout.NewPicker()
 	s := rollout.NewServicePicker(picker, 0.1)
 	for _, wait := range []time.Duration{60, 290, 310, 480} {
@@ -237,7 +237,7 @@
 
 // TestSessionBeforeOrder: a session whose request runs on the version in service
 // since before the order is under way until some time after that request's end.
-func TestSessionBeforeOrder(t *testing.T) {
+func TestSessionOfRequestBeforeOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		picker := rollout.NewPicker()
 		s := rollout.NewServicePicker(picker, 1)
