--- a/limit/grantor.go
+++ b/limit/grantor.go
@@ -7,11 +7,12 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// LimitFunc returns an account's limit in requests a second, zero for none.
+// LimitFunc returns an account's limit in requests per second, or zero if it has
+// none.
 type LimitFunc func(account string) float64
 
-// Grantor leases out shares of the accounts that the view gives to this node.
-// It is safe for concurrent use.
+// Grantor leases out shares of the limits of the accounts that the view assigns to
+// this node. It is safe for concurrent use.
 type Grantor struct {
 	limits LimitFunc
 	timers *timer.Service
@@ -21,15 +22,16 @@
 	accounts map[string]*accountLeases
 }
 
-// accountLeases is what has been leased of one account's limit.
+// accountLeases holds the leases of one account's limit, by node.
 type accountLeases struct {
 	// grantorSince is when this node became the account's grantor.
 	grantorSince time.Time
 	leases       map[string]*nodeLease
 }
 
-// nodeLease is one node's lease: what it was granted last, and what it last said
-// to hold. It may hold either, if the grant's answer was lost.
+// nodeLease is one node's lease: the share that was granted last and the share
+// that the node last reported to hold. If the response with the grant was lost,
+// the node may hold either of them.
 type nodeLease struct {
 	granted float64
 	held    float64
@@ -39,10 +41,10 @@
 
 func (l *nodeLease) maxHeld() float64 { return max(l.granted, l.held) }
 
-// takeoverGracePeriod is how long a new grantor only renews. Every node that it can
-// reach has told it by then what it holds; a node that it cannot reach may
-// hold an older lease for the rest of leaseLife, and the limit is exceeded by
-// that lease at most.
+// takeoverGracePeriod is how long a new grantor only renews leases. By its end,
+// every node that the grantor can reach has reported its lease. A node that it
+// cannot reach may hold an older lease for the rest of leaseTTL; the limit is
+// exceeded by that lease at most.
 const takeoverGracePeriod = 3 * time.Second
 
 // NewGrantor returns a grantor without leases.
@@ -50,8 +52,8 @@
 	return &Grantor{limits: limits, timers: timers, accounts: make(map[string]*accountLeases)}
 }
 
-// SetEpoch tells the grantor that the view changed and which accounts are its
-// own now. What it knew of the others is out of date and forgotten.
+// SetEpoch sets the epoch of a new view and removes the leases of accounts that
+// this node does not own any more.
 func (g *Grantor) SetEpoch(epoch int64, own func(account string) bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -63,32 +65,32 @@
 	}
 }
 
-// Grant answers an ask. It refuses asks of another epoch, since two views may
-// name two grantors.
-func (g *Grantor) Grant(ask LeaseRequest) Grant {
+// Grant responds to a lease request. It refuses requests of another epoch, since
+// two views may assign an account to two grantors.
+func (g *Grantor) Grant(request LeaseRequest) Grant {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if ask.Epoch != g.epoch {
+	if request.Epoch != g.epoch {
 		return Grant{Refused: true}
 	}
 	now := g.timers.Now()
-	o := g.leasesOf(ask.Account, now)
+	o := g.leasesOf(request.Account, now)
 	o.dropExpired(now)
-	mine := o.leases[ask.Node]
-	if mine == nil {
-		mine = &nodeLease{}
-		o.leases[ask.Node] = mine
+	lease := o.leases[request.Node]
+	if lease == nil {
+		lease = &nodeLease{}
+		o.leases[request.Node] = lease
 	}
-	mine.demand, mine.held = ask.Demand, ask.HeldShare
-	pool := g.limits(ask.Account) * (1 - unleasedFraction)
-	share := min(o.fairShare(ask.Node, pool), pool-o.heldByOthers(ask.Node))
+	lease.demand, lease.held = request.Demand, request.HeldShare
+	pool := g.limits(request.Account) * (1 - unleasedFraction)
+	share := min(o.fairShare(request.Node, pool), pool-o.heldByOthers(request.Node))
 	if now.Sub(o.grantorSince) < takeoverGracePeriod {
-		// Leases of the grantor before may still be out: renew, no more.
-		share = min(share, ask.HeldShare)
+		// Leases from the previous grantor may still be valid; only renew.
+		share = min(share, request.HeldShare)
 	}
-	mine.granted = max(0, share)
-	mine.expires = now.Add(max(leaseTTL, time.Duration(ask.HeldTTLMillis)*time.Millisecond))
-	return Grant{Share: mine.granted, TTLMillis: leaseTTL.Milliseconds()}
+	lease.granted = max(0, share)
+	lease.expires = now.Add(max(leaseTTL, time.Duration(request.HeldTTLMillis)*time.Millisecond))
+	return Grant{Share: lease.granted, TTLMillis: leaseTTL.Milliseconds()}
 }
 
 func (g *Grantor) leasesOf(account string, now time.Time) *accountLeases {
@@ -108,7 +110,7 @@
 	}
 }
 
-// heldByOthers returns what all other nodes may hold.
+// heldByOthers returns the sum of the shares that all other nodes may hold.
 func (o *accountLeases) heldByOthers(node string) float64 {
 	sum := 0.0
 	for other, l := range o.leases {
@@ -119,37 +121,37 @@
 	return sum
 }
 
-// demandHeadroom lets a share exceed the demand, so that a rise is not refused
-// before the next renewal.
+// demandHeadroom is the ratio of a share to the demand, so that a rise in demand is
+// not refused before the next renewal.
 const demandHeadroom = 1.3
 
-// fairShare fills the pool evenly up to each node's demand (max-min
-// fairness); what is left over is split evenly.
+// fairShare returns a node's share of the pool by max-min fairness over the demands
+// of all nodes. Capacity beyond all demands is divided evenly.
 func (o *accountLeases) fairShare(node string, pool float64) float64 {
-	want := make(map[string]float64, len(o.leases))
+	wanted := make(map[string]float64, len(o.leases))
 	for name, l := range o.leases {
-		want[name] = l.demand * demandHeadroom
+		wanted[name] = l.demand * demandHeadroom
 	}
-	left, open := pool, len(want)
-	share := make(map[string]float64, len(want))
-	for open > 0 {
-		even := left / float64(open)
+	remaining, unsatisfied := pool, len(wanted)
+	share := make(map[string]float64, len(wanted))
+	for unsatisfied > 0 {
+		equalShare := remaining / float64(unsatisfied)
 		filled := false
-		for name, w := range want {
-			if w <= even {
+		for name, w := range wanted {
+			if w <= equalShare {
 				share[name] = w
-				left -= w
-				open--
-				delete(want, name)
+				remaining -= w
+				unsatisfied--
+				delete(wanted, name)
 				filled = true
 			}
 		}
 		if !filled {
-			for name := range want {
-				share[name] = even
+			for name := range wanted {
+				share[name] = equalShare
 			}
 			return share[node]
 		}
 	}
-	return share[node] + left/float64(len(share))
+	return share[node] + remaining/float64(len(share))
 }
--- a/limit/limit.go
+++ b/limit/limit.go
@@ -1,15 +1,17 @@
-// Package limit holds each client account to its limit over all nodes.
+// Package limit enforces the request rate limit of each client account across all
+// nodes.
 //
-// No request asks another node. Each node leases a share of the account's
-// limit from the account's grantor, which is the node that the view names for
-// it, and renews the lease every second with its demand. The grantor never
-// has more outstanding than the limit: it counts what a node was granted or
-// says that it holds, whichever is more, until that has expired. A small part
-// of the limit is not leased but split evenly, so that a node without a lease
-// can still answer.
+// Requests are admitted locally, without a call to another node. Each node leases
+// a share of the account's limit from the account's grantor, the node that the
+// view assigns to the account, and renews the lease every second with its current
+// demand. The grantor never leases out more than the limit: until a lease
+// expires, it counts the larger of what it granted to the node and what the node
+// reports to hold. A fifth of the limit is not leased but divided evenly among
+// all nodes, so that a node without a lease can still serve requests.
 //
-// When the view names a new grantor, it renews only what nodes hold from the
-// one before, until every node that it can reach has said what that is.
+// After a change of the grantor, the new one only renews the leases that nodes
+// hold from the previous one, until every node that it can reach has reported its
+// lease.
 //
 // # Usage
 //
@@ -31,49 +33,55 @@
 
 const (
 	renewInterval = time.Second
-	// leaseTTL outlasts the removal of a dead grantor from the view, so that
-	// nodes keep their shares until there is a new one.
+	// leaseTTL is longer than the removal of a dead grantor from the view takes, so
+	// that nodes keep their shares until there is a new one.
 	leaseTTL = 15 * time.Second
-	// unleasedFraction is the part of a limit that is split evenly without leases.
+	// unleasedFraction is the fraction of a limit that is divided evenly among all
+	// nodes without leases.
 	unleasedFraction = 0.2
-	// demandSmoothing is the weight of the last second's demand in the average.
+	// demandSmoothing is the weight of the last second in the average demand.
 	demandSmoothing = 0.5
-	// idleDemand, in requests a second, is no demand. An account without it
-	// keeps a lease for idleLife, so that its next burst finds one, and renews
-	// it only as it runs out.
+	// idleDemand is the demand, in requests per second, up to which an account is
+	// idle. The lease of an idle account is renewed only shortly before it
+	// expires, and no longer than idleLeaseRetention after the last request, so
+	// that the next burst still finds a lease.
 	idleDemand         = 0.01
 	idleLeaseRetention = 10 * time.Minute
 	minBurst           = 1
 )
 
-// LeaseRequest is a node's request for a share, in requests a second.
+// LeaseRequest is a node's request for a share of an account's limit. Demand and
+// shares are in requests per second.
 type LeaseRequest struct {
 	Epoch   int64   `cbor:"1,keyasint"`
 	Account string  `cbor:"2,keyasint"`
 	Node    string  `cbor:"3,keyasint"`
 	Demand  float64 `cbor:"4,keyasint"`
-	// HeldShare is the share that the node holds now, for HeldMillis longer.
+	// HeldShare is the share that the node holds now, for another HeldTTLMillis
+	// milliseconds.
 	HeldShare     float64 `cbor:"5,keyasint"`
 	HeldTTLMillis int64   `cbor:"6,keyasint"`
 }
 
-// Grant is the answer. A refused ask leaves the node what it holds.
+// Grant is the response to a LeaseRequest. Share is in requests per second. After a
+// refusal, the node keeps the lease that it holds.
 type Grant struct {
 	Refused   bool    `cbor:"1,keyasint"`
 	Share     float64 `cbor:"2,keyasint"`
 	TTLMillis int64   `cbor:"3,keyasint"`
 }
 
-// GrantorClient finds an account's grantor and asks it.
+// GrantorClient sends lease requests to the grantor of an account.
 type GrantorClient interface {
-	// RequestLease sends the ask to the grantor that the view in force names; it fills
-	// in epoch and node.
-	RequestLease(ctx context.Context, ask LeaseRequest) (Grant, error)
-	// Members returns the number of nodes in the view.
+	// RequestLease sends the request to the account's grantor in the current view.
+	// It fills in the fields Epoch and Node.
+	RequestLease(ctx context.Context, request LeaseRequest) (Grant, error)
+	// Members returns the number of nodes in the current view.
 	Members() int
 }
 
-// Limiter is one node's part of the limits. It is safe for concurrent use.
+// Limiter enforces this node's shares of the limits. It is safe for concurrent
+// use.
 type Limiter struct {
 	grantor GrantorClient
 	timers  *timer.Service
@@ -82,7 +90,7 @@
 	accounts map[string]*accountShare
 }
 
-// accountShare is what this node may use of one account's limit.
+// accountShare is this node's share of one account's limit.
 type accountShare struct {
 	limit    float64
 	burst    int
@@ -94,7 +102,7 @@
 	usedAt   time.Time
 }
 
-// needsRenewal reports whether the share is to be renewed now.
+// needsRenewal reports whether the lease must be renewed now.
 func (s *accountShare) needsRenewal(now time.Time) bool {
 	if s.demand > idleDemand {
 		return true
@@ -102,13 +110,14 @@
 	return now.Sub(s.usedAt) < idleLeaseRetention && s.expires.Sub(now) < leaseTTL/2
 }
 
-// New returns a limiter.
-func New(grantors GrantorClient, timers *timer.Service) *Limiter {
-	return &Limiter{grantor: grantors, timers: timers, accounts: make(map[string]*accountShare)}
+// New returns a limiter without leases. Run must be called to obtain them.
+func New(grantor GrantorClient, timers *timer.Service) *Limiter {
+	return &Limiter{grantor: grantor, timers: timers, accounts: make(map[string]*accountShare)}
 }
 
-// Take takes one request out of the account's share. If there is none left,
-// it returns when to come back.
+// Take takes a token for one request from the account's share. If there is none,
+// it returns false and how long to wait before a retry. Accounts without a limit
+// are always admitted.
 func (l *Limiter) Take(account *config.Account) (wait time.Duration, ok bool) {
 	limit := account.Limits.RequestsPerSecond
 	if limit <= 0 {
@@ -141,39 +150,40 @@
 	return s
 }
 
-// updateBucket sets the bucket to the share that is in force now. The burst is
-// split like the limit, so that all buckets together hold one burst.
+// updateBucket sets the rate and burst of the token bucket to the current share.
+// The burst is divided in proportion to the rate, so that the buckets of all
+// nodes together allow one burst.
 func (l *Limiter) updateBucket(s *accountShare) {
 	now := l.timers.Now()
-	held := s.limit * unleasedFraction / float64(max(1, l.grantor.Members()))
+	current := s.limit * unleasedFraction / float64(max(1, l.grantor.Members()))
 	if l.timers.Steady().Before(s.expires) {
-		held += s.granted
+		current += s.granted
 	}
-	held = min(held, s.limit)
-	if float64(s.bucket.Limit()) != held {
-		s.bucket.SetLimitAt(now, rate.Limit(held))
+	current = min(current, s.limit)
+	if float64(s.bucket.Limit()) != current {
+		s.bucket.SetLimitAt(now, rate.Limit(current))
 	}
-	own := max(minBurst, int(float64(s.burst)*held/s.limit))
-	if s.bucket.Burst() != own {
-		s.bucket.SetBurstAt(now, own)
+	burst := max(minBurst, int(float64(s.burst)*current/s.limit))
+	if s.bucket.Burst() != burst {
+		s.bucket.SetBurstAt(now, burst)
 	}
 }
 
-// Run renews the leases until the context ends.
+// Run renews the leases every second until the context ends.
 func (l *Limiter) Run(ctx context.Context) {
 	l.timers.Every(ctx, renewInterval, func() { l.renew(ctx) })
 }
 
 func (l *Limiter) renew(ctx context.Context) {
 	var renewals sync.WaitGroup
-	for _, ask := range l.leaseRequests() {
+	for _, request := range l.leaseRequests() {
 		renewals.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, renewInterval)
 			defer cancel()
 			start := l.timers.Steady()
-			grant, err := l.grantor.RequestLease(ctx, ask)
+			grant, err := l.grantor.RequestLease(ctx, request)
 			if err == nil && !grant.Refused {
-				l.applyGrant(ask.Account, grant, start)
+				l.applyGrant(request.Account, grant, start)
 			}
 		})
 	}
@@ -184,24 +194,25 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.timers.Steady()
-	var asks []LeaseRequest
+	var requests []LeaseRequest
 	for name, s := range l.accounts {
 		s.demand = s.demand*(1-demandSmoothing) + float64(s.arrivals)*demandSmoothing
 		s.arrivals = 0
 		l.updateBucket(s)
-		ask := LeaseRequest{Account: name, Demand: s.demand}
+		request := LeaseRequest{Account: name, Demand: s.demand}
 		if now.Before(s.expires) {
-			ask.HeldShare = s.granted
-			ask.HeldTTLMillis = s.expires.Sub(now).Milliseconds()
+			request.HeldShare = s.granted
+			request.HeldTTLMillis = s.expires.Sub(now).Milliseconds()
 		}
 		if s.needsRenewal(now) {
-			asks = append(asks, ask)
+			requests = append(requests, request)
 		}
 	}
-	return asks
+	return requests
 }
 
-// applyGrant puts a grant in force. Its life counts from before the ask was sent.
+// applyGrant stores a granted share. Its TTL counts from start, before the request
+// was sent.
 func (l *Limiter) applyGrant(account string, grant Grant, start time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/limit/limit_test.go
+++ b/limit/limit_test.go
@@ -17,7 +17,8 @@
 
 const accountLimit = 100.0
 
-// testCluster is a few limiters with one grantor, which may be out of reach.
+// testCluster consists of limiters that share one grantor, which can be made
+// unreachable.
 type testCluster struct {
 	grantor     *limit.Grantor
 	nodes       []*limit.Limiter
@@ -25,7 +26,7 @@
 	epoch       atomic.Int64
 }
 
-// nodeClient is one node's way to the grantor.
+// nodeClient is one node's client of the grantor.
 type nodeClient struct {
 	cluster *testCluster
 	name    string
@@ -33,101 +34,103 @@
 
 func (l nodeClient) Members() int { return len(l.cluster.nodes) }
 
-func (l nodeClient) RequestLease(_ context.Context, ask limit.LeaseRequest) (limit.Grant, error) {
+func (l nodeClient) RequestLease(_ context.Context, request limit.LeaseRequest) (limit.Grant, error) {
 	if l.cluster.grantorDown.Load() {
-		return limit.Grant{}, fmt.Errorf("the grantor does not answer")
+		return limit.Grant{}, fmt.Errorf("the grantor is unreachable")
 	}
-	ask.Node, ask.Epoch = l.name, l.cluster.epoch.Load()
-	return l.cluster.grantor.Grant(ask), nil
+	request.Node, request.Epoch = l.name, l.cluster.epoch.Load()
+	return l.cluster.grantor.Grant(request), nil
 }
 
-func newFleet(t *testing.T, n int) *testCluster {
-	f := &testCluster{}
+func newTestCluster(t *testing.T, n int) *testCluster {
+	c := &testCluster{}
 	timers := timer.New()
 	t.Cleanup(timers.Close)
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	f.grantor = limit.NewGrantor(func(string) float64 { return accountLimit }, timers)
+	c.grantor = limit.NewGrantor(func(string) float64 { return accountLimit }, timers)
 	for i := range n {
-		f.nodes = append(f.nodes, limit.New(nodeClient{f, fmt.Sprint(i)}, timers))
+		c.nodes = append(c.nodes, limit.New(nodeClient{c, fmt.Sprint(i)}, timers))
 	}
-	for _, node := range f.nodes {
+	for _, node := range c.nodes {
 		go node.Run(ctx)
 	}
-	return f
+	return c
 }
 
-// offer sends requests to the nodes at the given rates for a while and
-// returns how many passed per second.
-func (f *testCluster) offer(d time.Duration, rates ...float64) float64 {
+// offer sends requests to the nodes at the given rates (per second) for d and
+// returns how many were admitted per second.
+func (c *testCluster) offer(d time.Duration, rates ...float64) float64 {
 	account := &config.Account{Name: "desk", Limits: config.Limits{RequestsPerSecond: accountLimit, Burst: 20}}
 	const step = 10 * time.Millisecond
 	owed := make([]float64, len(rates))
-	passed := 0
+	admitted := 0
 	for range int(d / step) {
 		for i, rate := range rates {
 			for owed[i] += rate * step.Seconds(); owed[i] >= 1; owed[i]-- {
-				if _, ok := f.nodes[i].Take(account); ok {
-					passed++
+				if _, ok := c.nodes[i].Take(account); ok {
+					admitted++
 				}
 			}
 		}
 		time.Sleep(step)
 	}
-	return float64(passed) / d.Seconds()
+	return float64(admitted) / d.Seconds()
 }
 
-// TestShares holds an account to its limit while its demand shifts from node
-// to node, and while the grantor is out or another one.
+// TestShares checks that an account's limit is enforced and used while its demand
+// shifts between nodes, while the grantor is unreachable and after the grantor has
+// changed.
 func TestShares(t *testing.T) {
 	tests := []struct {
 		name   string
-		before func(f *testCluster)
+		before func(c *testCluster)
 		rates  []float64
-		// least and most that may pass per second, in the steady state.
+		// least and most are bounds of the requests admitted per second in the
+		// steady state.
 		least, most float64
 	}{
 		{"even demand", nil, []float64{100, 100, 100, 100}, 90, 101},
-		{"one node has it all", nil, []float64{300, 0, 0, 0}, 80, 101},
-		{"demand below the limit passes", nil, []float64{40, 10, 0, 0}, 49, 51},
-		{"demand shifts", func(f *testCluster) { f.offer(10*time.Second, 300, 0, 0, 0) }, []float64{0, 0, 0, 300}, 75, 101},
-		{"grantor lost, leases held", func(f *testCluster) { f.offer(10*time.Second, 100, 100, 100, 100); f.grantorDown.Store(true) }, []float64{100, 100, 100, 100}, 45, 101},
-		{"new grantor", func(f *testCluster) {
-			f.offer(10*time.Second, 100, 100, 100, 100)
-			f.epoch.Store(2)
-			f.grantor.SetEpoch(2, func(string) bool { return false })
+		{"all demand at one node", nil, []float64{300, 0, 0, 0}, 80, 101},
+		{"demand below the limit", nil, []float64{40, 10, 0, 0}, 49, 51},
+		{"demand shifts", func(c *testCluster) { c.offer(10*time.Second, 300, 0, 0, 0) }, []float64{0, 0, 0, 300}, 75, 101},
+		{"grantor unreachable, leases still valid", func(c *testCluster) { c.offer(10*time.Second, 100, 100, 100, 100); c.grantorDown.Store(true) }, []float64{100, 100, 100, 100}, 45, 101},
+		{"new grantor", func(c *testCluster) {
+			c.offer(10*time.Second, 100, 100, 100, 100)
+			c.epoch.Store(2)
+			c.grantor.SetEpoch(2, func(string) bool { return false })
 		}, []float64{100, 100, 100, 100}, 85, 101},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleet(t, 4)
+				c := newTestCluster(t, 4)
 				if tt.before != nil {
-					tt.before(f)
+					tt.before(c)
 				}
-				f.offer(5*time.Second, tt.rates...)
-				got := f.offer(20*time.Second, tt.rates...)
-				t.Logf("%.1f requests/s passed at a limit of %.0f", got, accountLimit)
+				c.offer(5*time.Second, tt.rates...)
+				got := c.offer(20*time.Second, tt.rates...)
+				t.Logf("%.1f requests/s admitted at a limit of %.0f", got, accountLimit)
 				must.Between(t, tt.least, got, tt.most)
 			})
 		})
 	}
 }
 
-// TestBurstAfterIdling lets an account idle for minutes and then come back with
-// a burst to one node: its even part of the burst of 20 passes.
+// TestBurstAfterIdling sends a burst to one of four nodes after the account has been
+// idle for minutes. The node admits a quarter of the account's burst of 20.
 func TestBurstAfterIdling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFleet(t, 4)
-		f.offer(10*time.Second, 5, 5, 5, 5)
-		f.offer(5*time.Minute, 0, 0, 0, 0)
+		c := newTestCluster(t, 4)
+		c.offer(10*time.Second, 5, 5, 5, 5)
+		c.offer(5*time.Minute, 0, 0, 0, 0)
 		account := &config.Account{Name: "desk", Limits: config.Limits{RequestsPerSecond: accountLimit, Burst: 20}}
-		passed := 0
+		admitted := 0
 		for range 40 {
-			if _, ok := f.nodes[0].Take(account); ok {
-				passed++
+			if _, ok := c.nodes[0].Take(account); ok {
+				admitted++
 			}
 		}
-		must.Eq(t, 5, passed)
+		must.Eq(t, 5, admitted)
 	})
 }
