--- a/rollout/driver.go
+++ b/rollout/driver.go
@@ -14,29 +14,29 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// DocumentStore changes the stages at the platform and puts them in force.
+// DocumentStore updates the shared document of stages on the platform and
+// applies the result.
 type DocumentStore interface {
 	Update(ctx context.Context, name string, change func(old []byte) ([]byte, error)) (document.Item, error)
 }
 
-// Collector asks all nodes for their counts.
+// Collector collects the counts of all nodes that answer, by node ID.
 type Collector interface {
 	Collect(ctx context.Context) map[string]Counts
 }
 
-// Lease tells whether this node is the driver.
+// Lease reports whether this node holds the driver's lease for at least another
+// d, and its fencing token.
 type Lease interface {
 	Held(d time.Duration) (token int64, ok bool)
 }
 
 const (
-	// stepInterval lies between two steps of the driver.
 	stepInterval = time.Second
-	// writeTimeout is how long a write of the stages may take.
 	writeTimeout = time.Second
 )
 
-// Driver moves roll-outs on while this node holds the lease.
+// Driver advances or stops rollouts while this node holds the driver's lease.
 type Driver struct {
 	name      string
 	store     DocumentStore
@@ -45,17 +45,18 @@
 	timers    *timer.Service
 	models    func() []config.Model
 
-	// tests are by "model@version" of the candidate and what they look for:
-	// three for each candidate, of which the guards may leave out two.
+	// tests is keyed by the candidate's "model@version" and the kind of test.
+	// Each candidate has up to three tests; the guards may disable two of them.
 	tests map[string]*SequentialTest
 	nodes *nodeCounts
 }
 
-// NewDriver returns a driver that writes the shared document of that name.
-func NewDriver(name string, shared DocumentStore, collector Collector, lease Lease, models func() []config.Model, timers *timer.Service) *Driver {
+// NewDriver returns a driver of the given models' rollouts that stores its
+// progress in the shared document called name.
+func NewDriver(name string, store DocumentStore, collector Collector, lease Lease, models func() []config.Model, timers *timer.Service) *Driver {
 	return &Driver{
 		name:      name,
-		store:     shared,
+		store:     store,
 		collector: collector,
 		lease:     lease,
 		timers:    timers,
@@ -65,7 +66,7 @@
 	}
 }
 
-// Run drives until the context ends.
+// Run takes a step every second while the lease is held, until the context ends.
 func (d *Driver) Run(ctx context.Context) {
 	d.timers.Every(ctx, stepInterval, func() {
 		if token, ok := d.lease.Held(writeTimeout); ok {
@@ -74,7 +75,8 @@
 	})
 }
 
-// Step collects the counts once and writes what follows from them.
+// Step collects the counts once, updates the progress of all rollouts and writes
+// it with the fencing token. It does nothing if there is no rollout.
 func (d *Driver) Step(ctx context.Context, token int64) {
 	active := false
 	for _, m := range d.models() {
@@ -88,20 +90,21 @@
 	defer cancel()
 	_, err := d.store.Update(ctx, d.name, func(old []byte) ([]byte, error) { return d.change(old, token) })
 	if err != nil && !errors.Is(err, document.ErrUnchanged) {
-		slog.Warn("roll-outs not moved on", "error", err)
+		slog.Warn("updating rollouts failed", "error", err)
 		return
 	}
 	d.nodes.dropDeparted()
 }
 
-// change moves every roll-out on in the stored stages.
+// change returns the stored stages with the progress of every rollout updated,
+// or ErrUnchanged.
 func (d *Driver) change(old []byte, token int64) ([]byte, error) {
 	stages, err := DecodeStages(old)
 	if err != nil {
 		return nil, err
 	}
 	if stages.Token > token {
-		return nil, errs.New(Fenced, "change", "token %d is behind %d", token, stages.Token)
+		return nil, errs.New(Fenced, "change", "token %d is older than the stored token %d", token, stages.Token)
 	}
 	changed := false
 	for _, m := range d.models() {
@@ -111,7 +114,7 @@
 		before, known := stages.Models[m.Name]
 		after := d.next(&m, before, known)
 		if !known || after != before {
-			slog.Info("roll-out moved", "model", m.Name, "version", after.Version, "stage", after.Stage,
+			slog.Info("rollout progressed", "model", m.Name, "version", after.Version, "stage", after.Stage,
 				"verdict", after.Verdict.String(), "reason", after.Reason)
 			stages.Models[m.Name] = after
 			changed = true
@@ -124,7 +127,7 @@
 	return json.Marshal(stages)
 }
 
-// next returns the progress that follows from the present counts.
+// next returns the progress that follows from the current counts.
 func (d *Driver) next(m *config.Model, p Progress, known bool) Progress {
 	now := d.timers.Now().UTC()
 	if !known || p.Version != m.Rollout.Version {
@@ -163,8 +166,8 @@
 	return p.advance(last)
 }
 
-// inServiceKey is the name under which answers of the version in service are
-// counted; "" if there is none.
+// inServiceKey returns the count key of the version in service, or "" if there
+// is none.
 func inServiceKey(m *config.Model) string {
 	if v := m.InService(); v != nil {
 		return countKey(m.Name, v.Name)
@@ -172,8 +175,8 @@
 	return ""
 }
 
-// advance moves on from a stage that has been passed. What was set for that
-// stage alone is dropped.
+// advance moves to the next stage, or completes the rollout after the last one.
+// It clears the fields that apply to a single stage.
 func (p Progress) advance(last bool) Progress {
 	p.Share, p.StickySessions = 0, ""
 	if last {
@@ -185,19 +188,19 @@
 	return p
 }
 
-// measureDuration is how long requests are counted before a stage's share is
-// lowered by their number.
+// measureDuration is how long requests are counted before their rate is used to
+// size a stage.
 const measureDuration = 1500 * time.Millisecond
 
-// setShare sets the share by which a stage gives about as many answers as wanted,
-// and holds the sessions that are under way.
+// setShare sizes a stage from the measured request rate, so that the candidate
+// gives about WantSamples answers, and makes the active sessions sticky.
 func (d *Driver) setShare(m *config.Model, p Progress, stage config.Stage, baseline Count, now time.Time) Progress {
 	elapsed := now.Sub(p.StageSince).Seconds()
-	left := stage.MinSeconds - elapsed
-	if elapsed < measureDuration.Seconds() || left <= 0 {
+	remaining := stage.MinSeconds - elapsed
+	if elapsed < measureDuration.Seconds() || remaining <= 0 {
 		return p
 	}
-	expected := float64(baseline.Answers+baseline.Running) / elapsed * left
+	expected := float64(baseline.Answers+baseline.Running) / elapsed * remaining
 	p.Share = min(stage.Share, float64(stage.WantSamples)/max(1, expected))
 	inService := inServiceKey(m)
 	if inService == "" {
@@ -208,18 +211,18 @@
 	return p
 }
 
-// slightlyWorse makes the same test against a smaller increase, where there is one:
-// against a large one a few failures in many answers weigh nothing.
+// slightlyWorse runs the test with the smaller FineBadIncrease, if one is set. The
+// test with the larger increase does not detect a few failures in many answers.
 func (d *Driver) slightlyWorse(m *config.Model, candidate, baseline Count) bool {
 	guards := m.Rollout.Guards
 	if guards.FineBadIncrease == 0 {
 		return false
 	}
 	guards.MaxBadIncrease = guards.FineBadIncrease
-	return d.test(m, "often bad").Update(guards, m.Rollout.Samples(), candidate, baseline)
+	return d.test(m, "slightly worse").Update(guards, m.Rollout.Samples(), candidate, baseline)
 }
 
-// tooSlow makes the same test of slow answers, where these are counted.
+// tooSlow runs the test on slow answers, if the guards limit them.
 func (d *Driver) tooSlow(m *config.Model, candidate, baseline Count) bool {
 	guards := m.Rollout.Guards
 	if guards.MaxSlowIncrease == 0 {
@@ -231,12 +234,12 @@
 	return d.test(m, "slow").Update(guards, m.Rollout.Samples(), candidate, baseline)
 }
 
-// test returns one of the tests of a model's candidate, which last as long as
-// the process.
-func (d *Driver) test(m *config.Model, of string) *SequentialTest {
-	name := countKey(m.Name, m.Rollout.Version) + " " + of
-	if d.tests[name] == nil {
-		d.tests[name] = &SequentialTest{}
+// test returns the test of the given kind for a model's candidate and creates it
+// on first use. Tests are kept for the lifetime of the process.
+func (d *Driver) test(m *config.Model, kind string) *SequentialTest {
+	key := countKey(m.Name, m.Rollout.Version) + " " + kind
+	if d.tests[key] == nil {
+		d.tests[key] = &SequentialTest{}
 	}
-	return d.tests[name]
+	return d.tests[key]
 }
--- a/rollout/node_counts.go
+++ b/rollout/node_counts.go
@@ -1,17 +1,17 @@
 package rollout
 
-// departedAfterSteps is in how many steps in a row a node has not answered when it is
-// taken for gone.
+// departedAfterSteps is the number of consecutive steps without an answer after
+// which a node counts as departed.
 const departedAfterSteps = 3
 
-// nodeCounts is what the driver knows of the nodes' counts.
+// nodeCounts holds the counts that the driver has collected from the nodes.
 type nodeCounts struct {
-	// reported are the last counts of each node that has answered and is not
-	// gone, missed in how many steps in a row it has not answered since.
+	// reported holds the last counts of each node that has not departed, and
+	// missedSteps the number of consecutive steps that it has not answered since.
 	reported    map[string]Counts
 	missedSteps map[string]int
-	// stored are the counts of nodes that were taken for gone; one that answers
-	// again counts from there on.
+	// stored holds the counts of departed nodes that are part of the stored
+	// progress. They are subtracted if such a node answers again.
 	stored map[string]Counts
 }
 
@@ -19,7 +19,7 @@
 	return &nodeCounts{reported: make(map[string]Counts), missedSteps: make(map[string]int), stored: make(map[string]Counts)}
 }
 
-// update takes the counts of the nodes that answered in a step.
+// update records the counts of the nodes that answered in a step.
 func (n *nodeCounts) update(latest map[string]Counts) {
 	for node := range n.reported {
 		n.missedSteps[node]++
@@ -30,9 +30,8 @@
 	}
 }
 
-// totals sums up the counts of all nodes under the names of the candidate and
-// of the version in service. What nodes that are gone had counted moves to the
-// stored progress.
+// totals returns the sums over all nodes of the counts of the candidate and of
+// the version in service. It adds the counts of newly departed nodes to p.
 func (n *nodeCounts) totals(target, inService string, p *Progress) (candidate, baseline Count) {
 	for node, counts := range n.reported {
 		if n.departed(node) {
@@ -45,37 +44,39 @@
 	return candidate.add(p.DepartedCandidate.count()), baseline.add(p.DepartedBaseline.count())
 }
 
-// running returns how many requests run under a name, as far as is known. A node
-// that does not answer still has what it had: it may have been late once.
-func (n *nodeCounts) running(name string) int64 {
+// running returns the number of running requests of a count key. A node that did
+// not answer is included with its last count, because it may only have been late.
+func (n *nodeCounts) running(key string) int64 {
 	running := int64(0)
 	for node, counts := range n.reported {
 		if !n.departed(node) {
-			running += counts[name].Running + counts[name].RunningBeforeOrder
+			running += counts[key].Running + counts[key].RunningBeforeOrder
 		}
 	}
 	return running
 }
 
-// recentSessions returns the slots of the sessions that lately had a request under a
-// name, as far as is known. To hold one that is over harms nothing.
-func (n *nodeCounts) recentSessions(name string) map[uint32]bool {
+// recentSessions returns the hashes of the recent sessions of a count key. It may
+// include sessions that have ended, which does no harm.
+func (n *nodeCounts) recentSessions(key string) map[uint32]bool {
 	recent := make(map[uint32]bool)
 	for node, counts := range n.reported {
 		if n.departed(node) {
 			continue
 		}
-		for _, slot := range counts[name].RecentSessions {
-			recent[slot] = true
+		for _, hash := range counts[key].RecentSessions {
+			recent[hash] = true
 		}
 	}
 	return recent
 }
 
-// departed reports whether a node is taken for gone.
+// departed reports whether a node has missed so many steps that it counts as
+// departed.
 func (n *nodeCounts) departed(node string) bool { return n.missedSteps[node] >= departedAfterSteps }
 
-// dropDeparted drops the nodes that are gone, once what they counted is stored.
+// dropDeparted removes the departed nodes. It is called after their counts have
+// been stored.
 func (n *nodeCounts) dropDeparted() {
 	for node, counts := range n.reported {
 		if n.departed(node) {
@@ -86,23 +87,24 @@
 	}
 }
 
-// subtract returns what was counted after an earlier count of the same node.
+// subtract returns the counts minus earlier ones of the same node.
 func (c Counts) subtract(earlier Counts) Counts {
 	if len(earlier) == 0 {
 		return c
 	}
-	since := make(Counts, len(c))
+	difference := make(Counts, len(c))
 	for name, count := range c {
 		before := earlier[name]
 		count.Answers -= before.Answers
 		count.Bad -= before.Bad
 		count.Slow -= before.Slow
-		since[name] = count
+		difference[name] = count
 	}
-	return since
+	return difference
 }
 
-// add sums up two counts. Recent is left out: it is gathered by itself.
+// add returns the sum of two counts without RecentSessions, which the driver
+// gathers separately.
 func (c Count) add(other Count) Count {
 	return Count{Answers: c.Answers + other.Answers, Bad: c.Bad + other.Bad, Slow: c.Slow + other.Slow,
 		Running: c.Running + other.Running, RunningBeforeOrder: c.RunningBeforeOrder + other.RunningBeforeOrder}
--- a/rollout/picker.go
+++ b/rollout/picker.go
@@ -10,26 +10,28 @@
 	"github.com/violettally/violettally/internal/rendezvous"
 )
 
-// Picker picks versions on one node and counts their answers. It is safe for
-// concurrent use.
+// Picker picks the versions of models on one node and counts their answers. It
+// is safe for concurrent use.
 type Picker struct {
 	mu     sync.Mutex
 	stages Stages
 	counts Counts
-	// stickySessions are by model the slots of the sessions that stay on the version in
-	// service.
+	// stickySessions maps a model to the hashes of the sessions that stay on the
+	// version in service.
 	stickySessions map[string]map[uint32]bool
-	// recentSessions are by "model@version" the slots of the sessions that a first
-	// stage could move, with the time of their last request.
+	// recentSessions maps "model@version" to the sessions that the first stage
+	// could move, by their hashes.
 	recentSessions map[string]map[uint32]sessionActivity
 }
 
-// NewPicker returns a picker that knows no stage.
+// NewPicker returns a picker without stages. Until Apply is called, no session
+// goes to a version that is rolling out.
 func NewPicker() *Picker {
 	return &Picker{counts: make(Counts), recentSessions: make(map[string]map[uint32]sessionActivity)}
 }
 
-// Apply puts stored stages in force.
+// Apply replaces the stages by those of the shared document. A document that
+// cannot be decoded yields a Malformed error and changes nothing.
 func (p *Picker) Apply(item document.Item) error {
 	stages, err := DecodeStages(item.Data)
 	if err != nil {
@@ -45,7 +47,7 @@
 	return nil
 }
 
-// Progress returns the known state of a model's roll-out.
+// Progress returns the state of a model's rollout, if it is known.
 func (p *Picker) Progress(model string) (Progress, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -54,9 +56,9 @@
 }
 
 // Pick returns the version for a new session, or for a request without one.
-// The key decides on which side of the stage's share it falls, so that the
-// same session falls on the same side on every node. A version that is not
-// allowed is passed over.
+// The hash of the key is compared with the stage's share, so that every node
+// picks the same version for a session. Versions that are not allowed are
+// skipped; if none is left, the error is NoVersion.
 func (p *Picker) Pick(m *config.Model, key string, allowed func(version string) bool) (*config.Version, error) {
 	inService := m.InService()
 	if inService != nil && !allowed(inService.Name) {
@@ -75,7 +77,8 @@
 	}
 }
 
-// candidate returns the version that is rolling out, unless it was stopped.
+// candidate returns the version that is rolling out, or nil if there is none, it
+// is not allowed or it was stopped.
 func (p *Picker) candidate(m *config.Model, allowed func(string) bool) *config.Version {
 	if m.Rollout == nil || !allowed(m.Rollout.Version) {
 		return nil
@@ -92,8 +95,8 @@
 	return nil
 }
 
-// share returns the part of new sessions that goes to the candidate. Before
-// the driver has written the first stage, none does.
+// share returns the share of new sessions that goes to the candidate. It is zero
+// until the driver has written the first stage.
 func (p *Picker) share(m *config.Model) float64 {
 	progress, ok := p.Progress(m.Name)
 	switch {
@@ -109,12 +112,12 @@
 	return stage.Share
 }
 
-// position places a key in [0, 1).
+// position maps a key to a uniformly distributed value in [0, 1).
 func position(model, key string) float64 {
 	return rendezvous.Position(rendezvous.Hash(model + "/" + key))
 }
 
-// Count counts one answer of a version.
+// Count records one answer of a version.
 func (p *Picker) Count(model, version string, bad bool) { p.count(model, version, bad, false) }
 
 func (p *Picker) count(model, version string, bad, slow bool) {
@@ -132,29 +135,32 @@
 	p.counts[name] = c
 }
 
-// Begin counts a request that starts to run on a version; End counts its end.
+// Begin records that a request starts to run on a version. The caller must call
+// End when it ends.
 func (p *Picker) Begin(model, version string) {
 	p.updateRunning(model, version, func(c *Count) { c.Running++ })
 }
 
-// End is the counterpart of Begin.
+// End records the end of a request for which Begin was called.
 func (p *Picker) End(model, version string) {
 	p.updateRunning(model, version, func(c *Count) { c.Running-- })
 }
 
-// BeginBeforeOrder is Begin for a request that is sent while no roll-out is known;
-// EndEarlier counts its end, then or later.
+// BeginBeforeOrder is Begin for a request that is sent while no order is known.
+// The caller must call EndBeforeOrder when it ends, even if there is an order by
+// then.
 func (p *Picker) BeginBeforeOrder(model, version string) {
 	p.updateRunning(model, version, func(c *Count) { c.RunningBeforeOrder++ })
 }
 
-// EndBeforeOrder is the counterpart of BeginEarlier.
+// EndBeforeOrder records the end of a request for which BeginBeforeOrder was
+// called.
 func (p *Picker) EndBeforeOrder(model, version string) {
 	p.updateRunning(model, version, func(c *Count) { c.RunningBeforeOrder-- })
 }
 
-// updateRunning changes the number of requests that run on a version. It keeps no count
-// that says nothing, so that names without a roll-out don't gather.
+// updateRunning changes the number of running requests of a version. It deletes
+// counts that are all zero, so that services without a rollout use no memory.
 func (p *Picker) updateRunning(model, version string, change func(*Count)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -168,7 +174,7 @@
 	p.counts[name] = c
 }
 
-// Counts returns all counts of this node.
+// Counts returns a copy of all counts of this node.
 func (p *Picker) Counts() Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,15 +1,15 @@
-// Package rollout introduces a version in stages and stops it when it is worse
-// than the one in service.
+// Package rollout rolls out a new version in stages (canary release) and stops
+// it when it performs worse than the version in service.
 //
-// Which stage a roll-out has reached is a shared document at the platform, so
-// a roll-out that was interrupted goes on where it was, under another node.
-// Every node picks versions by the stage that it knows and counts the answers
-// of each version, good and bad; one node, which holds the driver's lease,
-// collects the counts, moves the stage on, or stops the roll-out. What a node
-// that has gone had counted stays with the stages.
+// The progress of all rollouts is a shared document on the platform, so that
+// another node can resume an interrupted rollout. Every node picks versions
+// according to the stages it knows and counts the good and bad answers of each
+// version. The node that holds the driver's lease collects the counts of all
+// nodes and then advances or stops each rollout. The counts of nodes that have
+// left are kept in the shared document.
 //
-// A [Picker] picks versions of a model. [ServicePicker] picks servers of a service
-// whose version an [Order] replaces.
+// A [Picker] picks the version of a model. A [ServicePicker] picks the servers
+// of a service whose version is replaced by an [Order].
 //
 // # Usage
 //
@@ -34,48 +34,50 @@
 var (
 	namespace = errs.Namespace("rollout")
 
-	// NoVersion says that no version of the model takes new sessions.
+	// NoVersion means that no version of the model accepts new sessions.
 	NoVersion = namespace.NewType("no_version")
-	// Malformed says that the stored stages cannot be read.
+	// Malformed means that the stored stages cannot be decoded.
 	Malformed = namespace.NewType("malformed")
-	// Fenced says that a later driver has written the stages.
+	// Fenced means that a driver with a newer token has written the stages.
 	Fenced = namespace.NewType("fenced")
 )
 
-// Verdict is how a roll-out stands.
+// Verdict is the status of a rollout.
 type Verdict int
 
-// The verdicts.
 const (
 	VerdictRunning Verdict = iota
 	VerdictStopped
 	VerdictComplete
 )
 
-// Progress is the state of one model's roll-out.
+// Progress is the state of one rollout.
 type Progress struct {
 	Version    string    `json:"version"`
 	Stage      int       `json:"stage"`
 	StageSince time.Time `json:"since"`
 	Verdict    Verdict   `json:"verdict"`
 	Reason     string    `json:"reason"`
-	// Evidence is the test's score when it last moved, and Samples the
-	// answers it rests on.
+	// Evidence is the score of the test for bad answers, recorded when a stage
+	// passes or this test stops the rollout. Samples is the number of the
+	// candidate's answers when a stage last passed or the rollout was stopped.
 	Evidence float64 `json:"evidence"`
 	Samples  int64   `json:"samples"`
-	// Share is the stage's where it has to be lowered by the number of
-	// requests; zero until that is known.
+	// Share is the traffic share of a stage that is sized by the request rate
+	// (config.Stage.WantSamples); zero until the rate is known.
 	Share float64 `json:"share,omitempty"`
-	// StickySessions lists the sessions, by their slots, that were under way when the
-	// share was set; they stay on the version in service during that stage.
+	// StickySessions holds the encoded hashes of the sessions that were active
+	// when the share was set. They stay on the version in service during that
+	// stage.
 	StickySessions string `json:"held,omitempty"`
-	// DepartedCandidate holds what nodes that have gone counted of the candidate, and
-	// GoneInService of the version in service: the next driver cannot ask them.
+	// DepartedCandidate and DepartedBaseline hold the counts of departed nodes
+	// for the candidate and for the version in service. They are stored because
+	// the next driver cannot collect them.
 	DepartedCandidate StoredCount `json:"gone,omitzero"`
 	DepartedBaseline  StoredCount `json:"gone_in_service,omitzero"`
 }
 
-// StoredCount is the part of a count that outlives its node.
+// StoredCount is the part of a Count that is kept after its node has left.
 type StoredCount struct {
 	Answers int64 `json:"answers"`
 	Bad     int64 `json:"bad"`
@@ -88,14 +90,15 @@
 
 func (t StoredCount) count() Count { return Count{Answers: t.Answers, Bad: t.Bad, Slow: t.Slow} }
 
-// Stages is the shared document: the roll-outs by model, and the fencing
-// token of the driver that wrote them.
+// Stages is the shared document: the progress of each rollout by model or
+// service name, and the fencing token of the driver that last wrote it.
 type Stages struct {
 	Token  int64               `json:"token"`
 	Models map[string]Progress `json:"models"`
 }
 
-// DecodeStages reads the shared document; no data stands for none.
+// DecodeStages decodes the shared document. Empty data yields no rollouts; other
+// data that is not valid JSON yields a Malformed error.
 func DecodeStages(data []byte) (Stages, error) {
 	s := Stages{}
 	if len(data) > 0 {
@@ -109,27 +112,27 @@
 	return s, nil
 }
 
-// Count is how many answers of a version a node has seen, and how many of
-// them were bad. Counts only grow, so that a node's latest replaces its last.
+// Count is what one node has counted for one version. Answers, Bad and Slow
+// are cumulative, so a newer count of a node replaces the older one.
 type Count struct {
 	Answers int64 `cbor:"1,keyasint" json:"answers"`
 	Bad     int64 `cbor:"2,keyasint" json:"bad"`
-	// Slow are answers that took several times as long as is usual, where
-	// that is known.
+	// Slow counts answers that took several times as long as usual, if the
+	// usual time is known.
 	Slow int64 `cbor:"5,keyasint,omitempty" json:"slow,omitempty"`
-	// Running is how many requests the node has there now; it also falls.
+	// Running is the number of requests that are running now (a gauge).
 	Running int64 `cbor:"3,keyasint" json:"running"`
-	// RunningBeforeOrder is how many requests run there that the node sent while it knew of
-	// no order. Running leaves them out, since a first stage is sized by what
-	// came since the order.
+	// RunningBeforeOrder is the number of running requests that the node sent
+	// before it knew of an order. Running excludes them, because the first
+	// stage is sized by the requests since the order.
 	RunningBeforeOrder int64 `cbor:"6,keyasint,omitempty" json:"earlier,omitempty"`
-	// RecentSessions are the slots of the sessions that lately had a request there,
-	// as far as a first stage could move them.
+	// RecentSessions holds the hashes of the sessions that recently had a
+	// request on this version and that the first stage could move.
 	RecentSessions []uint32 `cbor:"4,keyasint,omitempty" json:"recent,omitempty"`
 }
 
-// Counts are a node's counts by "model@version".
+// Counts maps "model@version" to a node's count.
 type Counts map[string]Count
 
-// countKey is the name under which a version's answers are counted.
+// countKey returns the key of a version in Counts.
 func countKey(model, version string) string { return model + "@" + version }
--- a/rollout/sequential.go
+++ b/rollout/sequential.go
@@ -7,63 +7,68 @@
 	"github.com/violettally/violettally/config"
 )
 
-// IsBad judges one answer by the guards. A rating below zero stands for none;
-// failed answers are always bad.
+// IsBad reports whether the guards count an answer as bad: it failed, its first
+// token came too late, or its rating is too low. A negative rating means none.
 func IsBad(g config.Guards, failed bool, rating float64, firstToken time.Duration) bool {
 	slow := g.MaxFirstTokenMillis > 0 && firstToken.Seconds()*1000 > g.MaxFirstTokenMillis
 	return failed || slow || (rating >= 0 && rating < g.BadRating)
 }
 
 const (
-	// defaultBadIncrease and defaultAlarm stand in for guards left at zero.
+	// defaultBadIncrease and defaultFalseAlarm replace guards that are zero.
 	defaultBadIncrease = 0.1
 	defaultFalseAlarm  = 0.01
 )
 
-// SequentialTest is a sequential test of "the candidate gives more bad answers than the
-// version in service, by the tolerated increase or more" against "no more". It
-// follows two sums of log likelihood ratios. The first runs from the start; it
-// exceeds log(1/a) for a good version with probability a at most, however long
-// it runs (Wald, 1945). The second never falls below zero, so that a version
-// that turns bad late is found too (Page, 1954); it has a new chance of a false
-// alarm with each answer, so its bound grows with the number of answers that
-// the roll-out will see. Each has half of the accepted false alarms.
+// SequentialTest tests whether the candidate's rate of bad answers exceeds that of
+// the version in service by the tolerated increase. It keeps two sums of log
+// likelihood ratios:
+//
+//   - The sequential probability ratio test (Wald, 1945) sums from the start. For
+//     a good version it exceeds log(1/a) with a probability of at most a,
+//     however long it runs.
+//   - The CUSUM test (Page, 1954) never falls below zero and so also detects a
+//     version that turns bad late. Each answer is another chance of a false
+//     alarm, so its threshold grows with the number of answers in the rollout.
+//
+// Each sum is allowed half of the accepted false alarms.
 type SequentialTest struct {
 	sprt    float64
 	cusum   float64
 	counted Count
 }
 
-// minPlannedAnswers is the least number of answers that the bound of the second sum
-// allows for.
+// minPlannedAnswers is the least number of answers that the CUSUM threshold is
+// set for.
 const minPlannedAnswers = 500
 
-// Update takes the counts so far and reports whether the candidate is to be
-// stopped. Planned is the number of answers that the whole roll-out needs.
+// Update adds the answers since the last call, given all counts so far, and reports
+// whether the candidate must be stopped. planned is the number of answers that
+// the whole rollout needs.
 func (t *SequentialTest) Update(g config.Guards, planned int, candidate, baseline Count) (stop bool) {
 	answers, bad := candidate.Answers-t.counted.Answers, candidate.Bad-t.counted.Bad
 	t.counted = candidate
 	if answers < 0 || bad < 0 {
-		// A node that counted is gone; go on from what is left.
+		// The sum has lost the counts of a node; continue from the rest.
 		return false
 	}
-	increase, alarm := orDefault(g.MaxBadIncrease, defaultBadIncrease), orDefault(g.FalseAlarm, defaultFalseAlarm)/2
-	// Laplace's estimate keeps the rate off zero while there are few answers.
-	usual := float64(baseline.Bad+1) / float64(baseline.Answers+2)
-	usual = min(usual, 1-increase-minRate)
-	worse := min(1-minRate, usual+increase)
+	increase, falseAlarm := orDefault(g.MaxBadIncrease, defaultBadIncrease), orDefault(g.FalseAlarm, defaultFalseAlarm)/2
+	// The Laplace estimate is above zero even without bad answers.
+	baselineRate := float64(baseline.Bad+1) / float64(baseline.Answers+2)
+	baselineRate = min(baselineRate, 1-increase-minRate)
+	candidateRate := min(1-minRate, baselineRate+increase)
 	good := answers - bad
-	step := float64(bad)*math.Log(worse/usual) + float64(good)*math.Log((1-worse)/(1-usual))
-	t.sprt += step
-	t.cusum = max(0, t.cusum+step)
-	bound := math.Log(1 / alarm)
-	return t.sprt >= bound || t.cusum >= bound+math.Log(float64(max(planned, minPlannedAnswers)))
+	increment := float64(bad)*math.Log(candidateRate/baselineRate) + float64(good)*math.Log((1-candidateRate)/(1-baselineRate))
+	t.sprt += increment
+	t.cusum = max(0, t.cusum+increment)
+	threshold := math.Log(1 / falseAlarm)
+	return t.sprt >= threshold || t.cusum >= threshold+math.Log(float64(max(planned, minPlannedAnswers)))
 }
 
-// minRate keeps the rates of the test within (0, 1).
+// minRate keeps the rates of the test inside (0, 1).
 const minRate = 0.001
 
-// Score returns the present evidence against the candidate.
+// Score returns the evidence against the candidate: the larger of the two sums.
 func (t *SequentialTest) Score() float64 { return max(t.sprt, t.cusum) }
 
 func orDefault(value, fallback float64) float64 {
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -14,97 +14,102 @@
 )
 
 // Order is an operator's order to replace the version of all servers of a
-// service. Servers of the target version run beside the old ones meanwhile.
-// When the roll-out is complete, the old ones are stopped at once.
+// service. During the rollout, servers of the target version run beside the old
+// ones, which are stopped as soon as the rollout is complete.
 type Order struct {
 	Service string
 	Target  string
-	// Period is the time within which the roll-out should be complete.
+	// Period is the time in which the rollout should complete.
 	Period time.Duration
 }
 
 const (
-	// firstStageFraction of the period belongs to the first stage. The platform wants
-	// sessions to stay on the old version in the first half; the rest is
-	// margin for a driver that saw the order late.
+	// firstStageFraction is the first stage's fraction of the period. The platform
+	// requires sessions to stay on the old version during the first half; the
+	// excess is a margin for a driver that received the order late.
 	firstStageFraction = 0.52
-	// firstStageWantSamples answers of the target: two of its servers then carry more
-	// than their later load for the whole stage. More would leave less of what
-	// a bad version may get to the later stages.
+	// firstStageWantSamples is the number of answers of the target that the first
+	// stage is sized for. With it, two servers carry more than their final load
+	// for the whole stage. More answers would use up too much of what a bad
+	// version may receive in all stages.
 	firstStageWantSamples = 220
-	// firstStageMinSamples are answers of the target that the first stage needs;
-	// services with few requests give no more in half a period.
+	// firstStageMinSamples is the number of answers of the target that the first
+	// stage needs. Services with few requests give no more in half a period.
 	firstStageMinSamples = 5
-	// secondStageShare is between the first stage and all, so that a version that
-	// turns bad under load does not meet all requests at once.
+	// secondStageShare is an intermediate share, so that a version that fails under
+	// load does not receive all requests at once.
 	secondStageShare = 0.3
-	// secondStageFraction of the period belongs to the second stage.
+	// secondStageFraction is the second stage's fraction of the period.
 	secondStageFraction = 0.16
 	// lastStageMinSeconds is how long all requests go to the target before the
-	// old servers may be stopped: every node has then heard of the stage.
+	// old servers may be stopped. By then every node has received the stage.
 	lastStageMinSeconds = 1.5
-	// lastStageFraction of the period belongs to the last stage at least.
+	// lastStageFraction is the last stage's least fraction of the period.
 	lastStageFraction = 0.08
-	// targetLoadFactor is how many times its later part each server of a stage carries.
-	// Load comes in waves: on a calm day a version that fails under load alone
-	// failed none of 320 answers at the load of a trough, and one in twenty at
-	// that of a crest (deploy/days/bad-under-load.toml).
+	// targetLoadFactor is the load of each target server during a stage, as a
+	// multiple of its final load. It makes up for the variation of load over time:
+	// a version that fails only under load failed none of 320 answers when load
+	// was low and one in twenty when it was high (deploy/days/bad-under-load.toml).
 	targetLoadFactor = 1.6
-	// maxLoadFactor is how many times its later part each server carries at most. One
-	// of nine servers carried 2.7 times its part, and good versions were stopped
-	// as slow in four of twelve roll-outs; two carry 1.35 times theirs.
+	// maxLoadFactor limits the load of each target server, as a multiple of its
+	// final load. With one of nine servers at 2.7 times its final load, good
+	// versions were stopped as slow in four of twelve rollouts; two servers carry
+	// 1.35 times theirs.
 	maxLoadFactor = 2.2
-	// minFirstStageServers servers get the first stage's share, so that one slow server
-	// does not speak for its version.
+	// minFirstStageServers is the least number of servers that get the first
+	// stage's share, so that one slow server does not decide about its version.
 	minFirstStageServers = 2
-	// inServiceVersion stands for whatever the servers ran before the order.
+	// inServiceVersion is the name of all versions other than the target.
 	inServiceVersion = "in-service"
 )
 
-// serviceGuards: a version is bad if its servers fail one answer in ten more,
-// seen soon, or one in two hundred more, seen over many answers, or if three in
-// ten more are slow than an eighth. One good version in a hundred may be
-// stopped by each mistake. A version that failed only under load did so in 23
-// of 1,860 answers (deploy/days/bad-under-load.toml). Up to 15 in 100 answers
-// of good versions were slow, since their servers had read no prompts; of a
-// slow version half were.
+// serviceGuards stop a version if its failure rate is 0.1 higher than in service,
+// which few answers show, or 0.005 higher, which takes many answers, or if its
+// rate of slow answers is 0.3 higher than in service, where the rate in service
+// counts as at least 0.125. Each test may stop one good version in a hundred.
+//
+// A version that failed only under load failed 23 of 1,860 answers
+// (deploy/days/bad-under-load.toml). Of the answers of good versions up to 15 in
+// 100 were slow, since the prompt caches of their servers were empty; of a slow
+// version's answers half were slow.
 var serviceGuards = config.Guards{
 	MaxBadIncrease: 0.1, FineBadIncrease: 0.005, MaxSlowIncrease: 0.3, UsualSlow: 0.125, FalseAlarm: 0.01,
 }
 
-// ServicePicker picks the servers of a service by the orders in force. It is safe
-// for concurrent use.
+// ServicePicker picks the servers of a service according to the current orders.
+// It is safe for concurrent use.
 type ServicePicker struct {
 	picker *Picker
-	// firstStageShare of the requests that a first stage gives to the target.
+	// firstStageShare is the largest share of requests that the first stage sends
+	// to the target.
 	firstStageShare float64
 	baseline        waitBaseline
 
 	mu sync.Mutex
-	// models are the orders by service, as declarations of a roll-out.
+	// models maps a service to its order in the form of a model's rollout.
 	models map[string]config.Model
 }
 
-// Answer is what one answer of a server tells of its version.
+// Answer describes one answer of a server as evidence on its version.
 type Answer struct {
-	// Kind groups requests that usually take equally long.
+	// Kind groups requests that usually take about the same time.
 	Kind string
-	// Failed says that the server itself answered with a failure. A server
-	// that crashes, or an answer that is lost, tells nothing of the version.
+	// Failed means that the server itself answered with a failure. Server crashes
+	// and lost answers are no evidence on the version and are not counted.
 	Failed bool
-	// Wait is how long the answer took to begin, Expected how long a server that
-	// does nothing else takes for it; zero if that is not known.
+	// Wait is the time until the answer began. Expected is that time on an
+	// otherwise idle server, or zero if it is not known.
 	Wait, Expected time.Duration
-	// Late says that there was none when the request was taken to another
+	// Late means that no answer had begun when the request was moved to another
 	// server.
 	Late bool
-	// Objective is what the route promises, zero for nothing. A node that does
-	// not know yet what is usual goes by that.
+	// Objective is the route's objective for Wait, or zero if it has none. It is
+	// used while the node has no baseline for the kind.
 	Objective time.Duration
 }
 
-// NewServicePicker returns a picker of servers without orders. The first stage of
-// a roll-out gives the target the given share of the requests.
+// NewServicePicker returns a service picker without orders. The first stage of a
+// rollout gives the target at most the given share of the requests.
 func NewServicePicker(picker *Picker, share float64) *ServicePicker {
 	return &ServicePicker{
 		picker:          picker,
@@ -114,7 +119,7 @@
 	}
 }
 
-// SetOrder puts an order in force in place of the service's last one.
+// SetOrder sets the order for a service and replaces an earlier one.
 func (s *ServicePicker) SetOrder(o Order) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,17 +140,17 @@
 			Replace: true,
 		},
 	}
-	slog.Info("roll-out ordered", "service", o.Service, "target", o.Target, "period_ms", o.Period.Milliseconds())
+	slog.Info("rollout ordered", "service", o.Service, "target", o.Target, "period_ms", o.Period.Milliseconds())
 }
 
-// RemoveOrder takes back the order for a service.
+// RemoveOrder removes the order for a service, if there is one.
 func (s *ServicePicker) RemoveOrder(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.models, service)
 }
 
-// Models returns the services that have an order, as the driver sees them.
+// Models returns the services that have an order, as models for the driver.
 func (s *ServicePicker) Models() []config.Model {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,11 +161,13 @@
 	return models
 }
 
-// Choose returns the servers that may get a request, and the name under which
-// their answers are counted; "" if the service has no order. The key decides
-// on which side of the share the request falls: its session, or else its ID.
-// A request that was counted under a name before stays there while it can.
-func (s *ServicePicker) Choose(service, key, before string, servers []registry.Server) ([]registry.Server, string) {
+// Choose returns the servers that may get a request and the version name under
+// which their answers are counted, or "" if the service has no order or no version
+// can be picked. The key is the request's session, or else its ID; its hash is
+// compared with the stage's share. previous is the version name of an earlier
+// attempt of the request, if any: the request stays on that version unless the
+// rollout was stopped or the version has no servers.
+func (s *ServicePicker) Choose(service, key, previous string, servers []registry.Server) ([]registry.Server, string) {
 	s.mu.Lock()
 	m, ordered := s.models[service]
 	s.mu.Unlock()
@@ -170,25 +177,25 @@
 	target := m.Rollout.Version
 	picked, err := s.picker.Pick(&m, key, func(string) bool { return true })
 	if err != nil {
-		slog.Error("roll-out gives no version; any server may be picked", "service", service, "error", err)
+		slog.Error("picking a version failed; any server may be picked", "service", service, "error", err)
 		return servers, ""
 	}
 	stopped := s.stopped(service, target)
 	toTarget := picked.Name == target
-	if before != "" && !stopped {
-		toTarget = before == target
+	if previous != "" && !stopped {
+		toTarget = previous == target
 	}
-	newer, older := splitByVersion(servers, target)
-	if len(newer) > 0 && !stopped && (toTarget || len(older) == 0) {
-		return s.concentrate(&m, newer, len(older)), target
+	targetServers, oldServers := splitByVersion(servers, target)
+	if len(targetServers) > 0 && !stopped && (toTarget || len(oldServers) == 0) {
+		return s.concentrate(&m, targetServers, len(oldServers)), target
 	}
-	return older, inServiceVersion
+	return oldServers, inServiceVersion
 }
 
-// Begin counts a request of a session that Choose gave a version, "" for none, and
-// that is sent now; End counts its end. Requests to the version in service are
-// counted without an order too, and their sessions remembered: a stream that was
-// there before the order may end long after it, and its session goes on.
+// Begin records that a request with the version name from Choose is sent. The
+// caller must call End when it ends. Requests to the version in service and their
+// sessions are tracked even without an order (version ""), because a stream may
+// begin before the order and end long after it.
 func (s *ServicePicker) Begin(service, version, key string) {
 	if version == "" {
 		s.picker.BeginBeforeOrder(service, inServiceVersion)
@@ -198,7 +205,7 @@
 	s.trackSession(service, version, key, 1)
 }
 
-// End is the counterpart of Begin.
+// End records the end of a request for which Begin was called.
 func (s *ServicePicker) End(service, version, key string) {
 	if version == "" {
 		s.picker.EndBeforeOrder(service, inServiceVersion)
@@ -214,22 +221,22 @@
 	}
 }
 
-// concentrate returns so few of the target's servers that each carries, with the
-// stage's share, overLoad times what it will carry in the end, but leastLoaded
-// at least in the first stage. A version may be bad only under load, and the
-// first requests, spread over all servers, are no load. All nodes take the same
-// servers, and more of them as the share rises.
-func (s *ServicePicker) concentrate(m *config.Model, servers []registry.Server, older int) []registry.Server {
+// concentrate returns so few of the target's servers that the stage's share loads
+// each with about targetLoadFactor times its final load, but at least
+// minFirstStageServers in the first stage. A version may be bad only under load,
+// and a small share that is spread over all servers loads none of them. All nodes
+// return the same servers, and more of them as the share rises.
+func (s *ServicePicker) concentrate(m *config.Model, servers []registry.Server, oldServers int) []registry.Server {
 	share := s.picker.share(m)
-	if share <= 0 || share >= 1 || older == 0 {
+	if share <= 0 || share >= 1 || oldServers == 0 {
 		return servers
 	}
-	least := minFirstStageServers
+	minServers := minFirstStageServers
 	if share >= secondStageShare {
-		least = 1 // a service of few servers would see no load otherwise
+		minServers = 1 // otherwise a service with few servers would not be loaded
 	}
 	load := share * float64(len(servers))
-	n := max(least, int(math.Floor(load/targetLoadFactor)))
+	n := max(minServers, int(math.Floor(load/targetLoadFactor)))
 	if load/float64(n) > maxLoadFactor {
 		n++
 	}
@@ -254,7 +261,7 @@
 	return chosen
 }
 
-// Count takes one answer as evidence on a version that Choose named.
+// Count records one answer as evidence on a version name returned by Choose.
 func (s *ServicePicker) Count(service, version string, a Answer) {
 	slow := a.Late || s.baseline.isSlow(a)
 	if version == inServiceVersion && !a.Failed && !a.Late {
@@ -263,20 +270,20 @@
 	s.picker.count(service, version, a.Failed, slow)
 }
 
-// stopped reports whether the roll-out to a target was stopped as worse.
+// stopped reports whether the rollout of the target was stopped.
 func (s *ServicePicker) stopped(service, target string) bool {
 	progress, ok := s.picker.Progress(service)
 	return ok && progress.Version == target && progress.Verdict == VerdictStopped
 }
 
-// splitByVersion parts servers of a version from all others.
-func splitByVersion(servers []registry.Server, version string) (of, others []registry.Server) {
+// splitByVersion separates the servers of a version from all others.
+func splitByVersion(servers []registry.Server, version string) (matching, others []registry.Server) {
 	for _, s := range servers {
 		if s.Version == version {
-			of = append(of, s)
+			matching = append(matching, s)
 		} else {
 			others = append(others, s)
 		}
 	}
-	return of, others
+	return matching, others
 }
--- a/rollout/sessions.go
+++ b/rollout/sessions.go
@@ -10,90 +10,90 @@
 	"github.com/violettally/violettally/internal/rendezvous"
 )
 
-// sessionTimeout is how long after its last request a session is under way; the
+// sessionTimeout is how long a session stays active after its last request. The
 // deployments agree on 5 s.
 const sessionTimeout = 5 * time.Second
 
-// sessionHash names a session in few bytes: the upper half of the hash that decides
-// its position. Two sessions of one slot are held together, which harms
-// neither.
+// sessionHash returns a short identifier of a session: the upper half of the hash
+// that determines its position. If two sessions collide, both are sticky, which
+// does no harm.
 func sessionHash(model, key string) uint32 { return uint32(rendezvous.Hash(model+"/"+key) >> 32) }
 
-// isSticky reports whether a session stays on the version in service.
+// isSticky reports whether a session must stay on the version in service.
 func (p *Picker) isSticky(model, key string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.stickySessions[model][sessionHash(model, key)]
 }
 
-// maxRecentSessions bounds the sessions that are remembered of a version before those
-// that are over are looked for.
+// maxRecentSessions is the number of sessions of a version above which expired
+// ones are removed before another is added.
 const maxRecentSessions = 4096
 
-// sessionActivity is what is known of a session: when it last began or ended a request,
-// and how many run.
+// sessionActivity holds when a session last began or ended a request, and how many
+// of its requests are running.
 type sessionActivity struct {
 	lastEvent time.Time
 	running   int
 }
 
-// expired reports whether a session is not under way any more.
+// expired reports whether a session is no longer active.
 func (s sessionActivity) expired() bool {
 	return s.running <= 0 && time.Since(s.lastEvent) > sessionTimeout
 }
 
-// TrackSession notes that a request of a session to a version begins, with a change
-// of 1, or ends, with one of -1, if a first stage of the given share could move
-// the session.
+// TrackSession records that a request of a session to a version begins (change 1)
+// or ends (change -1). It ignores sessions that a first stage of the given share
+// could not move.
 func (p *Picker) TrackSession(model, version, key string, share float64, change int) {
 	if position(model, key) >= share {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	name := countKey(model, version)
-	if p.recentSessions[name] == nil {
-		p.recentSessions[name] = make(map[uint32]sessionActivity)
+	versionKey := countKey(model, version)
+	if p.recentSessions[versionKey] == nil {
+		p.recentSessions[versionKey] = make(map[uint32]sessionActivity)
 	}
-	if len(p.recentSessions[name]) >= maxRecentSessions {
-		p.activeSessions(name)
+	if len(p.recentSessions[versionKey]) >= maxRecentSessions {
+		p.activeSessions(versionKey)
 	}
-	slot := sessionHash(model, key)
-	p.recentSessions[name][slot] = sessionActivity{lastEvent: time.Now(), running: p.recentSessions[name][slot].running + change}
+	hash := sessionHash(model, key)
+	p.recentSessions[versionKey][hash] = sessionActivity{lastEvent: time.Now(), running: p.recentSessions[versionKey][hash].running + change}
 }
 
-// activeSessions returns the slots of sessions that are under way on a
-// "model@version", and forgets those that are not. The caller holds mu.
-func (p *Picker) activeSessions(name string) []uint32 {
-	var slots []uint32
-	for slot, s := range p.recentSessions[name] {
+// activeSessions returns the hashes of the active sessions of a "model@version"
+// and removes the expired ones. The caller must hold mu.
+func (p *Picker) activeSessions(key string) []uint32 {
+	var hashes []uint32
+	for hash, s := range p.recentSessions[key] {
 		if s.expired() {
-			delete(p.recentSessions[name], slot)
+			delete(p.recentSessions[key], hash)
 			continue
 		}
-		slots = append(slots, slot)
+		hashes = append(hashes, hash)
 	}
-	return slots
+	return hashes
 }
 
-// encodeSessions writes slots in hexadecimal and in order, so that the stages that
-// hold them can be compared.
-func encodeSessions(slots map[uint32]bool) string {
-	texts := make([]string, 0, len(slots))
-	for _, slot := range slices.Sorted(maps.Keys(slots)) {
-		texts = append(texts, strconv.FormatUint(uint64(slot), 16))
+// encodeSessions encodes session hashes as a sorted, comma-separated list of
+// hexadecimal numbers. The order makes equal sets compare equal.
+func encodeSessions(hashes map[uint32]bool) string {
+	texts := make([]string, 0, len(hashes))
+	for _, hash := range slices.Sorted(maps.Keys(hashes)) {
+		texts = append(texts, strconv.FormatUint(uint64(hash), 16))
 	}
 	return strings.Join(texts, ",")
 }
 
-// decodeSessions reads what encodeSlots wrote. It passes over what is no slot: the
-// worst is a session that moves.
+// decodeSessions decodes the output of encodeSessions. It skips invalid entries:
+// at worst, a session changes its version.
 func decodeSessions(text string) map[uint32]bool {
-	slots := make(map[uint32]bool)
+	hashes := make(map[uint32]bool)
 	for _, field := range strings.Split(text, ",") {
-		if slot, err := strconv.ParseUint(field, 16, 32); err == nil {
-			slots[uint32(slot)] = true
+		if hash, err := strconv.ParseUint(field, 16, 32); err == nil {
+			hashes[uint32(hash)] = true
 		}
 	}
-	return slots
+	return hashes
 }
--- a/rollout/wait_baseline.go
+++ b/rollout/wait_baseline.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// slowFactor times the usual wait, and slowMargin more, is slow. Bad
-	// versions are several times slower; waits of a good one scatter with the
-	// length of the prompts and the load, and do so in both versions.
+	// An answer is slow if its wait exceeds slowFactor times the baseline plus
+	// slowMargin. Bad versions are several times slower. The waits of a good one
+	// vary with prompt length and load, as do those of the version in service.
 	slowFactor = 4
 	slowMargin = 100 * time.Millisecond
-	// waitSmoothing is the weight of one answer in the usual wait.
+	// waitSmoothing is the weight of one answer in the moving average.
 	waitSmoothing = 0.05
-	// minBaselineSamples are needed before a wait is called slow.
+	// minBaselineSamples is the number of answers needed before the baseline is
+	// used.
 	minBaselineSamples = 10
 )
 
-// waitBaseline follows how long the versions in service take until their answers
-// begin, by kind of request. It is safe for concurrent use.
+// waitBaseline averages the time until answers of the version in service begin,
+// by kind of request. It is safe for concurrent use.
 type waitBaseline struct {
 	mu    sync.Mutex
 	waits map[string]*meanWait
@@ -29,29 +30,29 @@
 	samples int
 }
 
-// isSlow reports whether an answer took several times as long as is usual, and as
-// it would for its size: one long prompt in ten takes four times what is usual
-// for its kind, and more of them at servers whose caches are empty yet. A node
-// that started late in a roll-out may never learn what was usual before it; an
-// answer beyond its objective is slow there.
-func (u *waitBaseline) isSlow(a Answer) bool {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	w := u.waits[a.Kind]
+// isSlow reports whether the wait for an answer is several times both the baseline
+// of its kind and the wait expected for its size. The expected wait matters
+// because one long prompt in ten takes four times the baseline, and more do on
+// servers whose caches are still empty. Without a baseline, as on a node that
+// started late in a rollout, an answer is slow if it misses its objective.
+func (b *waitBaseline) isSlow(a Answer) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	w := b.waits[a.Kind]
 	if w == nil || w.samples < minBaselineSamples {
 		return a.Objective > 0 && a.Wait > a.Objective
 	}
 	return a.Wait > slowFactor*max(w.mean, a.Expected)+slowMargin
 }
 
-func (u *waitBaseline) observe(kind string, took time.Duration) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	w := u.waits[kind]
+func (b *waitBaseline) observe(kind string, wait time.Duration) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	w := b.waits[kind]
 	if w == nil {
-		w = &meanWait{mean: took}
-		u.waits[kind] = w
+		w = &meanWait{mean: wait}
+		b.waits[kind] = w
 	}
-	w.mean += time.Duration(waitSmoothing * float64(took-w.mean))
+	w.mean += time.Duration(waitSmoothing * float64(wait-w.mean))
 	w.samples++
 }
