--- a/admit/admit.go
+++ b/admit/admit.go
@@ -1,18 +1,20 @@
-// Package admit decides who runs now, who waits and who is refused at once.
+// Package admit implements admission control: a request runs now, waits in a queue
+// or is refused.
 //
-// Each node keeps one queue per backend pool, sized to the node's part of the
-// pool. A request that cannot make its deadline is refused when it comes, with
-// the time after which to come back, and not when the deadline has passed.
-// Higher priorities go first; within a priority the account with the least
-// work running goes first, so that one account that floods does not starve
-// the others. Patient work yields, but keeps a floor of the capacity and rises
-// with its age, so that it finishes.
+// Each node has one queue per backend pool, sized to the node's part of the pool.
+// A request that is not expected to meet its deadline is refused on arrival, with
+// the time after which to retry, rather than when the deadline has passed. Higher
+// priorities go first. Within a priority, the account with the fewest running
+// requests goes first, so that one account with many requests does not starve the
+// others. Requests of patient priority go last, but have a guaranteed share of the
+// capacity and are promoted to standard priority after a while, so that they
+// complete.
 //
 // # Usage
 //
 //	release, err := queue.Acquire(ctx, admit.Request{Account: "dispatch", …})
 //	if err != nil {
-//		return err // admit.Refused, with RetryAfter
+//		return err // Late, Full or GivenUp; see RetryAfter
 //	}
 //	defer release()
 package admit
@@ -32,17 +34,19 @@
 var (
 	namespace = errs.Namespace("admit")
 
-	// Late says that the request cannot make its deadline.
+	// Late means that the request is not expected to meet its deadline.
 	Late = namespace.NewType("late")
-	// Full says that the queue has no room.
+	// Full means that the queue has no room for the request's priority.
 	Full = namespace.NewType("full")
-	// GivenUp says that the caller left or the deadline passed in the queue.
+	// GivenUp means that the context ended or the deadline passed while the
+	// request waited.
 	GivenUp = namespace.NewType("given_up")
 )
 
 var retryAfterProperty = errorx.RegisterProperty("retry_after")
 
-// RetryAfter returns when a refused request may come back.
+// RetryAfter returns how long to wait before a refused request is retried. It is
+// zero for errors other than Late and Full.
 func RetryAfter(err error) time.Duration {
 	value, _ := errorx.ExtractProperty(err, retryAfterProperty)
 	wait, _ := value.(time.Duration)
@@ -50,29 +54,33 @@
 }
 
 const (
-	// patientMinShare is the share of the capacity that patient work keeps.
+	// patientMinShare is the guaranteed share of the capacity for requests of
+	// patient priority.
 	patientMinShare = 0.1
-	// patientAgingTime is the wait after which patient work counts as standard.
+	// patientAgingTime is the wait after which a patient request has standard
+	// priority.
 	patientAgingTime = 30 * time.Second
-	// maxWaitingPerSlot bounds the queue of the priorities above patient.
+	// maxWaitingPerSlot is the number of waiting requests of the same and higher
+	// priorities, per slot of capacity, at which a request above patient priority
+	// is refused.
 	maxWaitingPerSlot = 16
-	// maxPatientPerSlot bounds the queue of patient work, which may be long.
+	// maxPatientPerSlot is the same for patient requests, which may wait long.
 	maxPatientPerSlot = 256
-	// serviceTimeSmoothing is the weight of one request in the mean service time.
+	// serviceTimeSmoothing is the weight of one request in meanServiceTime.
 	serviceTimeSmoothing = 0.05
-	// minRetryAfter keeps refused callers from coming back at once.
+	// minRetryAfter keeps refused callers from retrying immediately.
 	minRetryAfter = 200 * time.Millisecond
 )
 
-// Request is one request's claim to capacity.
+// Request describes a request to be admitted.
 type Request struct {
 	Account  string
 	Priority config.Priority
-	// Deadline by which the work has to be done; zero for none.
+	// Deadline is when the request must have completed; zero for none.
 	Deadline time.Time
 }
 
-// Queue admits the requests to one pool. It is safe for concurrent use.
+// Queue admits requests to one backend pool. It is safe for concurrent use.
 type Queue struct {
 	capacity func() int
 
@@ -85,8 +93,8 @@
 	admissionIntervals map[string]*admissionInterval
 }
 
-// waiter is a request in the queue. Its channel is closed when it is admitted
-// or, with late set, refused.
+// waiter is a request in the queue. decided is closed when the request is admitted,
+// or refused if late is set.
 type waiter struct {
 	request Request
 	arrived time.Time
@@ -94,55 +102,56 @@
 	late    bool
 }
 
-// admissionInterval is how fast an account's waiting requests are admitted, which under
-// fairness is not how fast the queue moves.
+// admissionInterval averages the time between admissions of an account's waiting
+// requests. Because of fairness it differs from that of the whole queue.
 type admissionInterval struct {
 	lastAdmission time.Time
 	mean          time.Duration
 }
 
-// intervalSmoothing is the weight of one admission in an account's pace.
+// intervalSmoothing is the weight of one admission in the mean interval.
 const intervalSmoothing = 0.1
 
-func (p *admissionInterval) observe(now time.Time) {
-	p.mean += time.Duration(intervalSmoothing * float64(now.Sub(p.lastAdmission)-p.mean))
-	p.lastAdmission = now
+func (a *admissionInterval) observe(now time.Time) {
+	a.mean += time.Duration(intervalSmoothing * float64(now.Sub(a.lastAdmission)-a.mean))
+	a.lastAdmission = now
 }
 
-// New returns an empty queue. Its capacity is asked for anew each time.
+// New returns an empty queue. capacity returns the number of requests that may run
+// at once; it is called for each decision.
 func New(capacity func() int) *Queue {
 	return &Queue{capacity: capacity, runningByAccount: make(map[string]int), admissionIntervals: make(map[string]*admissionInterval)}
 }
 
-// Acquire waits until the request may run. The function that it returns must
-// be called when the work has ended.
-func (q *Queue) Acquire(ctx context.Context, t Request) (release func(), err error) {
-	w, err := q.submit(t)
+// Acquire waits until the request may run. The caller must call release when the
+// request has ended. The error is Late, Full or GivenUp.
+func (q *Queue) Acquire(ctx context.Context, r Request) (release func(), err error) {
+	w, err := q.submit(r)
 	if err != nil {
 		return nil, err
 	}
-	var late <-chan time.Time
-	if !t.Deadline.IsZero() {
-		timer := time.NewTimer(time.Until(t.Deadline))
+	var expired <-chan time.Time
+	if !r.Deadline.IsZero() {
+		timer := time.NewTimer(time.Until(r.Deadline))
 		defer timer.Stop()
-		late = timer.C
+		expired = timer.C
 	}
 	select {
 	case <-w.decided:
 		return q.result(w)
 	case <-ctx.Done():
 		err = ctx.Err()
-	case <-late:
+	case <-expired:
 		err = context.DeadlineExceeded
 	}
 	if !q.remove(w) {
-		// It was decided in the same moment.
+		// The request was admitted or refused at the same moment.
 		return q.result(w)
 	}
 	return nil, errs.Wrap(GivenUp, "acquire", err, "waited %s", time.Since(w.arrived).Round(time.Millisecond))
 }
 
-// result returns what became of a request that has left the queue.
+// result returns the outcome of a request that was admitted or refused.
 func (q *Queue) result(w *waiter) (release func(), err error) {
 	if w.late {
 		return nil, newRefusal(Late, minRetryAfter, "waited %s and cannot make the deadline any more", time.Since(w.arrived).Round(time.Millisecond))
@@ -150,21 +159,21 @@
 	return q.releaser(w.request), nil
 }
 
-// submit admits, queues or refuses a request.
-func (q *Queue) submit(t Request) (*waiter, error) {
+// submit admits, queues or refuses a new request.
+func (q *Queue) submit(r Request) (*waiter, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	capacity := max(1, q.capacity())
-	w := &waiter{request: t, arrived: time.Now(), decided: make(chan struct{})}
+	w := &waiter{request: r, arrived: time.Now(), decided: make(chan struct{})}
 	if q.running < capacity && len(q.waiting) == 0 {
 		q.admit(w)
 		return w, nil
 	}
-	wait := q.expectedWait(t, capacity)
-	if !t.Deadline.IsZero() && time.Now().Add(wait+q.meanServiceTime).After(t.Deadline) {
+	wait := q.expectedWait(r, capacity)
+	if !r.Deadline.IsZero() && time.Now().Add(wait+q.meanServiceTime).After(r.Deadline) {
 		return nil, newRefusal(Late, wait, "would wait %s and run %s", wait.Round(time.Millisecond), q.meanServiceTime.Round(time.Millisecond))
 	}
-	if q.countAhead(t.Priority) >= capacity*q.maxWaiting(t.Priority) {
+	if q.countAhead(r.Priority) >= capacity*q.maxWaiting(r.Priority) {
 		return nil, newRefusal(Full, wait, "%d requests wait", len(q.waiting))
 	}
 	q.waiting = append(q.waiting, w)
@@ -183,30 +192,31 @@
 	return err.WithProperty(retryAfterProperty, max(minRetryAfter, wait))
 }
 
-// expectedWait estimates how long a new request waits: behind those of its
-// priority and above, or, since accounts take turns, behind its account's own
-// at the account's part of the capacity, whichever is less. What the account's
-// requests really waited for lately corrects both upwards.
-func (q *Queue) expectedWait(t Request, capacity int) time.Duration {
-	own, accounts := 1, map[string]bool{t.Account: true}
+// expectedWait estimates how long a new request will wait. It is the smaller of the
+// time to admit all waiting requests of the same and higher priorities and, since
+// accounts take turns, the time to admit the account's own waiting requests at an
+// equal part of the capacity. If the account already has requests waiting, it is at
+// least the estimate from their recent admission interval.
+func (q *Queue) expectedWait(r Request, capacity int) time.Duration {
+	ownWaiting, accounts := 1, map[string]bool{r.Account: true}
 	for _, w := range q.waiting {
-		if w.request.Priority < t.Priority {
+		if w.request.Priority < r.Priority {
 			continue
 		}
 		accounts[w.request.Account] = true
-		if w.request.Account == t.Account {
-			own++
+		if w.request.Account == r.Account {
+			ownWaiting++
 		}
 	}
-	places := min(q.countAhead(t.Priority)+1, own*len(accounts))
-	wait := time.Duration(float64(places) / float64(capacity) * float64(q.meanServiceTime))
-	if p := q.admissionIntervals[t.Account]; p != nil && own > 1 {
-		wait = max(wait, time.Duration(own)*p.mean)
+	position := min(q.countAhead(r.Priority)+1, ownWaiting*len(accounts))
+	wait := time.Duration(float64(position) / float64(capacity) * float64(q.meanServiceTime))
+	if interval := q.admissionIntervals[r.Account]; interval != nil && ownWaiting > 1 {
+		wait = max(wait, time.Duration(ownWaiting)*interval.mean)
 	}
 	return wait
 }
 
-// countAhead counts the waiting requests of a priority and above.
+// countAhead returns the number of waiting requests of a priority or higher.
 func (q *Queue) countAhead(p config.Priority) int {
 	n := 0
 	for _, w := range q.waiting {
@@ -226,21 +236,21 @@
 	close(w.decided)
 }
 
-// releaser returns the function that ends a request's work, once.
-func (q *Queue) releaser(t Request) func() {
+// releaser returns a function that releases a request's capacity once.
+func (q *Queue) releaser(r Request) func() {
 	start := time.Now()
 	var once sync.Once
-	return func() { once.Do(func() { q.release(t, time.Since(start)) }) }
+	return func() { once.Do(func() { q.release(r, time.Since(start)) }) }
 }
 
-func (q *Queue) release(t Request, took time.Duration) {
+func (q *Queue) release(r Request, took time.Duration) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.running--
-	if q.runningByAccount[t.Account]--; q.runningByAccount[t.Account] == 0 {
-		delete(q.runningByAccount, t.Account)
+	if q.runningByAccount[r.Account]--; q.runningByAccount[r.Account] == 0 {
+		delete(q.runningByAccount, r.Account)
 	}
-	if t.Priority == config.PriorityPatient {
+	if r.Priority == config.PriorityPatient {
 		q.runningPatient--
 	}
 	if q.meanServiceTime == 0 {
@@ -250,15 +260,15 @@
 	q.fill()
 }
 
-// fill admits waiting requests while there is capacity. One that has waited
-// too long to make its deadline gives its place to the next.
+// fill admits waiting requests while there is capacity. It refuses those that are
+// no longer expected to meet their deadline.
 func (q *Queue) fill() {
 	capacity := max(1, q.capacity())
 	now := time.Now()
 	for q.running < capacity && len(q.waiting) > 0 {
-		at := q.next(capacity)
-		w := q.waiting[at]
-		q.waiting = append(q.waiting[:at], q.waiting[at+1:]...)
+		index := q.next(capacity)
+		w := q.waiting[index]
+		q.waiting = append(q.waiting[:index], q.waiting[index+1:]...)
 		q.recordAdmission(w, now)
 		if deadline := w.request.Deadline; !deadline.IsZero() && now.Add(q.meanServiceTime).After(deadline) {
 			w.late = true
@@ -269,48 +279,50 @@
 	}
 }
 
-// recordAdmission counts an admission; the pace starts anew once an account has
-// nothing waiting.
+// recordAdmission updates the account's admission interval as a request leaves the
+// queue. The interval is reset if the last one left before this request arrived,
+// since the account had nothing waiting in between.
 func (q *Queue) recordAdmission(w *waiter, now time.Time) {
-	p := q.admissionIntervals[w.request.Account]
-	if p == nil || p.lastAdmission.Before(w.arrived) {
+	interval := q.admissionIntervals[w.request.Account]
+	if interval == nil || interval.lastAdmission.Before(w.arrived) {
 		q.admissionIntervals[w.request.Account] = &admissionInterval{lastAdmission: now, mean: q.meanServiceTime / time.Duration(max(1, q.capacity()))}
 		return
 	}
-	p.observe(now)
+	interval.observe(now)
 }
 
-// next returns the waiting request that runs next.
+// next returns the index of the waiting request to admit next.
 func (q *Queue) next(capacity int) int {
-	floor := int(math.Ceil(patientMinShare * float64(capacity)))
-	keepFloor := q.runningPatient < floor
+	minRunning := int(math.Ceil(patientMinShare * float64(capacity)))
+	belowMinShare := q.runningPatient < minRunning
 	now := time.Now()
 	best := 0
 	for i, w := range q.waiting {
-		if q.runsBefore(w, q.waiting[best], keepFloor, now) {
+		if q.runsBefore(w, q.waiting[best], belowMinShare, now) {
 			best = i
 		}
 	}
 	return best
 }
 
-// runsBefore reports whether a runs before b, which came earlier.
-func (q *Queue) runsBefore(a, b *waiter, keepFloor bool, now time.Time) bool {
-	rankA, rankB := rank(a, keepFloor, now), rank(b, keepFloor, now)
+// runsBefore reports whether a runs before b, which arrived earlier.
+func (q *Queue) runsBefore(a, b *waiter, belowMinShare bool, now time.Time) bool {
+	rankA, rankB := rank(a, belowMinShare, now), rank(b, belowMinShare, now)
 	if rankA != rankB {
 		return rankA > rankB
 	}
 	return q.runningByAccount[a.request.Account] < q.runningByAccount[b.request.Account]
 }
 
-// rankFirst ranks patient work whose floor is not filled.
+// rankFirst is the rank of patient requests while they have less than their
+// guaranteed share; it is above all priorities.
 const rankFirst = config.PriorityInteractive + 1
 
-func rank(w *waiter, keepFloor bool, now time.Time) config.Priority {
+func rank(w *waiter, belowMinShare bool, now time.Time) config.Priority {
 	if w.request.Priority != config.PriorityPatient {
 		return w.request.Priority
 	}
-	if keepFloor {
+	if belowMinShare {
 		return rankFirst
 	}
 	if now.Sub(w.arrived) > patientAgingTime {
@@ -319,7 +331,8 @@
 	return config.PriorityPatient
 }
 
-// remove takes a request out of the queue; false if it was admitted already.
+// remove removes a request from the queue. It returns false if the request was
+// already admitted or refused.
 func (q *Queue) remove(w *waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -332,7 +345,7 @@
 	return false
 }
 
-// Load returns how many requests run and wait.
+// Load returns the numbers of running and waiting requests.
 func (q *Queue) Load() (running, waiting int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -14,20 +14,21 @@
 	"github.com/violettally/violettally/config"
 )
 
-// testLoad is a stream of like requests.
+// testLoad is a stream of equal requests of one account.
 type testLoad struct {
 	account  string
 	priority config.Priority
-	// rate per second, each taking work and due after deadline.
+	// rate is in requests per second. Each request runs for work and has the given
+	// deadline, counted from its arrival.
 	rate     float64
 	work     time.Duration
 	deadline time.Duration
 }
 
-// loadResult counts what became of a load.
+// loadResult counts the outcomes of a load's requests.
 type loadResult struct{ done, late, refused int }
 
-// offer runs loads against a queue for a while, in the bubble's time.
+// offer runs loads against a queue for d of the synctest bubble's time.
 func offer(q *admit.Queue, d time.Duration, loads ...testLoad) []loadResult {
 	results := make([]loadResult, len(loads))
 	var mu sync.Mutex
@@ -60,9 +61,9 @@
 	return results
 }
 
-// TestOverload offers half to half again more than the capacity, 80 requests a
-// second: goodput must not fall past it, and what is refused is refused at
-// once.
+// TestOverload offers between half and three times the capacity of 80 requests per
+// second. Goodput must not fall when the capacity is exceeded, and few admitted
+// requests may miss their deadline.
 func TestOverload(t *testing.T) {
 	for _, rate := range []float64{40, 80, 120, 240} {
 		synctest.Test(t, func(t *testing.T) {
@@ -75,8 +76,8 @@
 	}
 }
 
-// TestFairness lets one account flood, and patient work stand beside
-// interactive calls that could take everything.
+// TestFairness overloads the queue with the requests of one account. Another account
+// with few requests and patient requests must still be served.
 func TestFairness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admit.New(func() int { return 8 })
@@ -87,14 +88,14 @@
 			testLoad{account: "patient", priority: config.PriorityPatient, rate: 5, work: work, deadline: time.Hour},
 		)
 		t.Logf("flood %+v, small %+v, patient %+v", r[0], r[1], r[2])
-		must.GreaterEq(t, 20*(80-10-5)*9/10, r[0].done, must.Sprint("what is let in makes its deadline"))
-		must.GreaterEq(t, 100, r[2].done, must.Sprint("patient work keeps its floor"))
-		must.GreaterEq(t, 190, r[1].done, must.Sprint("a small account is not starved"))
+		must.GreaterEq(t, 20*(80-10-5)*9/10, r[0].done, must.Sprint("admitted requests meet their deadlines"))
+		must.GreaterEq(t, 100, r[2].done, must.Sprint("patient requests get their guaranteed share"))
+		must.GreaterEq(t, 190, r[1].done, must.Sprint("an account with few requests is not starved"))
 	})
 }
 
-// TestRefusesHopelessRequestImmediately refuses what cannot make its deadline when it comes, with
-// the time to come back.
+// TestRefusesHopelessRequestImmediately checks that a request that cannot meet its
+// deadline is refused on arrival, with a time after which to retry.
 func TestRefusesHopelessRequestImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admit.New(func() int { return 1 })
