--- a/rollout/driver_test.go
+++ b/rollout/driver_test.go
@@ -14,23 +14,24 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// TestNodesGo: what nodes counted that have gone counts on, under the next
-// driver too, and once only if a node was merely out of reach.
+// TestDepartedNodesKeepCounts checks that the counts of departed nodes stay in the
+// totals, also for the next driver, and that they are not added twice if a node
+// was only unreachable for a while.
 func TestDepartedNodesKeepCounts(t *testing.T) {
 	s := newServicePicker(t, `{}`)
 	s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: time.Minute})
-	w := &fakeCluster{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 1}}}`)}
-	newDriver := func() *rollout.Driver { return rollout.NewDriver("rollouts", w, w, w, s.Models, timer.New()) }
+	c := &fakeCluster{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 1}}}`)}
+	newDriver := func() *rollout.Driver { return rollout.NewDriver("rollouts", c, c, c, s.Models, timer.New()) }
 	progress := func() rollout.Progress {
 		var stages rollout.Stages
-		must.NoError(t, json.Unmarshal(w.stored, &stages))
+		must.NoError(t, json.Unmarshal(c.stored, &stages))
 		return stages.Models["s"]
 	}
 	counted := func(answers, bad int64) rollout.Counts {
 		return rollout.Counts{"s@v2": {Answers: answers, Bad: bad}, "s@in-service": {Answers: 5 * answers}}
 	}
 	steps := func(d *rollout.Driver, n int, counts map[string]rollout.Counts) {
-		w.counts = counts
+		c.counts = counts
 		for range n {
 			d.Step(context.Background(), 1)
 		}
@@ -40,35 +41,33 @@
 	steps(first, 5, map[string]rollout.Counts{"b": counted(20, 0)})
 	must.Eq(t, rollout.StoredCount{Answers: 20, Bad: 2}, progress().DepartedCandidate)
 	must.Eq(t, rollout.StoredCount{Answers: 100}, progress().DepartedBaseline)
-	// The node answers again, and goes again.
+	// The node answers again, then departs again.
 	steps(first, 1, map[string]rollout.Counts{"a": counted(25, 2), "b": counted(20, 0)})
 	steps(first, 5, map[string]rollout.Counts{"b": counted(20, 0)})
 	must.Eq(t, rollout.StoredCount{Answers: 25, Bad: 2}, progress().DepartedCandidate)
 	must.Eq(t, rollout.VerdictRunning, progress().Verdict)
-	// The next driver has the failures of all: seven of sixty-five.
+	// The next driver has the failures of all nodes: 7 of 65.
 	steps(newDriver(), 1, map[string]rollout.Counts{"c": counted(40, 5)})
 	must.Eq(t, rollout.VerdictStopped, progress().Verdict)
 }
 
-// The driver summed up what runs on the old version over the nodes that had
-// answered its last question. One that was late once, with a stream under way,
-// counted as running nothing: the roll-out was complete, and the old servers could
-// be stopped at once.
-
-// TestRunningAtSilentNode: a roll-out waits for what ran on the old version at a
-// node that does not answer, until the node is taken for gone.
+// TestWaitsForRequestsOfUnresponsiveNode checks that a rollout does not complete while
+// requests ran on the old version at a node that does not answer, until the node
+// counts as departed. It guards against counting only the nodes that answered the
+// last collection: if one was late once with a stream running, the rollout
+// completed and the old servers could be stopped under the stream.
 func TestWaitsForRequestsOfUnresponsiveNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServicePicker(t, `{}`)
 		s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 10 * time.Second})
 		since, err := json.Marshal(time.Now().UTC())
 		must.NoError(t, err)
-		w := &fakeCluster{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 2, "since": ` + string(since) + `}}}`)}
-		d := rollout.NewDriver("rollouts", w, w, w, s.Models, timer.New())
+		c := &fakeCluster{token: 1, stored: []byte(`{"models": {"s": {"version": "v2", "stage": 2, "since": ` + string(since) + `}}}`)}
+		d := rollout.NewDriver("rollouts", c, c, c, s.Models, timer.New())
 		step := func(counts map[string]rollout.Counts) rollout.Verdict {
-			w.counts = counts
+			c.counts = counts
 			d.Step(t.Context(), 1)
-			stages, err := rollout.DecodeStages(w.stored)
+			stages, err := rollout.DecodeStages(c.stored)
 			must.NoError(t, err)
 			return stages.Models["s"].Verdict
 		}
@@ -79,28 +78,28 @@
 		both := map[string]rollout.Counts{"a": counted(0), "b": counted(3)}
 		one := map[string]rollout.Counts{"a": counted(0)}
 		must.Eq(t, rollout.VerdictRunning, step(both))
-		must.Eq(t, rollout.VerdictRunning, step(one), must.Sprint("missed one question"))
-		must.Eq(t, rollout.VerdictRunning, step(one), must.Sprint("missed two"))
+		must.Eq(t, rollout.VerdictRunning, step(one), must.Sprint("one step missed"))
+		must.Eq(t, rollout.VerdictRunning, step(one), must.Sprint("two steps missed"))
 		must.Eq(t, rollout.VerdictRunning, step(both), must.Sprint("answers again"))
-		must.Eq(t, rollout.VerdictRunning, step(one), must.Sprint("one more"))
-		must.Eq(t, rollout.VerdictRunning, step(one), must.Sprint("two more"))
-		must.Eq(t, rollout.VerdictComplete, step(one), must.Sprint("gone"))
+		must.Eq(t, rollout.VerdictRunning, step(one), must.Sprint("one step missed again"))
+		must.Eq(t, rollout.VerdictRunning, step(one), must.Sprint("two steps missed again"))
+		must.Eq(t, rollout.VerdictComplete, step(one), must.Sprint("departed"))
 	})
 }
 
-// TestSessionsAtSilentNode: sessions under way at a node that does not answer as
-// the first stage's share is set are held too.
+// TestStickySessionsOfUnresponsiveNode checks that active sessions are sticky even if
+// their node does not answer in the step that sets the first stage's share.
 func TestStickySessionsOfUnresponsiveNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		picker := rollout.NewPicker()
 		s := rollout.NewServicePicker(picker, 1)
 		s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
-		w := &fakeCluster{token: 1}
-		d := rollout.NewDriver("rollouts", w, w, w, s.Models, timer.New())
+		c := &fakeCluster{token: 1}
+		d := rollout.NewDriver("rollouts", c, c, c, s.Models, timer.New())
 		step := func(counts map[string]rollout.Counts) rollout.Progress {
-			w.counts = counts
+			c.counts = counts
 			d.Step(t.Context(), 1)
-			stages, err := rollout.DecodeStages(w.stored)
+			stages, err := rollout.DecodeStages(c.stored)
 			must.NoError(t, err)
 			return stages.Models["s"]
 		}
@@ -113,12 +112,8 @@
 	})
 }
 
-// What a node had sent before it knew of an order was counted under no version. A
-// roll-out with a short period was complete, and the old servers could be stopped,
-// under streams from before the order.
-
-// preOrderNode is a node with requests under way from before the order, and the driver
-// of a roll-out.
+// preOrderNode is a node with running requests from before the order, together with
+// the driver of the rollout.
 type preOrderNode struct {
 	*rollout.ServicePicker
 	picker  *rollout.Picker
@@ -127,58 +122,61 @@
 }
 
 func newPreOrderNode(requests int) *preOrderNode {
-	e := &preOrderNode{picker: rollout.NewPicker(), cluster: &fakeCluster{token: 1}}
-	e.ServicePicker = rollout.NewServicePicker(e.picker, 1)
+	n := &preOrderNode{picker: rollout.NewPicker(), cluster: &fakeCluster{token: 1}}
+	n.ServicePicker = rollout.NewServicePicker(n.picker, 1)
 	for i := range requests {
-		_, version := e.Choose("s", fmt.Sprint(i), "", testServers)
-		e.Begin("s", version, fmt.Sprint(i))
+		_, version := n.Choose("s", fmt.Sprint(i), "", testServers)
+		n.Begin("s", version, fmt.Sprint(i))
 	}
-	e.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
-	e.driver = rollout.NewDriver("rollouts", e.cluster, e.cluster, e.cluster, e.Models, timer.New())
-	return e
+	n.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
+	n.driver = rollout.NewDriver("rollouts", n.cluster, n.cluster, n.cluster, n.Models, timer.New())
+	return n
 }
 
-// step makes a step of the driver with the node's counts and those of another one.
-func (e *preOrderNode) step(t *testing.T, other rollout.Counts) rollout.Progress {
-	e.cluster.counts = map[string]rollout.Counts{"a": e.picker.Counts(), "b": other}
-	e.driver.Step(t.Context(), 1)
-	stages, err := rollout.DecodeStages(e.cluster.stored)
+// step takes a step of the driver with the counts of this node and of another one.
+func (n *preOrderNode) step(t *testing.T, other rollout.Counts) rollout.Progress {
+	n.cluster.counts = map[string]rollout.Counts{"a": n.picker.Counts(), "b": other}
+	n.driver.Step(t.Context(), 1)
+	stages, err := rollout.DecodeStages(n.cluster.stored)
 	must.NoError(t, err)
 	return stages.Models["s"]
 }
 
-// TestRunningBeforeOrder: a roll-out is not complete while requests from before the
-// order run on the old version.
+// TestWaitsForRequestsBeforeOrder checks that a rollout does not complete while
+// requests from before the order run on the old version. It guards against
+// counting such requests under no version: a rollout with a short period then
+// completed, and the old servers could be stopped under running streams.
 func TestWaitsForRequestsBeforeOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newPreOrderNode(1)
+		n := newPreOrderNode(1)
 		since, err := json.Marshal(time.Now().UTC())
 		must.NoError(t, err)
-		e.cluster.stored = []byte(`{"models": {"s": {"version": "v2", "stage": 2, "since": ` + string(since) + `}}}`)
+		n.cluster.stored = []byte(`{"models": {"s": {"version": "v2", "stage": 2, "since": ` + string(since) + `}}}`)
 		answered := rollout.Counts{"s@v2": {Answers: 500}, "s@in-service": {Answers: 500}}
 		time.Sleep(time.Minute) // the last stage has lasted long enough
-		must.Eq(t, rollout.VerdictRunning, e.step(t, answered).Verdict)
-		e.End("s", "", "0")
-		must.Eq(t, rollout.VerdictComplete, e.step(t, answered).Verdict)
+		must.Eq(t, rollout.VerdictRunning, n.step(t, answered).Verdict)
+		n.End("s", "", "0")
+		must.Eq(t, rollout.VerdictComplete, n.step(t, answered).Verdict)
 	})
 }
 
-// TestShareWithoutEarlier: the first stage's share goes by the requests since the
-// order, whatever runs from before it.
+// TestShareIgnoresRequestsBeforeOrder checks that the first stage's share depends only
+// on the requests since the order.
 func TestShareIgnoresRequestsBeforeOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		share := func(requests int) float64 {
-			e := newPreOrderNode(requests)
-			must.Zero(t, e.step(t, nil).Share)
+			n := newPreOrderNode(requests)
+			must.Zero(t, n.step(t, nil).Share)
 			time.Sleep(2 * time.Second) // long enough for the requests to be counted
-			return e.step(t, rollout.Counts{"s@in-service": {Answers: 100, Running: 20}}).Share
+			return n.step(t, rollout.Counts{"s@in-service": {Answers: 100, Running: 20}}).Share
 		}
 		must.Between(t, 0.01, share(0), 0.99)
 		must.Eq(t, share(0), share(500))
 	})
 }
 
-// TestNothingKept: services without an order leave nothing behind in the counts.
+// TestNoCountsWithoutOrder checks that services without an order leave no counts
+// behind once their requests have ended.
 func TestNoCountsWithoutOrder(t *testing.T) {
 	picker := rollout.NewPicker()
 	s := rollout.NewServicePicker(picker, 0)
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -18,11 +18,12 @@
 
 var guards = config.Guards{BadRating: 0.5, MaxBadIncrease: 0.1, FalseAlarm: 0.01}
 
-// baselineBadRate is the share of bad answers of the version in service.
+// baselineBadRate is the rate of bad answers of the version in service.
 const baselineBadRate = 0.05
 
-// answersUntilStopped runs the sequential test on answers of a version that is worse by
-// increase and returns after how many of them it is stopped, limit if never.
+// answersUntilStopped runs the sequential test on answers of a version whose bad rate
+// is higher by increase after turnsBadAt answers. It returns the number of answers
+// from then until the version is stopped, or until limit if it is not stopped.
 func answersUntilStopped(random *rand.Rand, increase float64, turnsBadAt, limit int) int {
 	test := &rollout.SequentialTest{}
 	candidate, baseline := rollout.Count{}, rollout.Count{Answers: 2000, Bad: 100}
@@ -42,7 +43,8 @@
 	return limit - turnsBadAt
 }
 
-// judgeFixedStage is the baseline: judge once at the end of a stage of 500 answers.
+// judgeFixedStage is the alternative for comparison: it judges a version once, at
+// the end of a stage of 500 answers.
 func judgeFixedStage(random *rand.Rand, increase float64) (answers int, stopped bool) {
 	const stage = 500
 	bad := 0
@@ -54,9 +56,9 @@
 	return stage, float64(bad)/stage > baselineBadRate+guards.MaxBadIncrease/2
 }
 
-// TestExposure compares the sequential test with a stage of fixed size, over
-// seeds: how many answers a bad version gives before it is stopped, and how
-// often a good one is.
+// TestExposure measures the sequential test over many random runs: how many answers a
+// bad version gives before it is stopped, and how often a good version is stopped.
+// It logs the results of a stage of fixed size for comparison.
 func TestExposure(t *testing.T) {
 	const runs, limit = 200, 2000
 	mean := make(map[float64]float64)
@@ -87,7 +89,8 @@
 	must.Less(t, 10, mean[0.9])
 }
 
-// fakeCluster is a driver with a store in memory and counts from nodes.
+// fakeCluster provides a driver with an in-memory store, the counts of nodes and a
+// lease that is always held.
 type fakeCluster struct {
 	stored []byte
 	counts map[string]rollout.Counts
@@ -95,19 +98,19 @@
 	writes int
 }
 
-func (w *fakeCluster) Update(_ context.Context, _ string, change func([]byte) ([]byte, error)) (document.Item, error) {
-	data, err := change(w.stored)
+func (c *fakeCluster) Update(_ context.Context, _ string, change func([]byte) ([]byte, error)) (document.Item, error) {
+	data, err := change(c.stored)
 	if err != nil {
 		return document.Item{}, err
 	}
-	w.stored = data
-	w.writes++
-	return document.Item{Data: data, Revision: int64(w.writes)}, nil
+	c.stored = data
+	c.writes++
+	return document.Item{Data: data, Revision: int64(c.writes)}, nil
 }
 
-func (w *fakeCluster) Collect(context.Context) map[string]rollout.Counts { return w.counts }
+func (c *fakeCluster) Collect(context.Context) map[string]rollout.Counts { return c.counts }
 
-func (w *fakeCluster) Held(time.Duration) (int64, bool) { return w.token, true }
+func (c *fakeCluster) Held(time.Duration) (int64, bool) { return c.token, true }
 
 func snapshot(t *testing.T) *config.Snapshot {
 	c := config.Config{
@@ -125,21 +128,21 @@
 	return s
 }
 
-// TestDriver moves a roll-out on, hands it to another driver in the middle,
-// and fences off a driver that was paused.
+// TestDriver advances a rollout, continues it with another driver, and checks that a
+// driver with an outdated fencing token cannot write.
 func TestDriver(t *testing.T) {
-	w := &fakeCluster{token: 5, counts: map[string]rollout.Counts{}}
+	c := &fakeCluster{token: 5, counts: map[string]rollout.Counts{}}
 	s := snapshot(t)
 	newDriver := func() *rollout.Driver {
-		return rollout.NewDriver("rollouts", w, w, w, s.Models, timer.New())
+		return rollout.NewDriver("rollouts", c, c, c, s.Models, timer.New())
 	}
 	progress := func() rollout.Progress {
-		stages, err := rollout.DecodeStages(w.stored)
+		stages, err := rollout.DecodeStages(c.stored)
 		must.NoError(t, err)
 		return stages.Models["m"]
 	}
 	step := func(d *rollout.Driver, token int64, answers, bad int64) {
-		w.counts["n1"] = rollout.Counts{"m@v2": {Answers: answers, Bad: bad}, "m@v1": {Answers: 1000, Bad: 50}}
+		c.counts["n1"] = rollout.Counts{"m@v2": {Answers: answers, Bad: bad}, "m@v1": {Answers: 1000, Bad: 50}}
 		d.Step(t.Context(), token)
 	}
 	first, second := newDriver(), newDriver()
@@ -148,19 +151,19 @@
 	step(first, 5, 10, 0)
 	must.Eq(t, 1, progress().Stage)
 	step(second, 7, 12, 0)
-	must.Eq(t, 1, progress().Stage, must.Sprint("the new driver goes on where the roll-out was"))
+	must.Eq(t, 1, progress().Stage, must.Sprint("the new driver resumes the rollout"))
 	step(second, 7, 20, 0)
 	must.Eq(t, rollout.VerdictComplete, progress().Verdict)
 
-	w.stored = []byte(`{"token": 9, "models": {"m": {"version": "v2"}}}`)
-	before := string(w.stored)
+	c.stored = []byte(`{"token": 9, "models": {"m": {"version": "v2"}}}`)
+	before := string(c.stored)
 	step(first, 5, 50, 50)
-	must.Eq(t, before, string(w.stored), must.Sprint("a driver with an older token must not write"))
+	must.Eq(t, before, string(c.stored), must.Sprint("a driver with an older token must not write"))
 	step(newDriver(), 9, 100, 60)
 	must.Eq(t, rollout.VerdictStopped, progress().Verdict)
 }
 
-// TestPick lists who gets which version.
+// TestPick checks the share of sessions that get the candidate in each state.
 func TestPick(t *testing.T) {
 	m := snapshot(t).Model("m")
 	all := func(string) bool { return true }
--- a/rollout/service_test.go
+++ b/rollout/service_test.go
@@ -25,25 +25,26 @@
 	return s
 }
 
-// TestServicesChoose lists which servers get a request at each stage.
+// TestServicesChoose checks which share of requests goes to the target in each state,
+// and that the chosen servers have the chosen version.
 func TestServicesChoose(t *testing.T) {
 	stage := func(fields string) string { return `{"models": {"s": {"version": "v2", ` + fields + `}}}` }
 	tests := []struct {
 		name    string
 		stages  string
 		servers []registry.Server
-		// share of the requests that go to the target.
+		// share is the share of requests that go to the target.
 		share float64
 	}{
-		{"not begun", `{}`, testServers, 0},
-		{"share not known yet", stage(`"stage": 0`), testServers, 0},
+		{"not started", `{}`, testServers, 0},
+		{"share not set yet", stage(`"stage": 0`), testServers, 0},
 		{"first stage", stage(`"stage": 0, "share": 0.05`), testServers, 0.05},
 		{"second stage", stage(`"stage": 1`), testServers, 0.3},
 		{"last stage", stage(`"stage": 2`), testServers, 1},
 		{"complete", stage(`"stage": 2, "verdict": "complete"`), testServers, 1},
 		{"stopped", stage(`"stage": 1, "verdict": "stopped"`), testServers, 0},
-		{"target not there yet", stage(`"stage": 2`), testServers[:2], 0},
-		{"old ones gone", stage(`"stage": 0, "share": 0.05`), testServers[2:], 1},
+		{"no target servers yet", stage(`"stage": 2`), testServers[:2], 0},
+		{"only target servers left", stage(`"stage": 0, "share": 0.05`), testServers[2:], 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -65,16 +66,16 @@
 	}
 }
 
-// TestStoppedGetsNothing: with no other server left, a stopped version still
-// gets nothing.
+// TestStoppedVersionGetsNoRequests checks that a stopped version gets no requests even
+// if there are no other servers.
 func TestStoppedVersionGetsNoRequests(t *testing.T) {
 	s := newServicePicker(t, `{"models": {"s": {"version": "v2", "verdict": "stopped"}}}`)
 	servers, _ := s.Choose("s", "k", "", testServers[2:])
 	must.SliceEmpty(t, servers)
 }
 
-// TestShareStaysStill: within a stage a session stays on its side, and from
-// stage to stage it only moves to the target.
+// TestSessionsOnlyMoveToTarget checks that a session, once on the target, stays there
+// in later stages, and that all sessions are on it in the last stage.
 func TestSessionsOnlyMoveToTarget(t *testing.T) {
 	stages := []string{`"stage": 0, "share": 0.05`, `"stage": 1`, `"stage": 2`}
 	for i := range 500 {
@@ -89,8 +90,8 @@
 	}
 }
 
-// TestRequestStays: a request that is sent once more stays on its version,
-// except when that is stopped or has no servers.
+// TestRetryKeepsVersion checks that a retried request stays on its version, unless the
+// version was stopped or has no servers.
 func TestRetryKeepsVersion(t *testing.T) {
 	running := `{"models": {"s": {"version": "v2", "stage": 2}}}`
 	stopped := `{"models": {"s": {"version": "v2", "verdict": "stopped"}}}`
@@ -111,23 +112,23 @@
 	}
 }
 
-// TestSessionsUnderWay: sessions that had a request just before the first
-// stage's share is set stay on the old version during that stage, also at
-// nodes that have not seen them.
+// TestActiveSessionsAreSticky checks that sessions with a request just before the first
+// stage's share is set stay on the old version during that stage, also on nodes
+// that have not seen them.
 func TestActiveSessionsAreSticky(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		seenAt, elsewhere := rollout.NewPicker(), rollout.NewPicker()
-		a, b := rollout.NewServicePicker(seenAt, 0.1), rollout.NewServicePicker(elsewhere, 0.1)
+		pickerA, pickerB := rollout.NewPicker(), rollout.NewPicker()
+		a, b := rollout.NewServicePicker(pickerA, 0.1), rollout.NewServicePicker(pickerB, 0.1)
 		for _, s := range []*rollout.ServicePicker{a, b} {
 			s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
 		}
-		w := &fakeCluster{token: 1}
-		d := rollout.NewDriver("rollouts", w, w, w, a.Models, timer.New())
+		c := &fakeCluster{token: 1}
+		d := rollout.NewDriver("rollouts", c, c, c, a.Models, timer.New())
 		step := func() {
-			w.counts = map[string]rollout.Counts{"a": seenAt.Counts(), "b": elsewhere.Counts()}
+			c.counts = map[string]rollout.Counts{"a": pickerA.Counts(), "b": pickerB.Counts()}
 			d.Step(context.Background(), 1)
-			for _, p := range []*rollout.Picker{seenAt, elsewhere} {
-				must.NoError(t, p.Apply(document.Item{Data: w.stored, Revision: int64(w.writes)}))
+			for _, p := range []*rollout.Picker{pickerA, pickerB} {
+				must.NoError(t, p.Apply(document.Item{Data: c.stored, Revision: int64(c.writes)}))
 			}
 		}
 		step()
@@ -153,13 +154,13 @@
 			}
 			return moved
 		}
-		must.Eq(t, 0, moved(""), must.Sprint("under way"))
+		must.Eq(t, 0, moved(""), must.Sprint("active sessions"))
 		must.Positive(t, moved("other"))
 		must.Positive(t, moved("gone"))
 	})
 }
 
-// TestNoOrder: without an order all servers are one.
+// TestNoOrder checks that a service without an order may use all servers.
 func TestNoOrder(t *testing.T) {
 	s := newServicePicker(t, `{}`)
 	servers, version := s.Choose("other", "k", "", testServers)
@@ -170,8 +171,9 @@
 	must.Eq(t, testServers, servers)
 }
 
-// TestLoaded: a stage's share falls on so few of the target's servers that
-// each carries more than it will carry in the end; all nodes take the same ones.
+// TestShareIsConcentrated checks that a stage's share goes to so few of the target's
+// servers that each carries more than its final load, and that all nodes choose
+// the same servers.
 func TestShareIsConcentrated(t *testing.T) {
 	var many []registry.Server
 	for i := range 40 {
@@ -192,7 +194,8 @@
 	}
 }
 
-// TestLoadedFew: of few servers no single one carries several times its part.
+// TestConcentrationOnFewServers checks that no server of a small service gets several
+// times its final load.
 func TestConcentrationOnFewServers(t *testing.T) {
 	for _, tt := range []struct{ servers, want int }{{3, 1}, {9, 2}, {12, 2}, {18, 3}} {
 		var all []registry.Server
@@ -204,8 +207,8 @@
 	}
 }
 
-// TestSlowForItsSize: an answer is slow against what its size takes, where that
-// is more than is usual for its kind.
+// TestSlowRelativeToExpectedWait checks that an answer is compared with the wait
+// expected for its size if that exceeds the baseline of its kind.
 func TestSlowRelativeToExpectedWait(t *testing.T) {
 	picker := rollout.NewPicker()
 	s := rollout.NewServicePicker(picker, 0.1)
@@ -223,8 +226,8 @@
 	must.Eq(t, 2, picker.Counts()["s@v2"].Slow)
 }
 
-// TestSlowWithoutUsual: a node that never saw the version in service goes by
-// the objective.
+// TestSlowWithoutBaseline checks that a node without a baseline compares answers with
+// their objective.
 func TestSlowWithoutBaseline(t *testing.T) {
 	picker := rollout.NewPicker()
 	s := rollout.NewServicePicker(picker, 0.1)
@@ -235,8 +238,8 @@
 	must.Eq(t, 2, picker.Counts()["s@v2"].Slow)
 }
 
-// TestSessionBeforeOrder: a session whose request runs on the version in service
-// since before the order is under way until some time after that request's end.
+// TestSessionOfRequestBeforeOrder checks that a session with a request from before the
+// order stays active until some time after the end of that request.
 func TestSessionOfRequestBeforeOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		picker := rollout.NewPicker()
@@ -251,6 +254,6 @@
 		time.Sleep(2 * time.Second)
 		must.Eq(t, 0, recent())
 		s.Begin("s", "v2", "other")
-		must.Eq(t, 0, recent(), must.Sprint("one that has moved is not held"))
+		must.Eq(t, 0, recent(), must.Sprint("a session on the target is not tracked"))
 	})
 }
