--- a/admit/admit_test.go
+++ b/admit/admit_test.go
@@ -14,22 +14,23 @@
 	"github.com/violettally/violettally/config"
 )
 
-// load is a stream of like requests.
-type load struct {
+// testLoad is a stream of equal requests of one account.
+type testLoad struct {
 	account  string
 	priority config.Priority
-	// rate per second, each taking work and due after deadline.
+	// rate is in requests per second. Each request runs for work and has the given
+	// deadline, counted from its arrival.
 	rate     float64
 	work     time.Duration
 	deadline time.Duration
 }
 
-// result counts what became of a load.
-type result struct{ done, late, refused int }
+// loadResult counts the outcomes of a load's requests.
+type loadResult struct{ done, late, refused int }
 
-// offer runs loads against a queue for a while, in the bubble's time.
-func offer(q *admit.Queue, d time.Duration, loads ...load) []result {
-	results := make([]result, len(loads))
+// offer runs loads against a queue for d of the synctest bubble's time.
+func offer(q *admit.Queue, d time.Duration, loads ...testLoad) []loadResult {
+	results := make([]loadResult, len(loads))
 	var mu sync.Mutex
 	var group sync.WaitGroup
 	for i, l := range loads {
@@ -37,7 +38,7 @@
 			for start := time.Now(); time.Since(start) < d; time.Sleep(time.Duration(float64(time.Second) / l.rate)) {
 				group.Go(func() {
 					deadline := time.Now().Add(l.deadline)
-					release, err := q.Acquire(context.Background(), admit.Ticket{Account: l.account, Priority: l.priority, Deadline: deadline})
+					release, err := q.Acquire(context.Background(), admit.Request{Account: l.account, Priority: l.priority, Deadline: deadline})
 					if err == nil {
 						time.Sleep(l.work)
 						release()
@@ -60,14 +61,14 @@
 	return results
 }
 
-// TestOverload offers half to half again more than the capacity, 80 requests a
-// second: goodput must not fall past it, and what is refused is refused at
-// once.
+// TestOverload offers between half and three times the capacity of 80 requests per
+// second. Goodput must not fall when the capacity is exceeded, and few admitted
+// requests may miss their deadline.
 func TestOverload(t *testing.T) {
 	for _, rate := range []float64{40, 80, 120, 240} {
 		synctest.Test(t, func(t *testing.T) {
 			q := admit.New(func() int { return 8 })
-			r := offer(q, 20*time.Second, load{account: "a", priority: config.PriorityInteractive, rate: rate, work: 100 * time.Millisecond, deadline: time.Second})[0]
+			r := offer(q, 20*time.Second, testLoad{account: "a", priority: config.PriorityInteractive, rate: rate, work: 100 * time.Millisecond, deadline: time.Second})[0]
 			t.Logf("offered %.0f/s: %d done, %d late, %d refused", rate, r.done, r.late, r.refused)
 			must.GreaterEq(t, int(0.95*20*min(rate, 80)), r.done)
 			must.LessEq(t, r.done/50+5, r.late)
@@ -75,36 +76,38 @@
 	}
 }
 
-// TestFairness lets one account flood, and patient work stand beside
-// interactive calls that could take everything.
+// TestFairness overloads the queue with the requests of one account. Another account
+// with few requests and patient requests must still be served.
 func TestFairness(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admit.New(func() int { return 8 })
 		const work = 100 * time.Millisecond
 		r := offer(q, 20*time.Second,
-			load{account: "flood", priority: config.PriorityInteractive, rate: 200, work: work, deadline: time.Second},
-			load{account: "small", priority: config.PriorityInteractive, rate: 10, work: work, deadline: time.Second},
-			load{account: "patient", priority: config.PriorityPatient, rate: 5, work: work, deadline: time.Hour},
+			testLoad{account: "flood", priority: config.PriorityInteractive, rate: 200, work: work, deadline: time.Second},
+			testLoad{account: "small", priority: config.PriorityInteractive, rate: 10, work: work, deadline: time.Second},
+			testLoad{account: "patient", priority: config.PriorityPatient, rate: 5, work: work, deadline: time.Hour},
 		)
 		t.Logf("flood %+v, small %+v, patient %+v", r[0], r[1], r[2])
-		must.GreaterEq(t, 20*(80-10-5)*9/10, r[0].done, must.Sprint("what is let in makes its deadline"))
-		must.GreaterEq(t, 100, r[2].done, must.Sprint("patient work keeps its floor"))
-		must.GreaterEq(t, 190, r[1].done, must.Sprint("a small account is not starved"))
+		must.GreaterEq(t, 20*(80-10-5)*9/10, r[0].done, must.Sprint("admitted requests meet their deadlines"))
+		must.GreaterEq(t, 100, r[2].done, must.Sprint("patient requests get their guaranteed share"))
+		must.GreaterEq(t, 190, r[1].done, must.Sprint("an account with few requests is not starved"))
 	})
 }
 
-// TestRefusedAtOnce refuses what cannot make its deadline when it comes, with
-// the time to come back.
-func TestRefusedAtOnce(t *testing.T) {
+// TestRefusesHopelessRequestImmediately checks that a request that cannot meet its
+// deadline is refused on arrival, with a time after which to retry.
+func TestRefusesHopelessRequestImmediately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := admit.New(func() int { return 1 })
-		offer(q, time.Second, load{account: "a", rate: 2, work: time.Second, deadline: time.Minute})
+		offer(q, time.Second, testLoad{account: "a", rate: 2, work: time.Second, deadline: time.Minute})
 		var others sync.WaitGroup
 		defer others.Wait()
-		others.Go(func() { offer(q, time.Second, load{account: "a", rate: 5, work: time.Second, deadline: time.Minute}) })
+		others.Go(func() {
+			offer(q, time.Second, testLoad{account: "a", rate: 5, work: time.Second, deadline: time.Minute})
+		})
 		time.Sleep(900 * time.Millisecond)
 		start := time.Now()
-		_, err := q.Acquire(t.Context(), admit.Ticket{Account: "b", Deadline: time.Now().Add(500 * time.Millisecond)})
+		_, err := q.Acquire(t.Context(), admit.Request{Account: "b", Deadline: time.Now().Add(500 * time.Millisecond)})
 		must.True(t, errorx.IsOfType(err, admit.Late), must.Sprint(err))
 		must.Eq(t, 0, time.Since(start))
 		must.Greater(t, 500*time.Millisecond, admit.RetryAfter(err))
--- a/rollout/service_test.go
+++ b/rollout/service_test.go
@@ -15,39 +15,40 @@
 	"github.com/violettally/violettally/timer"
 )
 
-var runners = []registry.Server{{ID: "old-1", Version: "v1"}, {ID: "old-2", Version: "v1"}, {ID: "new-1", Version: "v2"}}
+var testServers = []registry.Server{{ID: "old-1", Version: "v1"}, {ID: "old-2", Version: "v1"}, {ID: "new-1", Version: "v2"}}
 
-func services(t *testing.T, stages string) *rollout.Services {
+func newServicePicker(t *testing.T, stages string) *rollout.ServicePicker {
 	picker := rollout.NewPicker()
-	must.NoError(t, picker.Take(document.Item{Data: []byte(stages), Revision: 1}))
-	s := rollout.NewServices(picker, 0.1)
-	s.Take(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
+	must.NoError(t, picker.Apply(document.Item{Data: []byte(stages), Revision: 1}))
+	s := rollout.NewServicePicker(picker, 0.1)
+	s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
 	return s
 }
 
-// TestServicesChoose lists which servers get a request at each stage.
+// TestServicesChoose checks which share of requests goes to the target in each state,
+// and that the chosen servers have the chosen version.
 func TestServicesChoose(t *testing.T) {
 	stage := func(fields string) string { return `{"models": {"s": {"version": "v2", ` + fields + `}}}` }
 	tests := []struct {
 		name    string
 		stages  string
 		servers []registry.Server
-		// share of the requests that go to the target.
+		// share is the share of requests that go to the target.
 		share float64
 	}{
-		{"not begun", `{}`, runners, 0},
-		{"share not known yet", stage(`"stage": 0`), runners, 0},
-		{"first stage", stage(`"stage": 0, "share": 0.05`), runners, 0.05},
-		{"second stage", stage(`"stage": 1`), runners, 0.3},
-		{"last stage", stage(`"stage": 2`), runners, 1},
-		{"complete", stage(`"stage": 2, "verdict": "complete"`), runners, 1},
-		{"stopped", stage(`"stage": 1, "verdict": "stopped"`), runners, 0},
-		{"target not there yet", stage(`"stage": 2`), runners[:2], 0},
-		{"old ones gone", stage(`"stage": 0, "share": 0.05`), runners[2:], 1},
+		{"not started", `{}`, testServers, 0},
+		{"share not set yet", stage(`"stage": 0`), testServers, 0},
+		{"first stage", stage(`"stage": 0, "share": 0.05`), testServers, 0.05},
+		{"second stage", stage(`"stage": 1`), testServers, 0.3},
+		{"last stage", stage(`"stage": 2`), testServers, 1},
+		{"complete", stage(`"stage": 2, "verdict": "complete"`), testServers, 1},
+		{"stopped", stage(`"stage": 1, "verdict": "stopped"`), testServers, 0},
+		{"no target servers yet", stage(`"stage": 2`), testServers[:2], 0},
+		{"only target servers left", stage(`"stage": 0, "share": 0.05`), testServers[2:], 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := services(t, tt.stages)
+			s := newServicePicker(t, tt.stages)
 			const keys = 2000
 			target := 0
 			for i := range keys {
@@ -65,23 +66,23 @@
 	}
 }
 
-// TestStoppedGetsNothing: with no other server left, a stopped version still
-// gets nothing.
-func TestStoppedGetsNothing(t *testing.T) {
-	s := services(t, `{"models": {"s": {"version": "v2", "verdict": "stopped"}}}`)
-	servers, _ := s.Choose("s", "k", "", runners[2:])
+// TestStoppedVersionGetsNoRequests checks that a stopped version gets no requests even
+// if there are no other servers.
+func TestStoppedVersionGetsNoRequests(t *testing.T) {
+	s := newServicePicker(t, `{"models": {"s": {"version": "v2", "verdict": "stopped"}}}`)
+	servers, _ := s.Choose("s", "k", "", testServers[2:])
 	must.SliceEmpty(t, servers)
 }
 
-// TestShareStaysStill: within a stage a session stays on its side, and from
-// stage to stage it only moves to the target.
-func TestShareStaysStill(t *testing.T) {
+// TestSessionsOnlyMoveToTarget checks that a session, once on the target, stays there
+// in later stages, and that all sessions are on it in the last stage.
+func TestSessionsOnlyMoveToTarget(t *testing.T) {
 	stages := []string{`"stage": 0, "share": 0.05`, `"stage": 1`, `"stage": 2`}
 	for i := range 500 {
 		reached := false
 		for _, fields := range stages {
-			s := services(t, `{"models": {"s": {"version": "v2", `+fields+`}}}`)
-			_, version := s.Choose("s", fmt.Sprint(i), "", runners)
+			s := newServicePicker(t, `{"models": {"s": {"version": "v2", `+fields+`}}}`)
+			_, version := s.Choose("s", fmt.Sprint(i), "", testServers)
 			must.True(t, !reached || version == "v2")
 			reached = version == "v2"
 		}
@@ -89,9 +90,9 @@
 	}
 }
 
-// TestRequestStays: a request that is sent once more stays on its version,
-// except when that is stopped or has no servers.
-func TestRequestStays(t *testing.T) {
+// TestRetryKeepsVersion checks that a retried request stays on its version, unless the
+// version was stopped or has no servers.
+func TestRetryKeepsVersion(t *testing.T) {
 	running := `{"models": {"s": {"version": "v2", "stage": 2}}}`
 	stopped := `{"models": {"s": {"version": "v2", "verdict": "stopped"}}}`
 	tests := []struct {
@@ -99,41 +100,41 @@
 		servers        []registry.Server
 		want           string
 	}{
-		{running, "in-service", runners, "in-service"},
-		{running, "v2", runners, "v2"},
-		{running, "in-service", runners[2:], "v2"},
-		{running, "v2", runners[:2], "in-service"},
-		{stopped, "v2", runners, "in-service"},
+		{running, "in-service", testServers, "in-service"},
+		{running, "v2", testServers, "v2"},
+		{running, "in-service", testServers[2:], "v2"},
+		{running, "v2", testServers[:2], "in-service"},
+		{stopped, "v2", testServers, "in-service"},
 	}
 	for _, tt := range tests {
-		_, version := services(t, tt.stages).Choose("s", "k", tt.before, tt.servers)
+		_, version := newServicePicker(t, tt.stages).Choose("s", "k", tt.before, tt.servers)
 		must.Eq(t, tt.want, version, must.Sprintf("%+v", tt))
 	}
 }
 
-// TestSessionsUnderWay: sessions that had a request just before the first
-// stage's share is set stay on the old version during that stage, also at
-// nodes that have not seen them.
-func TestSessionsUnderWay(t *testing.T) {
+// TestActiveSessionsAreSticky checks that sessions with a request just before the first
+// stage's share is set stay on the old version during that stage, also on nodes
+// that have not seen them.
+func TestActiveSessionsAreSticky(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		seenAt, elsewhere := rollout.NewPicker(), rollout.NewPicker()
-		a, b := rollout.NewServices(seenAt, 0.1), rollout.NewServices(elsewhere, 0.1)
-		for _, s := range []*rollout.Services{a, b} {
-			s.Take(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
+		pickerA, pickerB := rollout.NewPicker(), rollout.NewPicker()
+		a, b := rollout.NewServicePicker(pickerA, 0.1), rollout.NewServicePicker(pickerB, 0.1)
+		for _, s := range []*rollout.ServicePicker{a, b} {
+			s.SetOrder(rollout.Order{Service: "s", Target: "v2", Period: 20 * time.Second})
 		}
-		w := &driverWorld{token: 1}
-		d := rollout.NewDriver("rollouts", w, w, w, a.Models, timer.New())
+		c := &fakeCluster{token: 1}
+		d := rollout.NewDriver("rollouts", c, c, c, a.Models, timer.New())
 		step := func() {
-			w.counts = map[string]rollout.Counts{"a": seenAt.Counts(), "b": elsewhere.Counts()}
+			c.counts = map[string]rollout.Counts{"a": pickerA.Counts(), "b": pickerB.Counts()}
 			d.Step(context.Background(), 1)
-			for _, p := range []*rollout.Picker{seenAt, elsewhere} {
-				must.NoError(t, p.Take(document.Item{Data: w.stored, Revision: int64(w.writes)}))
+			for _, p := range []*rollout.Picker{pickerA, pickerB} {
+				must.NoError(t, p.Apply(document.Item{Data: c.stored, Revision: int64(c.writes)}))
 			}
 		}
 		step()
 		const sessions = 400
 		request := func(session string) {
-			_, version := a.Choose("s", session, "", runners)
+			_, version := a.Choose("s", session, "", testServers)
 			a.Begin("s", version, session)
 			a.End("s", version, session)
 		}
@@ -147,32 +148,33 @@
 		step()
 		moved := func(name string) (moved int) {
 			for i := range sessions {
-				if _, version := b.Choose("s", fmt.Sprint(name, i), "", runners); version == "v2" {
+				if _, version := b.Choose("s", fmt.Sprint(name, i), "", testServers); version == "v2" {
 					moved++
 				}
 			}
 			return moved
 		}
-		must.Eq(t, 0, moved(""), must.Sprint("under way"))
+		must.Eq(t, 0, moved(""), must.Sprint("active sessions"))
 		must.Positive(t, moved("other"))
 		must.Positive(t, moved("gone"))
 	})
 }
 
-// TestNoOrder: without an order all servers are one.
+// TestNoOrder checks that a service without an order may use all servers.
 func TestNoOrder(t *testing.T) {
-	s := services(t, `{}`)
-	servers, version := s.Choose("other", "k", "", runners)
-	must.Eq(t, runners, servers)
+	s := newServicePicker(t, `{}`)
+	servers, version := s.Choose("other", "k", "", testServers)
+	must.Eq(t, testServers, servers)
 	must.Eq(t, "", version)
-	s.Drop("s")
-	servers, _ = s.Choose("s", "k", "", runners)
-	must.Eq(t, runners, servers)
+	s.RemoveOrder("s")
+	servers, _ = s.Choose("s", "k", "", testServers)
+	must.Eq(t, testServers, servers)
 }
 
-// TestLoaded: a stage's share falls on so few of the target's servers that
-// each carries more than it will carry in the end; all nodes take the same ones.
-func TestLoaded(t *testing.T) {
+// TestShareIsConcentrated checks that a stage's share goes to so few of the target's
+// servers that each carries more than its final load, and that all nodes choose
+// the same servers.
+func TestShareIsConcentrated(t *testing.T) {
 	var many []registry.Server
 	for i := range 40 {
 		many = append(many, registry.Server{ID: fmt.Sprint("old", i), Version: "v1"}, registry.Server{ID: fmt.Sprint("new", i), Version: "v2"})
@@ -183,32 +185,33 @@
 		stages string
 		want   int
 	}{{stage(`"stage": 0, "share": 0.01`), 2}, {stage(`"stage": 0, "share": 0.05`), 2}, {stage(`"stage": 1`), 7}, {stage(`"stage": 2`), 40}} {
-		servers, _ := services(t, tt.stages).Choose("s", "k", "v2", many)
+		servers, _ := newServicePicker(t, tt.stages).Choose("s", "k", "v2", many)
 		must.Len(t, tt.want, servers)
 		must.SliceContainsSubset(t, servers, last)
-		again, _ := services(t, tt.stages).Choose("s", "other", "v2", many)
+		again, _ := newServicePicker(t, tt.stages).Choose("s", "other", "v2", many)
 		must.SliceContainsAll(t, servers, again)
 		last = servers
 	}
 }
 
-// TestLoadedFew: of few servers no single one carries several times its part.
-func TestLoadedFew(t *testing.T) {
+// TestConcentrationOnFewServers checks that no server of a small service gets several
+// times its final load.
+func TestConcentrationOnFewServers(t *testing.T) {
 	for _, tt := range []struct{ servers, want int }{{3, 1}, {9, 2}, {12, 2}, {18, 3}} {
 		var all []registry.Server
 		for i := range tt.servers {
 			all = append(all, registry.Server{ID: fmt.Sprint("old", i), Version: "v1"}, registry.Server{ID: fmt.Sprint("new", i), Version: "v2"})
 		}
-		servers, _ := services(t, `{"models": {"s": {"version": "v2", "stage": 1}}}`).Choose("s", "k", "v2", all)
+		servers, _ := newServicePicker(t, `{"models": {"s": {"version": "v2", "stage": 1}}}`).Choose("s", "k", "v2", all)
 		must.Len(t, tt.want, servers)
 	}
 }
 
-// TestSlowForItsSize: an answer is slow against what its size takes, where that
-// is more than is usual for its kind.
-func TestSlowForItsSize(t *testing.T) {
+// TestSlowRelativeToExpectedWait checks that an answer is compared with the wait
+// expected for its size if that exceeds the baseline of its kind.
+func TestSlowRelativeToExpectedWait(t *testing.T) {
 	picker := rollout.NewPicker()
-	s := rollout.NewServices(picker, 0.1)
+	s := rollout.NewServicePicker(picker, 0.1)
 	for range 20 {
 		s.Count("s", "in-service", rollout.Answer{Kind: "brief", Wait: 50 * time.Millisecond})
 	}
@@ -223,11 +226,11 @@
 	must.Eq(t, 2, picker.Counts()["s@v2"].Slow)
 }
 
-// TestSlowWithoutUsual: a node that never saw the version in service goes by
-// the objective.
-func TestSlowWithoutUsual(t *testing.T) {
+// TestSlowWithoutBaseline checks that a node without a baseline compares answers with
+// their objective.
+func TestSlowWithoutBaseline(t *testing.T) {
 	picker := rollout.NewPicker()
-	s := rollout.NewServices(picker, 0.1)
+	s := rollout.NewServicePicker(picker, 0.1)
 	for _, wait := range []time.Duration{60, 290, 310, 480} {
 		s.Count("s", "v2", rollout.Answer{Kind: "look", Wait: wait * time.Millisecond, Objective: 300 * time.Millisecond})
 	}
@@ -235,13 +238,13 @@
 	must.Eq(t, 2, picker.Counts()["s@v2"].Slow)
 }
 
-// TestSessionBeforeOrder: a session whose request runs on the version in service
-// since before the order is under way until some time after that request's end.
-func TestSessionBeforeOrder(t *testing.T) {
+// TestSessionOfRequestBeforeOrder checks that a session with a request from before the
+// order stays active until some time after the end of that request.
+func TestSessionOfRequestBeforeOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		picker := rollout.NewPicker()
-		s := rollout.NewServices(picker, 1)
-		recent := func() int { return len(picker.Counts()["s@in-service"].Recent) }
+		s := rollout.NewServicePicker(picker, 1)
+		recent := func() int { return len(picker.Counts()["s@in-service"].RecentSessions) }
 		s.Begin("s", "", "session")
 		time.Sleep(8 * time.Second)
 		must.Eq(t, 1, recent())
@@ -251,6 +254,6 @@
 		time.Sleep(2 * time.Second)
 		must.Eq(t, 0, recent())
 		s.Begin("s", "v2", "other")
-		must.Eq(t, 0, recent(), must.Sprint("one that has moved is not held"))
+		must.Eq(t, 0, recent(), must.Sprint("a session on the target is not tracked"))
 	})
 }
