--- a/adapter/etcd/etcd.go
+++ b/adapter/etcd/etcd.go
@@ -169,9 +169,9 @@
 	return c.call(ctx, "lease_revoke", "/v3/lease/revoke", leaseRequest{ID: lease}, new(leaseResponse))
 }
 
-// Shared returns the documents whose keys start with a prefix, by the rest of
+// ReadPrefix returns the documents whose keys start with a prefix, by the rest of
 // their keys.
-func (c *Client) Shared(ctx context.Context, prefix string) (map[string]document.Item, error) {
+func (c *Client) ReadPrefix(ctx context.Context, prefix string) (map[string]document.Item, error) {
 	pairs, err := c.List(ctx, prefix)
 	if err != nil {
 		return nil, err
@@ -183,9 +183,9 @@
 	return items, nil
 }
 
-// SharedRevisions returns the revisions of the keys that start with a prefix,
+// ReadRevisions returns the revisions of the keys that start with a prefix,
 // by the rest of the keys.
-func (c *Client) SharedRevisions(ctx context.Context, prefix string) (map[string]int64, error) {
+func (c *Client) ReadRevisions(ctx context.Context, prefix string) (map[string]int64, error) {
 	pairs, err := c.list(ctx, prefix, true)
 	if err != nil {
 		return nil, err
--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -16,7 +16,7 @@
 //		if planner.Releases(c, rating) { … }
 //	}
 //
-// Where no rating service stands beside the models, a [Ladder] goes by the
+// Where no rating service stands beside the models, a [ConfidencePolicy] goes by the
 // models' own confidence:
 //
 //	step := ladder.First(len(models), mayEscalate)
@@ -109,8 +109,8 @@
 	return l
 }
 
-// Learn takes the rating of one answer of a model and the time it took.
-func (p *Planner) Learn(c *config.Cascade, class, model string, rating float64, took time.Duration) {
+// RecordRating takes the rating of one answer of a model and the time it took.
+func (p *Planner) RecordRating(c *config.Cascade, class, model string, rating float64, took time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.lookup(c.Name, class, model)
@@ -125,23 +125,23 @@
 	l.took += time.Duration(memory * float64(took-l.took))
 }
 
-// Releases reports whether an answer of this rating may go out.
-func (p *Planner) Releases(c *config.Cascade, rating float64) bool {
+// MayRelease reports whether an answer of this rating may go out.
+func (p *Planner) MayRelease(c *config.Cascade, rating float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return rating >= p.threshold(c)
 }
 
-// ReleasesUnrated reports whether a model's answer may go out while the
+// MayReleaseUnrated reports whether a model's answer may go out while the
 // rating service gives no rating.
-func (p *Planner) ReleasesUnrated(c *config.Cascade, class, model string) bool {
+func (p *Planner) MayReleaseUnrated(c *config.Cascade, class, model string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lookup(c.Name, class, model).pass >= unratedPass
 }
 
-// Released takes the rating of an answer that went out and moves the bound.
-func (p *Planner) Released(c *config.Cascade, rating float64) {
+// RecordReleased takes the rating of an answer that went out and moves the bound.
+func (p *Planner) RecordReleased(c *config.Cascade, rating float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.bound(c)
--- a/cascade/cascade_test.go
+++ b/cascade/cascade_test.go
@@ -62,15 +62,15 @@
 			cost += map[string]float64{"cheap": cheapCost, "costly": costlyCost}[model]
 			last := i == len(plan)-1
 			if w.out {
-				if last || p.ReleasesUnrated(declared, name, model) {
+				if last || p.MayReleaseUnrated(declared, name, model) {
 					return cost, q
 				}
 				continue
 			}
 			rated := q + w.drift
-			p.Learn(declared, name, model, rated, answerTime)
-			if last || p.Releases(declared, rated) {
-				p.Released(declared, rated)
+			p.RecordRating(declared, name, model, rated, answerTime)
+			if last || p.MayRelease(declared, rated) {
+				p.RecordReleased(declared, rated)
 				return cost, q
 			}
 		}
@@ -139,8 +139,8 @@
 // TestDeadline leaves no room for two models.
 func TestDeadline(t *testing.T) {
 	p := cascade.New()
-	p.Learn(declared, "c", "cheap", 0.9, answerTime)
-	p.Learn(declared, "c", "costly", 0.9, answerTime)
+	p.RecordRating(declared, "c", "cheap", 0.9, answerTime)
+	p.RecordRating(declared, "c", "costly", 0.9, answerTime)
 	must.Eq(t, []string{"cheap", "costly"}, p.Plan(declared, "c", 3*answerTime))
 	must.Eq(t, []string{"costly"}, p.Plan(declared, "c", 3*answerTime/2))
 }
--- a/cascade/ladder.go
+++ b/cascade/ladder.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Ladder decides between models by the confidence that a model tells of its
+// ConfidencePolicy decides between models by the confidence that a model tells of its
 // own answer, where no rating service stands beside it. The cheapest model
 // answers first; an answer that it has too little confidence in is dropped
 // before the client has any of it, and a costlier model answers instead: the
 // next one where the confidence was nearly enough, or else the costliest.
-type Ladder struct{ bound, near float64 }
+type ConfidencePolicy struct{ bound, near float64 }
 
 const (
 	// defaultBound is the least confidence, of 0 to 100, that releases an
 	// answer whatever the load is: above it one answer in fifty is poor, below
-	// it [Ladder.Pays] decides.
+	// it [ConfidencePolicy.Pays] decides.
 	defaultBound = 65
 	// nearBound is the confidence from which the next model is tried in place
 	// of the costliest; without the middle model worth fell from 0.707 to 0.698,
@@ -23,13 +23,15 @@
 	nearBound = 35
 )
 
-// NewLadder returns a ladder with the default bounds.
-func NewLadder() *Ladder { return &Ladder{bound: defaultBound, near: nearBound} }
+// NewConfidencePolicy returns a ladder with the default bounds.
+func NewConfidencePolicy() *ConfidencePolicy {
+	return &ConfidencePolicy{bound: defaultBound, near: nearBound}
+}
 
 // First returns the index of the model that answers first, of n. It is the
 // cheapest, unless its answer could not be dropped for a better one: then it is
 // the costliest, since a poor answer is worth little.
-func (l *Ladder) First(n int, mayEscalate bool) int {
+func (l *ConfidencePolicy) First(n int, mayEscalate bool) int {
 	if mayEscalate {
 		return 0
 	}
@@ -39,7 +41,7 @@
 // Next returns the index of the model to ask in place of the one at step, whose
 // answer has the given confidence; false to release its answer. Last says that
 // nothing can follow the next answer.
-func (l *Ladder) Next(n, step int, confidence float64, last bool) (int, bool) {
+func (l *ConfidencePolicy) Next(n, step int, confidence float64, last bool) (int, bool) {
 	switch {
 	case step >= n-1 || confidence >= l.bound:
 		return 0, false
@@ -73,27 +75,27 @@
 	spread = 0.35
 )
 
-// Offer is what a costlier model would take in place of an answer.
-type Offer struct {
+// Escalation is what a costlier model would take in place of an answer.
+type Escalation struct {
 	// Confidence of the answer that it would replace.
 	Confidence float64
 	// Wait is how long the request waits until a server turns to it, Takes how
 	// long its answer takes to begin from then on.
-	Wait, Takes time.Duration
-	// Left is what is left of the objective, zero or less if nothing is.
-	Left, Objective time.Duration
+	Wait, ServiceTime time.Duration
+	// Remaining is what is left of the objective, zero or less if nothing is.
+	Remaining, Objective time.Duration
 }
 
-// Pays reports whether a costlier model is worth asking: whether the chance that
+// WorthEscalating reports whether a costlier model is worth asking: whether the chance that
 // the answer was poor, and that the other one comes in time, is worth what the
 // others wait for it.
-func (l *Ladder) Pays(o Offer) bool {
+func (l *ConfidencePolicy) WorthEscalating(o Escalation) bool {
 	if o.Objective <= 0 {
 		return true
 	}
 	poor := 1 / (1 + math.Exp((o.Confidence-evenConfidence)/sureness))
-	expected := float64(o.Wait + o.Takes)
-	inTime := 1 / (1 + math.Exp((expected-float64(o.Left))/(spread*expected+1)))
+	expected := float64(o.Wait + o.ServiceTime)
+	inTime := 1 / (1 + math.Exp((expected-float64(o.Remaining))/(spread*expected+1)))
 	worth := inTime + lateWorth*(1-inTime)
 	gain := worth - (1 - poor)
 	price := leastGain + float64(o.Wait)/(fullWait*float64(o.Objective))
--- a/cascade/ladder_test.go
+++ b/cascade/ladder_test.go
@@ -31,7 +31,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			next, escalates := cascade.NewLadder().Next(tt.n, tt.step, tt.confidence, tt.last)
+			next, escalates := cascade.NewConfidencePolicy().Next(tt.n, tt.step, tt.confidence, tt.last)
 			must.Eq(t, tt.escalates, escalates)
 			must.Eq(t, tt.next, next)
 		})
@@ -41,7 +41,7 @@
 // TestLadderFirst: an answer that could not be dropped comes from the costliest
 // model.
 func TestLadderFirst(t *testing.T) {
-	l := cascade.NewLadder()
+	l := cascade.NewConfidencePolicy()
 	must.Eq(t, 0, l.First(3, true))
 	must.Eq(t, 2, l.First(3, false))
 	must.Eq(t, 0, l.First(1, false))
@@ -69,9 +69,9 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			o := cascade.Offer{Confidence: tt.confidence, Wait: tt.wait, Takes: tt.takes, Left: tt.left, Objective: objective}
-			must.Eq(t, tt.pays, cascade.NewLadder().Pays(o))
+			o := cascade.Escalation{Confidence: tt.confidence, Wait: tt.wait, ServiceTime: tt.takes, Remaining: tt.left, Objective: objective}
+			must.Eq(t, tt.pays, cascade.NewConfidencePolicy().WorthEscalating(o))
 		})
 	}
-	must.True(t, cascade.NewLadder().Pays(cascade.Offer{Wait: time.Hour}), must.Sprint("no objective"))
+	must.True(t, cascade.NewConfidencePolicy().WorthEscalating(cascade.Escalation{Wait: time.Hour}), must.Sprint("no objective"))
 }
--- a/dispatch/chat.go
+++ b/dispatch/chat.go
@@ -81,7 +81,7 @@
 		spent += got.cost
 		rating := d.rate(ctx, r, got, record)
 		if rating >= 0 {
-			d.Planner.Learn(t.cascade, r.Chat.Class, model, rating, got.total)
+			d.Planner.RecordRating(t.cascade, r.Chat.Class, model, rating, got.total)
 		}
 		d.observe(r, got, rating)
 		if !last && !d.releases(t.cascade, r.Chat.Class, model, rating) {
@@ -89,7 +89,7 @@
 			continue
 		}
 		if rating >= 0 {
-			d.Planner.Released(t.cascade, rating)
+			d.Planner.RecordReleased(t.cascade, rating)
 		}
 		return d.release(r, x, got, spent, record)
 	}
@@ -105,9 +105,9 @@
 
 func (d *Dispatcher) releases(c *config.Cascade, class, model string, rating float64) bool {
 	if rating < 0 {
-		return d.Planner.ReleasesUnrated(c, class, model)
+		return d.Planner.MayReleaseUnrated(c, class, model)
 	}
-	return d.Planner.Releases(c, rating)
+	return d.Planner.MayRelease(c, rating)
 }
 
 // rate returns an answer's rating, or noRating if none is to be had in time.
@@ -258,7 +258,7 @@
 	d := m.d
 	s := d.Config()
 	if p := s.Pool(v.Pool); p != nil {
-		d.Budgets.Paid(v.Pool, p.RetryShare())
+		d.Budgets.RecordRequest(v.Pool, p.RetryShare())
 	}
 	attempt, err := d.Chooser.Choose(route.Request{
 		Pool:        v.Pool,
--- a/dispatch/plain.go
+++ b/dispatch/plain.go
@@ -32,7 +32,7 @@
 		return refuse(ReasonClaimUnreachable, RanNo, comeBackSoon, "too few replicas took note of the run")
 	}
 	if p := s.Pool(pool); p != nil {
-		d.Budgets.Paid(pool, p.RetryShare())
+		d.Budgets.RecordRequest(pool, p.RetryShare())
 	}
 	tried := make(map[string]bool)
 	var last *Refusal
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// Open returns the number of open connections.
-func (l *Listener) Open() int {
+// OpenConns returns the number of open connections.
+func (l *Listener) OpenConns() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.open)
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -127,12 +127,12 @@
 	_, err = fmt.Fprint(busy, "GET / HTTP/1.1\r\nHost: a\r\nSlow: 1\r\n\r\n")
 	must.NoError(t, err)
 	<-entered
-	must.Eq(t, 2, l.Open())
+	must.Eq(t, 2, l.OpenConns())
 
 	l.CloseIdle()
 	_, err = idleReader.ReadByte()
 	must.ErrorIs(t, err, io.EOF)
-	must.Eq(t, 1, l.Open())
+	must.Eq(t, 1, l.OpenConns())
 
 	waited := make(chan error)
 	go func() {
@@ -179,5 +179,5 @@
 	close(inner.proceed)
 	_, err = c.Read(make([]byte, 1))
 	must.ErrorIs(t, err, io.EOF)
-	must.Eq(t, 0, l.Open())
+	must.Eq(t, 0, l.OpenConns())
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -178,7 +178,7 @@
 		News:     g.mirror,
 		Versions: g.services,
 		Balancer: g.balancer,
-		Ladder:   cascade.NewLadder(),
+		Ladder:   cascade.NewConfidencePolicy(),
 		Budgets:  g.makeBudgets(g.settings.Bounds.RetryRatio),
 		Moves:    g.makeBudgets(min(movesRatio, g.settings.Bounds.RetryRatio)),
 		Suspects: suspects{g},
@@ -190,11 +190,11 @@
 
 // makeBudgets gives this node its part of what the platform lets all nodes
 // send once more, or of a smaller share of the requests.
-func (g *Gateway) makeBudgets(ratio float64) *retry.Windows {
+func (g *Gateway) makeBudgets(ratio float64) *retry.WindowBudgets {
 	bounds := g.settings.Bounds
 	slack := func() float64 { return retryMargin * bounds.RetrySlack / float64(g.nodes.countWorking()+1) }
 	length := time.Duration(bounds.RetryWindowSeconds * float64(time.Second))
-	return retry.NewWindows(retryMargin*ratio, slack, length)
+	return retry.NewWindowBudgets(retryMargin*ratio, slack, length)
 }
 
 // Catalog returns the declaration in force.
--- a/member/member.go
+++ b/member/member.go
@@ -435,9 +435,9 @@
 	return alive
 }
 
-// Hears reports whether more than half of the view answers, this node
+// HasMajority reports whether more than half of the view answers, this node
 // included.
-func (p *Prober) Hears() bool {
+func (p *Prober) HasMajority() bool {
 	alive := len(p.Alive())
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/backends.go
+++ b/node/backends.go
@@ -133,12 +133,12 @@
 // holdingTimeout bounds asking all servers of a pool what they hold.
 const holdingTimeout = time.Second
 
-// Holding returns what the servers of a pool say they hold.
-func (b *backends) Holding(pool string) []placement.Holding {
+// LoadedModels returns what the servers of a pool say they hold.
+func (b *backends) LoadedModels(pool string) []placement.ServerModels {
 	ctx, cancel := context.WithTimeout(context.Background(), holdingTimeout)
 	defer cancel()
 	servers := b.n.Config().Servers(pool)
-	holdings := make([]placement.Holding, len(servers))
+	holdings := make([]placement.ServerModels, len(servers))
 	var asks sync.WaitGroup
 	for i, server := range servers {
 		asks.Go(func() {
--- a/node/node.go
+++ b/node/node.go
@@ -74,7 +74,7 @@
 	store    *etcd.Client
 	vms      *vmlist.List
 	client   *peer.Client
-	spreader *spread.Spreader
+	spreader *spread.Replicator
 	prober   *member.Prober
 	keeper   *view.Keeper
 	replica  *claim.Replica
@@ -208,7 +208,7 @@
 	n.dispatch = dispatch.New(dispatch.Parts{
 		Self:       n.holder,
 		Config:     n.Config,
-		Current:    n.spreader.Current,
+		Current:    n.spreader.ReceivesUpdates,
 		Claims:     n.claimer,
 		Holders:    holders{n},
 		Answers:    n.answers,
--- a/node/operators.go
+++ b/node/operators.go
@@ -28,7 +28,7 @@
 		return "not in the view"
 	case !n.replica.Settled():
 		return "claims are being taken over"
-	case !n.spreader.Current():
+	case !n.spreader.ReceivesUpdates():
 		return "cut off from the platform and most of the view"
 	}
 	return ""
--- a/node/peers.go
+++ b/node/peers.go
@@ -40,7 +40,7 @@
 
 func (n *Node) heard(h member.Heartbeat) {
 	n.bills.Heard(h.Journal, h.Folded)
-	n.spreader.Heard(h.Peer, h.Revisions)
+	n.spreader.HandleRevisions(h.Peer, h.Revisions)
 }
 
 // sharers returns the nodes among which the backend servers are shared out.
@@ -90,7 +90,7 @@
 }
 
 func (p peerNode) Heard(address string, revisions map[string]int64) {
-	p.n.spreader.Heard(address, revisions)
+	p.n.spreader.HandleRevisions(address, revisions)
 }
 
 func (p peerNode) Grant(ask limit.Ask) limit.Grant { return p.n.grantor.Grant(ask) }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -45,15 +45,15 @@
 	Model  string
 }
 
-// Holding is a server and what it says it holds. A server that says nothing
+// ServerModels is a server and what it says it holds. A server that says nothing
 // is left alone.
-type Holding struct {
+type ServerModels struct {
 	Server config.Server
 	Models []string
 }
 
-// Want is how many copies of an engine model a pool should hold.
-type Want struct {
+// ModelTarget is how many copies of an engine model a pool should hold.
+type ModelTarget struct {
 	Model  string
 	Copies int
 	// InUse versions keep their last copy whatever else is wanted.
@@ -63,7 +63,7 @@
 // Engines gives orders.
 type Engines interface {
 	Order(ctx context.Context, o Order, token int64) error
-	Holding(pool string) []Holding
+	LoadedModels(pool string) []ServerModels
 }
 
 // Lease tells whether this node gives the orders.
@@ -83,7 +83,7 @@
 // Next returns the order that brings a pool closest to what is wanted. Loads
 // come before unloads; a server with room comes before one that must first
 // give up a surplus copy.
-func Next(holdings []Holding, wants []Want) (Order, bool) {
+func Next(holdings []ServerModels, wants []ModelTarget) (Order, bool) {
 	copies := make(map[string]int)
 	for _, h := range holdings {
 		for _, m := range h.Models {
@@ -102,15 +102,15 @@
 }
 
 // byNeed sorts the wants so that a version without any copy comes first.
-func byNeed(wants []Want, copies map[string]int) []Want {
-	sorted := append([]Want(nil), wants...)
+func byNeed(wants []ModelTarget, copies map[string]int) []ModelTarget {
+	sorted := append([]ModelTarget(nil), wants...)
 	sort.SliceStable(sorted, func(i, j int) bool {
 		return need(sorted[i], copies) > need(sorted[j], copies)
 	})
 	return sorted
 }
 
-func need(w Want, copies map[string]int) float64 {
+func need(w ModelTarget, copies map[string]int) float64 {
 	if copies[w.Model] == 0 && w.Copies > 0 {
 		return math.Inf(1)
 	}
@@ -118,7 +118,7 @@
 }
 
 // roomFor returns the server with the fewest models that lacks this one.
-func roomFor(holdings []Holding, model string) int {
+func roomFor(holdings []ServerModels, model string) int {
 	best := -1
 	for i, h := range holdings {
 		if len(h.Models) == 0 || len(h.Models) >= maxModels || slices.Contains(h.Models, model) {
@@ -133,8 +133,8 @@
 
 // surplus returns the unloading of a copy beyond what is wanted, on the server
 // that holds the most.
-func surplus(holdings []Holding, wants []Want, copies map[string]int) (Order, bool) {
-	wanted := make(map[string]Want, len(wants))
+func surplus(holdings []ServerModels, wants []ModelTarget, copies map[string]int) (Order, bool) {
+	wanted := make(map[string]ModelTarget, len(wants))
 	for _, w := range wants {
 		wanted[w.Model] = w
 	}
@@ -157,9 +157,9 @@
 	return Order{Server: holdings[best].Server, Action: ActionUnload, Model: bestModel}, true
 }
 
-// Wants returns what a pool should hold, given the share of each version.
-func Wants(s *config.Snapshot, pool string, servers int, share func(m *config.Model, version string) float64) []Want {
-	var wants []Want
+// ModelTargets returns what a pool should hold, given the share of each version.
+func ModelTargets(s *config.Snapshot, pool string, servers int, share func(m *config.Model, version string) float64) []ModelTarget {
+	var wants []ModelTarget
 	models := s.Models()
 	for i := range models {
 		m := &models[i]
@@ -168,7 +168,7 @@
 			if v.Pool != pool {
 				continue
 			}
-			w := Want{Model: v.EngineName(m.Name), InUse: v.State != config.VersionWithdrawn}
+			w := ModelTarget{Model: v.EngineName(m.Name), InUse: v.State != config.VersionWithdrawn}
 			if w.InUse {
 				w.Copies = max(1, int(math.Ceil(share(m, v.Name)*float64(servers))))
 			}
@@ -202,8 +202,8 @@
 func (p *Planner) Step(ctx context.Context) {
 	s := p.snapshot()
 	for _, pool := range s.Pools() {
-		holdings := p.engines.Holding(pool.Name)
-		if order, ok := Next(holdings, Wants(s, pool.Name, len(holdings), p.share)); ok {
+		holdings := p.engines.LoadedModels(pool.Name)
+		if order, ok := Next(holdings, ModelTargets(s, pool.Name, len(holdings), p.share)); ok {
 			p.give(ctx, order)
 		}
 	}
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -14,33 +14,33 @@
 	"github.com/violettally/violettally/timer"
 )
 
-func holdings(models ...[]string) []placement.Holding {
-	var all []placement.Holding
+func holdings(models ...[]string) []placement.ServerModels {
+	var all []placement.ServerModels
 	for i, held := range models {
-		all = append(all, placement.Holding{Server: config.Server{Name: fmt.Sprintf("s%d", i)}, Models: held})
+		all = append(all, placement.ServerModels{Server: config.Server{Name: fmt.Sprintf("s%d", i)}, Models: held})
 	}
 	return all
 }
 
 // TestNext lists what pools hold, what is wanted, and the next order.
 func TestNext(t *testing.T) {
-	used := func(model string, copies int) placement.Want {
-		return placement.Want{Model: model, Copies: copies, InUse: true}
+	used := func(model string, copies int) placement.ModelTarget {
+		return placement.ModelTarget{Model: model, Copies: copies, InUse: true}
 	}
 	tests := []struct {
 		name     string
-		holdings []placement.Holding
-		wants    []placement.Want
+		holdings []placement.ServerModels
+		wants    []placement.ModelTarget
 		want     string
 	}{
-		{"all as wanted", holdings([]string{"a"}, []string{"b"}), []placement.Want{used("a", 1), used("b", 1)}, ""},
-		{"no copy comes first", holdings([]string{"a"}, []string{"a"}), []placement.Want{used("a", 2), used("b", 1)}, "load b on s0"},
-		{"the emptier server", holdings([]string{"a", "b"}, []string{"a"}), []placement.Want{used("a", 2), used("b", 2)}, "load b on s1"},
-		{"full servers give up a surplus copy", holdings([]string{"a", "b"}, []string{"a", "b"}), []placement.Want{used("a", 1), used("b", 2), used("c", 1)}, "unload a on s0"},
-		{"a withdrawn version goes", holdings([]string{"a", "old"}), []placement.Want{used("a", 1), {Model: "old"}}, "unload old on s0"},
-		{"the last copy in use stays", holdings([]string{"a", "b"}), []placement.Want{{Model: "a", Copies: 0, InUse: true}, used("b", 1)}, ""},
-		{"servers that say nothing are left alone", holdings(nil, nil), []placement.Want{used("a", 1)}, ""},
-		{"no capacity", holdings([]string{"a", "b"}), []placement.Want{used("a", 1), used("b", 1), used("c", 1)}, ""},
+		{"all as wanted", holdings([]string{"a"}, []string{"b"}), []placement.ModelTarget{used("a", 1), used("b", 1)}, ""},
+		{"no copy comes first", holdings([]string{"a"}, []string{"a"}), []placement.ModelTarget{used("a", 2), used("b", 1)}, "load b on s0"},
+		{"the emptier server", holdings([]string{"a", "b"}, []string{"a"}), []placement.ModelTarget{used("a", 2), used("b", 2)}, "load b on s1"},
+		{"full servers give up a surplus copy", holdings([]string{"a", "b"}, []string{"a", "b"}), []placement.ModelTarget{used("a", 1), used("b", 2), used("c", 1)}, "unload a on s0"},
+		{"a withdrawn version goes", holdings([]string{"a", "old"}), []placement.ModelTarget{used("a", 1), {Model: "old"}}, "unload old on s0"},
+		{"the last copy in use stays", holdings([]string{"a", "b"}), []placement.ModelTarget{{Model: "a", Copies: 0, InUse: true}, used("b", 1)}, ""},
+		{"servers that say nothing are left alone", holdings(nil, nil), []placement.ModelTarget{used("a", 1)}, ""},
+		{"no capacity", holdings([]string{"a", "b"}), []placement.ModelTarget{used("a", 1), used("b", 1), used("c", 1)}, ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -56,11 +56,11 @@
 
 // engines takes orders; lease is held as the test says.
 type engines struct {
-	holding []placement.Holding
+	holding []placement.ServerModels
 	tokens  []int64
 }
 
-func (e *engines) Holding(string) []placement.Holding { return e.holding }
+func (e *engines) LoadedModels(string) []placement.ServerModels { return e.holding }
 
 func (e *engines) Order(_ context.Context, _ placement.Order, token int64) error {
 	e.tokens = append(e.tokens, token)
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -63,17 +63,17 @@
 	x.step = step
 	servers, _ := x.servers()
 	forecast := x.relay.Balancer.Forecast(x.task(servers))
-	offer := cascade.Offer{
-		Confidence: confidence,
-		Wait:       forecast.Wait,
-		Takes:      forecast.Takes,
-		Left:       x.route.Objective - x.elapsed(),
-		Objective:  x.route.Objective,
+	offer := cascade.Escalation{
+		Confidence:  confidence,
+		Wait:        forecast.Wait,
+		ServiceTime: forecast.Takes,
+		Remaining:   x.route.Objective - x.elapsed(),
+		Objective:   x.route.Objective,
 	}
 	length, known := x.length()
-	pays := x.relay.Ladder.Pays(offer) && x.relay.endsInTime(x.deadline, forecast.Total()+length, known)
+	pays := x.relay.Ladder.WorthEscalating(offer) && x.relay.endsInTime(x.deadline, forecast.Total()+length, known)
 	x.record.Note("offer", "%s for confidence %.0f: %d ms, of it %d waiting, %d left: %t", x.model(), confidence,
-		forecast.Total().Milliseconds(), forecast.Wait.Milliseconds(), offer.Left.Milliseconds(), pays)
+		forecast.Total().Milliseconds(), forecast.Wait.Milliseconds(), offer.Remaining.Milliseconds(), pays)
 	return pays
 }
 
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -59,8 +59,8 @@
 // run makes attempts until the client has its answer. A refusal that it
 // returns is still to be told.
 func (x *exchange) run(ctx context.Context) *Refusal {
-	x.relay.Budgets.Paid(x.service)
-	x.relay.Moves.Paid(x.service)
+	x.relay.Budgets.RecordRequest(x.service)
+	x.relay.Moves.RecordRequest(x.service)
 	x.chooseModel()
 	if !x.fits() {
 		return x.refuseLeaving("the answer would not be whole before its end")
--- a/relay/harness_test.go
+++ b/relay/harness_test.go
@@ -62,7 +62,7 @@
 	parts.Versions = cmp.Or[relay.Versions](parts.Versions, noRollout{})
 	parts.Counters = noCounters{}
 	parts.Balancer = cmp.Or(parts.Balancer, route.NewBalancer("", func(string) {}))
-	parts.Ladder = cascade.NewLadder()
+	parts.Ladder = cascade.NewConfidencePolicy()
 	parts.Records = cmp.Or(parts.Records, decision.New("n"))
 	return relay.New(parts)
 }
@@ -119,7 +119,7 @@
 // noBound lets every request be sent again.
 type noBound struct{}
 
-func (noBound) Paid(string)                 {}
+func (noBound) RecordRequest(string)        {}
 func (noBound) Take(string, float64) bool   { return true }
 func (noBound) Allows(string, float64) bool { return true }
 
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -190,13 +190,13 @@
 	// step, whose answer has the given confidence; false to keep the answer.
 	// Last says that nothing can follow the next answer.
 	Next(n, step int, confidence float64, last bool) (int, bool)
-	// Pays reports whether asking that model is worth its time.
-	Pays(o cascade.Offer) bool
+	// WorthEscalating reports whether asking that model is worth its time.
+	WorthEscalating(o cascade.Escalation) bool
 }
 
 // Budgets bound by service how many requests are sent once more.
 type Budgets interface {
-	Paid(service string)
+	RecordRequest(service string)
 	// Take takes one repeat out of the budget if a share of it, spare, is
 	// then left.
 	Take(service string, spare float64) bool
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,6 +1,6 @@
 // Package retry bounds how much a pool's failures multiply its load, by
 // [Budgets] of tokens or, where the platform states its bound by the requests
-// of a time, by [Windows].
+// of a time, by [WindowBudgets].
 //
 // Each request to a pool pays a share of a token into the pool's budget and
 // each retry takes one out, so that in a pool-wide failure the load grows by
@@ -37,8 +37,8 @@
 // New returns full budgets.
 func New() *Budgets { return &Budgets{tokens: make(map[string]float64)} }
 
-// Paid counts one request to a pool whose share of retries is given.
-func (b *Budgets) Paid(pool string, share float64) {
+// RecordRequest counts one request to a pool whose share of retries is given.
+func (b *Budgets) RecordRequest(pool string, share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens[pool] = min(maxTokens, b.balance(pool)+share)
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -22,7 +22,7 @@
 				}
 				attempts++
 			}
-			b.Paid("p", share)
+			b.RecordRequest("p", share)
 		}
 		must.LessEq(t, int(requests*(1+share))+3, attempts)
 		must.GreaterEq(t, int(requests*(1+share))-20, attempts)
--- a/retry/window.go
+++ b/retry/window.go
@@ -10,12 +10,12 @@
 // cost more at each request.
 const slices = 20
 
-// Windows bound by service how many requests one node sends once more: within
+// WindowBudgets bound by service how many requests one node sends once more: within
 // any window, to a share of the requests of that window or of the one before,
 // and a few more. They are for platforms that hold the system to such a bound
 // over all nodes: if each node keeps to its part, the sum keeps to the whole.
 // They are safe for concurrent use.
-type Windows struct {
+type WindowBudgets struct {
 	ratio float64
 	slack func() float64
 	// slice is how long each part of a window lasts. Slices are counted from
@@ -37,16 +37,16 @@
 	at int64
 }
 
-// NewWindows returns windows of that length, without requests. Repeats are
+// NewWindowBudgets returns windows of that length, without requests. Repeats are
 // bound to the ratio of a window's requests and to slack more, which is this
 // node's part of what the platform allows beside the ratio. Slack is asked for
 // anew each time, since it depends on the number of nodes.
-func NewWindows(ratio float64, slack func() float64, length time.Duration) *Windows {
-	return &Windows{ratio: ratio, slack: slack, slice: length / slices, made: time.Now(), services: make(map[string]*window)}
+func NewWindowBudgets(ratio float64, slack func() float64, length time.Duration) *WindowBudgets {
+	return &WindowBudgets{ratio: ratio, slack: slack, slice: length / slices, made: time.Now(), services: make(map[string]*window)}
 }
 
-// Paid counts one request to a service.
-func (w *Windows) Paid(service string) {
+// RecordRequest counts one request to a service.
+func (w *WindowBudgets) RecordRequest(service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	s := w.current(service)
@@ -55,7 +55,7 @@
 
 // Take counts one repeat if the bound allows it and still leaves a share of the
 // bound, spare, for others.
-func (w *Windows) Take(service string, spare float64) bool {
+func (w *WindowBudgets) Take(service string, spare float64) bool {
 	slack := w.slack()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -68,20 +68,20 @@
 }
 
 // Allows reports whether Take would count a repeat now.
-func (w *Windows) Allows(service string, spare float64) bool {
+func (w *WindowBudgets) Allows(service string, spare float64) bool {
 	slack := w.slack()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.allows(w.current(service), slack, spare)
 }
 
-func (w *Windows) allows(s *window, slack, spare float64) bool {
+func (w *WindowBudgets) allows(s *window, slack, spare float64) bool {
 	bound := w.ratio*float64(s.most()) + slack
 	return float64(s.repeated()+1) <= bound*(1-spare)
 }
 
 // current returns the service's window, moved on to the present slice.
-func (w *Windows) current(service string) *window {
+func (w *WindowBudgets) current(service string) *window {
 	now := int64(time.Since(w.made) / w.slice)
 	s := w.services[service]
 	if s == nil {
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -13,7 +13,7 @@
 // TestWindows keeps to a share of the requests of ten seconds, and three more.
 func TestWindows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := retry.NewWindows(0.5, func() float64 { return 3 }, 10*time.Second)
+		w := retry.NewWindowBudgets(0.5, func() float64 { return 3 }, 10*time.Second)
 		take := func(spare float64) (n int) {
 			for w.Take("s", spare) {
 				n++
@@ -22,8 +22,8 @@
 		}
 		must.Eq(t, 3, take(0), must.Sprint("the slack"))
 		for range 100 {
-			w.Paid("s")
-			w.Paid("other")
+			w.RecordRequest("s")
+			w.RecordRequest("other")
 		}
 		must.Eq(t, 36, take(0.25), must.Sprint("a part is left for others"))
 		must.Eq(t, 14, take(0))
@@ -41,10 +41,10 @@
 // TestWindowsSlide: no span of ten seconds has more repeats than the bound.
 func TestWindowsSlide(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := retry.NewWindows(0.5, func() float64 { return 2 }, 10*time.Second)
+		w := retry.NewWindowBudgets(0.5, func() float64 { return 2 }, 10*time.Second)
 		var at []time.Time
 		for range 400 {
-			w.Paid("s")
+			w.RecordRequest("s")
 			if w.Take("s", 0) {
 				at = append(at, time.Now())
 			}
--- a/spread/size_test.go
+++ b/spread/size_test.go
@@ -22,7 +22,7 @@
 	store := func(name string, plain []byte) int {
 		_, err := f.nodes[0].Update(context.Background(), name, func([]byte) ([]byte, error) { return plain, nil })
 		must.NoError(t, err)
-		return len(f.platform.items[spread.Prefix+name].Data)
+		return len(f.platform.items[spread.KeyPrefix+name].Data)
 	}
 	t.Logf("view: %d bytes, stored %d; configuration: %d bytes, stored %d", len(plainView), store(spread.View, plainView), len(plainConfig), store(spread.Config, plainConfig))
 	must.Less(t, 1<<20, store(spread.Config, plainConfig))
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -37,9 +37,9 @@
 	Rollouts = "rollouts"
 )
 
-// Prefix starts the keys of the shared documents at the platform, so that one
+// KeyPrefix starts the keys of the shared documents at the platform, so that one
 // watch covers them all.
-const Prefix = "shared/"
+const KeyPrefix = "shared/"
 
 const (
 	watchersPerHall = 2
@@ -52,9 +52,9 @@
 // Store is what the package needs of the key-value service.
 type Store interface {
 	document.Store
-	Shared(ctx context.Context, prefix string) (map[string]document.Item, error)
-	// SharedRevisions is Shared without the documents themselves.
-	SharedRevisions(ctx context.Context, prefix string) (map[string]int64, error)
+	ReadPrefix(ctx context.Context, prefix string) (map[string]document.Item, error)
+	// ReadRevisions is Shared without the documents themselves.
+	ReadRevisions(ctx context.Context, prefix string) (map[string]int64, error)
 	WatchPrefix(ctx context.Context, prefix string, after int64, changed func(key string, item document.Item)) error
 }
 
@@ -70,8 +70,8 @@
 type Members interface {
 	// Alive returns the members that answer, without this node.
 	Alive() []view.Member
-	// Hears reports whether more than half of the view answers.
-	Hears() bool
+	// HasMajority reports whether more than half of the view answers.
+	HasMajority() bool
 	// Rank returns this node's place among the answering members of its
 	// data hall.
 	Rank() int
@@ -79,8 +79,8 @@
 	Seeds() []string
 }
 
-// Spreader keeps the newest known form of each shared document.
-type Spreader struct {
+// Replicator keeps the newest known form of each shared document.
+type Replicator struct {
 	store   Store
 	peers   Peers
 	members Members
@@ -96,8 +96,8 @@
 }
 
 // New returns a spreader without documents.
-func New(store Store, peers Peers, timers *timer.Service) *Spreader {
-	return &Spreader{
+func New(store Store, peers Peers, timers *timer.Service) *Replicator {
+	return &Replicator{
 		store:       store,
 		peers:       peers,
 		timers:      timers,
@@ -109,16 +109,16 @@
 
 // SetMembers names the source of peers. It must be called before Run; the
 // members follow from the view, which this package brings.
-func (s *Spreader) SetMembers(m Members) { s.members = m }
+func (s *Replicator) SetMembers(m Members) { s.members = m }
 
 // Subscribe calls changed with each newer form of a document, one call at a
 // time, in the order of revisions. It must be called before Run.
-func (s *Spreader) Subscribe(name string, changed func(document.Item)) {
+func (s *Replicator) Subscribe(name string, changed func(document.Item)) {
 	s.subscribers[name] = append(s.subscribers[name], changed)
 }
 
 // Revisions returns the revision of each known document.
-func (s *Spreader) Revisions() map[string]int64 {
+func (s *Replicator) Revisions() map[string]int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	revisions := make(map[string]int64, len(s.items))
@@ -130,7 +130,7 @@
 
 // Newer returns the documents that are newer than known, compressed as they
 // are stored.
-func (s *Spreader) Newer(known map[string]int64) map[string]document.Item {
+func (s *Replicator) Newer(known map[string]int64) map[string]document.Item {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newer := make(map[string]document.Item)
@@ -142,15 +142,15 @@
 	return newer
 }
 
-// Offer takes a stored document if it is newer than the known one, tells the
+// Apply takes a stored document if it is newer than the known one, tells the
 // subscribers, and a few peers.
-func (s *Spreader) Offer(name string, item document.Item) {
+func (s *Replicator) Apply(name string, item document.Item) {
 	if s.take(name, item) {
 		go s.notify()
 	}
 }
 
-func (s *Spreader) take(name string, item document.Item) bool {
+func (s *Replicator) take(name string, item document.Item) bool {
 	s.delivery.Lock()
 	defer s.delivery.Unlock()
 	s.mu.Lock()
@@ -171,7 +171,7 @@
 	return true
 }
 
-func (s *Spreader) notify() {
+func (s *Replicator) notify() {
 	revisions := s.Revisions()
 	alive := s.members.Alive()
 	rand.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
@@ -188,9 +188,9 @@
 	calls.Wait()
 }
 
-// Heard compares the revisions that a peer has with its own and fetches what
+// HandleRevisions compares the revisions that a peer has with its own and fetches what
 // is newer, unless that is being fetched already.
-func (s *Spreader) Heard(address string, revisions map[string]int64) {
+func (s *Replicator) HandleRevisions(address string, revisions map[string]int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	newer := make(map[string]int64)
@@ -209,7 +209,7 @@
 }
 
 // fetched lets another peer be asked for what a fetch did not bring.
-func (s *Spreader) fetched(revisions map[string]int64) {
+func (s *Replicator) fetched(revisions map[string]int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for name, revision := range revisions {
@@ -219,7 +219,7 @@
 	}
 }
 
-func (s *Spreader) fetch(address string) {
+func (s *Replicator) fetch(address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), repairInterval)
 	defer cancel()
 	newer, err := s.peers.Fetch(ctx, address, s.Revisions())
@@ -228,14 +228,14 @@
 		return
 	}
 	for name, item := range newer {
-		s.Offer(name, item)
+		s.Apply(name, item)
 	}
 }
 
 // Update changes a shared document at the platform and puts it in force here.
 // The change sees and makes the document as it is before compression.
-func (s *Spreader) Update(ctx context.Context, name string, change func(old []byte) ([]byte, error)) (document.Item, error) {
-	item, err := document.Update(ctx, s.store, Prefix+name, func(old []byte) ([]byte, error) {
+func (s *Replicator) Update(ctx context.Context, name string, change func(old []byte) ([]byte, error)) (document.Item, error) {
+	item, err := document.Update(ctx, s.store, KeyPrefix+name, func(old []byte) ([]byte, error) {
 		plain, err := expand(old)
 		if err != nil {
 			return nil, err
@@ -248,22 +248,22 @@
 	})
 	if err == nil || err == document.ErrUnchanged {
 		s.touch()
-		s.Offer(name, item)
+		s.Apply(name, item)
 	}
 	return item, err
 }
 
-// Current reports whether this node can still learn of changes: it has lately
+// ReceivesUpdates reports whether this node can still learn of changes: it has lately
 // reached the platform, or it hears more than half of the view. Without
 // either, a withdrawal could pass it by, and it must start no new work.
-func (s *Spreader) Current() bool {
+func (s *Replicator) ReceivesUpdates() bool {
 	s.mu.Lock()
 	fresh := s.timers.Now().Sub(s.contact) < platformFresh
 	s.mu.Unlock()
-	return fresh || s.members.Hears()
+	return fresh || s.members.HasMajority()
 }
 
-func (s *Spreader) touch() {
+func (s *Replicator) touch() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.contact = s.timers.Now()
@@ -271,7 +271,7 @@
 
 // Run watches the platform where this node is one of its data hall's
 // watchers, and reads it where the node hears too few peers.
-func (s *Spreader) Run(ctx context.Context) {
+func (s *Replicator) Run(ctx context.Context) {
 	ticks := s.timers.Subscribe(repairInterval)
 	defer ticks.Stop()
 	s.start(ctx)
@@ -285,7 +285,7 @@
 			stopWatch = s.watchIf(ctx, duty)
 			watching = duty
 		}
-		if !duty && !s.members.Hears() {
+		if !duty && !s.members.HasMajority() {
 			s.read(ctx)
 		}
 		select {
@@ -298,7 +298,7 @@
 
 // watchIf starts a watch if this node is to hold one. The function that it
 // returns ends the watch.
-func (s *Spreader) watchIf(ctx context.Context, duty bool) context.CancelFunc {
+func (s *Replicator) watchIf(ctx context.Context, duty bool) context.CancelFunc {
 	ctx, stop := context.WithCancel(ctx)
 	if duty {
 		go s.watch(ctx)
@@ -307,7 +307,7 @@
 }
 
 // start takes the documents from the platform, or from peers if it is out.
-func (s *Spreader) start(ctx context.Context) {
+func (s *Replicator) start(ctx context.Context) {
 	if s.read(ctx) {
 		return
 	}
@@ -316,21 +316,21 @@
 	}
 }
 
-func (s *Spreader) read(ctx context.Context) bool {
-	items, err := s.store.Shared(ctx, Prefix)
+func (s *Replicator) read(ctx context.Context) bool {
+	items, err := s.store.ReadPrefix(ctx, KeyPrefix)
 	if err != nil {
 		return false
 	}
 	s.touch()
 	for name, item := range items {
-		s.Offer(name, item)
+		s.Apply(name, item)
 	}
 	return true
 }
 
 // watch follows the platform until the context ends. Each new watch starts
 // with a read, since the one before may have missed changes.
-func (s *Spreader) watch(ctx context.Context) {
+func (s *Replicator) watch(ctx context.Context) {
 	ticks := s.timers.Subscribe(repairInterval)
 	defer ticks.Stop()
 	for ctx.Err() == nil {
@@ -348,7 +348,7 @@
 
 // follow holds one watch. The contact with the platform counts as long as the
 // watch stands, which a slow read beside it confirms.
-func (s *Spreader) follow(ctx context.Context) {
+func (s *Replicator) follow(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go s.confirm(ctx, cancel)
@@ -356,9 +356,9 @@
 	for _, revision := range s.Revisions() {
 		after = max(after, revision)
 	}
-	err := s.store.WatchPrefix(ctx, Prefix, after, func(key string, item document.Item) {
+	err := s.store.WatchPrefix(ctx, KeyPrefix, after, func(key string, item document.Item) {
 		s.touch()
-		s.Offer(strings.TrimPrefix(key, Prefix), item)
+		s.Apply(strings.TrimPrefix(key, KeyPrefix), item)
 	})
 	if err != nil && ctx.Err() == nil {
 		slog.Warn("watch of the platform broke", "error", err)
@@ -367,8 +367,8 @@
 
 // compare asks the platform for the documents' revisions alone, and for the
 // documents if one is newer. It returns false if the platform does not answer.
-func (s *Spreader) compare(ctx context.Context) bool {
-	stored, err := s.store.SharedRevisions(ctx, Prefix)
+func (s *Replicator) compare(ctx context.Context) bool {
+	stored, err := s.store.ReadRevisions(ctx, KeyPrefix)
 	if err != nil {
 		return false
 	}
@@ -384,7 +384,7 @@
 
 // confirm asks the platform now and then beside a watch, so that a watch
 // whose connection died in silence is noticed and replaced.
-func (s *Spreader) confirm(ctx context.Context, broken context.CancelFunc) {
+func (s *Replicator) confirm(ctx context.Context, broken context.CancelFunc) {
 	s.timers.Every(ctx, platformFresh/2, func() {
 		if !s.compare(ctx) {
 			broken()
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -57,7 +57,7 @@
 	return p.revision, true, nil
 }
 
-func (p *platform) Shared(context.Context, string) (map[string]document.Item, error) {
+func (p *platform) ReadPrefix(context.Context, string) (map[string]document.Item, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.down {
@@ -65,13 +65,13 @@
 	}
 	items := make(map[string]document.Item)
 	for key, item := range p.items {
-		items[key[len(spread.Prefix):]] = item
+		items[key[len(spread.KeyPrefix):]] = item
 	}
 	return items, nil
 }
 
-func (p *platform) SharedRevisions(ctx context.Context, prefix string) (map[string]int64, error) {
-	items, err := p.Shared(ctx, prefix)
+func (p *platform) ReadRevisions(ctx context.Context, prefix string) (map[string]int64, error) {
+	items, err := p.ReadPrefix(ctx, prefix)
 	revisions := make(map[string]int64)
 	for name, item := range items {
 		revisions[name] = item.Revision
@@ -95,7 +95,7 @@
 // fleet is nodes that reach each other by name.
 type fleet struct {
 	platform *platform
-	nodes    []*spread.Spreader
+	nodes    []*spread.Replicator
 	perHall  int
 	cut      sync.Map
 	fetches  int
@@ -113,7 +113,7 @@
 	at int
 }
 
-func (p peers) node(address string) (*spread.Spreader, error) {
+func (p peers) node(address string) (*spread.Replicator, error) {
 	var at int
 	_, _ = fmt.Sscan(address, &at)
 	if p.f.isCut(at) || p.f.isCut(p.at) {
@@ -140,7 +140,7 @@
 		return err
 	}
 	time.Sleep(time.Millisecond)
-	n.Heard(fmt.Sprint(p.at), revisions)
+	n.HandleRevisions(fmt.Sprint(p.at), revisions)
 	return nil
 }
 
@@ -154,9 +154,9 @@
 	return alive
 }
 
-func (p peers) Hears() bool     { return 2*(len(p.Alive())+1) > len(p.f.nodes) }
-func (p peers) Rank() int       { return p.at % p.f.perHall }
-func (p peers) Seeds() []string { return []string{"0", "1"} }
+func (p peers) HasMajority() bool { return 2*(len(p.Alive())+1) > len(p.f.nodes) }
+func (p peers) Rank() int         { return p.at % p.f.perHall }
+func (p peers) Seeds() []string   { return []string{"0", "1"} }
 
 func newFleet(t *testing.T, halls, perHall int) *fleet {
 	f := &fleet{platform: &platform{items: make(map[string]document.Item), watchers: make(map[int]func(string, document.Item))}, perHall: perHall}
@@ -187,7 +187,7 @@
 		case <-time.After(500 * time.Millisecond):
 		}
 		if from := rand.IntN(len(f.nodes)); !f.isCut(at) && !f.isCut(from) {
-			f.nodes[at].Heard(fmt.Sprint(from), f.nodes[from].Revisions())
+			f.nodes[at].HandleRevisions(fmt.Sprint(from), f.nodes[from].Revisions())
 		}
 	}
 }
@@ -259,7 +259,7 @@
 					f.cut.Store(at, true)
 				}
 				time.Sleep(10 * time.Second)
-				must.Eq(t, tt.want, f.nodes[tt.node].Current())
+				must.Eq(t, tt.want, f.nodes[tt.node].ReceivesUpdates())
 				cancel()
 				time.Sleep(time.Minute) // let the last calls end
 			})
@@ -273,7 +273,7 @@
 	var seen []int64
 	f.nodes[0].Subscribe(spread.Config, func(item document.Item) { seen = append(seen, item.Revision) })
 	for _, revision := range []int64{3, 1, 3, 2, 7, 6} {
-		f.nodes[0].Offer(spread.Config, document.Item{Data: []byte("x"), Revision: revision})
+		f.nodes[0].Apply(spread.Config, document.Item{Data: []byte("x"), Revision: revision})
 	}
 	must.Eq(t, []int64{3, 7}, seen)
 }
@@ -286,5 +286,5 @@
 	text := bytes.Repeat([]byte("a line of a declaration\n"), 1000)
 	must.NoError(t, f.apply(0, string(text)))
 	must.Eq(t, string(text), string(got))
-	must.Less(t, len(text)/20, len(f.platform.items[spread.Prefix+spread.Config].Data))
+	must.Less(t, len(text)/20, len(f.platform.items[spread.KeyPrefix+spread.Config].Data))
 }
--- a/view/keeper.go
+++ b/view/keeper.go
@@ -21,8 +21,8 @@
 	FaultySince(id string) (time.Time, bool)
 	// Alive returns the peers that answer.
 	Alive() []Member
-	// Hears reports whether more than half of the view answers.
-	Hears() bool
+	// HasMajority reports whether more than half of the view answers.
+	HasMajority() bool
 	// RegionRank returns this node's place among the answering members of its
 	// region.
 	RegionRank() int
@@ -184,7 +184,7 @@
 func (k *Keeper) gone() []string {
 	var gone []string
 	now := k.timers.Now()
-	hears := k.opinions.Hears()
+	hears := k.opinions.HasMajority()
 	for _, m := range k.Current().Members() {
 		since, faulty := k.opinions.FaultySince(m.ID)
 		if !faulty {
