--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -32,63 +32,63 @@
 )
 
 const (
-	// memory is the weight of one answer in the running means.
-	memory = 0.05
-	// minPass is the chance of release below which a model is skipped.
-	minPass = 0.35
-	// explore is how often a skipped model is tried all the same, so that its
+	// smoothingFactor is the weight of one answer in the running means.
+	smoothingFactor = 0.05
+	// minPassRate is the chance of release below which a model is skipped.
+	minPassRate = 0.35
+	// exploreProbability is how often a skipped model is tried all the same, so that its
 	// recovery is noticed.
-	explore = 0.03
-	// unratedPass is the chance of release above which an answer may go out
+	exploreProbability = 0.03
+	// minUnratedPassRate is the chance of release above which an answer may go out
 	// unrated while the rating service is out.
-	unratedPass = 0.9
-	// thresholdStep is how far the bound moves per released answer and unit
+	minUnratedPassRate = 0.9
+	// thresholdGain is how far the bound moves per released answer and unit
 	// of distance from the target.
-	thresholdStep = 0.05
-	// thresholdSlack is how far the bound may move from the declared one.
-	thresholdSlack = 0.15
-	// classMax bounds the classes remembered.
-	classMax = 4096
+	thresholdGain = 0.05
+	// maxThresholdShift is how far the bound may move from the declared one.
+	maxThresholdShift = 0.15
+	// maxStats bounds the classes remembered.
+	maxStats = 4096
 )
 
 // Planner holds what one node has learned of its cascades. It is safe for
 // concurrent use.
 type Planner struct {
-	mu      sync.Mutex
-	learned map[learnedKey]*learned
-	bounds  map[string]*bound
+	mu          sync.Mutex
+	stats       map[statsKey]*modelStats
+	adjustments map[string]*adjustment
 }
 
-type learnedKey struct{ cascade, class, model string }
+type statsKey struct{ cascade, class, model string }
 
-type learned struct {
-	pass float64
-	took time.Duration
+type modelStats struct {
+	passRate float64
+	duration time.Duration
 }
 
-// bound is the release bound of one cascade and the mean of what it released.
-type bound struct {
-	shift float64
-	mean  float64
+// adjustment is the release bound of one cascade and the mean of what it released.
+type adjustment struct {
+	shift      float64
+	meanRating float64
 }
 
 // New returns a planner that has learned nothing.
 func New() *Planner {
-	return &Planner{learned: make(map[learnedKey]*learned), bounds: make(map[string]*bound)}
+	return &Planner{stats: make(map[statsKey]*modelStats), adjustments: make(map[string]*adjustment)}
 }
 
 // Plan returns the models to try in order, at least the last one. Left is the
 // time until the deadline, zero for none.
-func (p *Planner) Plan(c *config.Cascade, class string, left time.Duration) []string {
+func (p *Planner) Plan(c *config.Cascade, class string, remaining time.Duration) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	last := len(c.Models) - 1
 	var plan []string
 	for _, model := range c.Models[:last] {
-		l := p.lookup(c.Name, class, model)
-		costlier := p.lookup(c.Name, class, c.Models[last])
-		skip := l.pass < minPass && rand.Float64() >= explore
-		if skip || (left > 0 && l.took+costlier.took > left) {
+		s := p.statsFor(c.Name, class, model)
+		lastStats := p.statsFor(c.Name, class, c.Models[last])
+		skip := s.passRate < minPassRate && rand.Float64() >= exploreProbability
+		if skip || (remaining > 0 && s.duration+lastStats.duration > remaining) {
 			continue
 		}
 		plan = append(plan, model)
@@ -96,33 +96,33 @@
 	return append(plan, c.Models[last])
 }
 
-func (p *Planner) lookup(cascade, class, model string) *learned {
-	key := learnedKey{cascade, class, model}
-	l := p.learned[key]
-	if l == nil {
-		if len(p.learned) >= classMax {
-			clear(p.learned)
+func (p *Planner) statsFor(cascade, class, model string) *modelStats {
+	key := statsKey{cascade, class, model}
+	s := p.stats[key]
+	if s == nil {
+		if len(p.stats) >= maxStats {
+			clear(p.stats)
 		}
-		l = &learned{pass: 1}
-		p.learned[key] = l
+		s = &modelStats{passRate: 1}
+		p.stats[key] = s
 	}
-	return l
+	return s
 }
 
 // RecordRating takes the rating of one answer of a model and the time it took.
-func (p *Planner) RecordRating(c *config.Cascade, class, model string, rating float64, took time.Duration) {
+func (p *Planner) RecordRating(c *config.Cascade, class, model string, rating float64, duration time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.lookup(c.Name, class, model)
+	s := p.statsFor(c.Name, class, model)
 	passed := 0.0
 	if rating >= p.threshold(c) {
 		passed = 1
 	}
-	l.pass += memory * (passed - l.pass)
-	if l.took == 0 {
-		l.took = took
+	s.passRate += smoothingFactor * (passed - s.passRate)
+	if s.duration == 0 {
+		s.duration = duration
 	}
-	l.took += time.Duration(memory * float64(took-l.took))
+	s.duration += time.Duration(smoothingFactor * float64(duration-s.duration))
 }
 
 // MayRelease reports whether an answer of this rating may go out.
@@ -137,17 +137,17 @@
 func (p *Planner) MayReleaseUnrated(c *config.Cascade, class, model string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.lookup(c.Name, class, model).pass >= unratedPass
+	return p.statsFor(c.Name, class, model).passRate >= minUnratedPassRate
 }
 
 // RecordReleased takes the rating of an answer that went out and moves the bound.
 func (p *Planner) RecordReleased(c *config.Cascade, rating float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	b := p.bound(c)
-	b.mean += memory * (rating - b.mean)
-	b.shift -= thresholdStep * (b.mean - c.QualityTarget)
-	b.shift = max(-thresholdSlack, min(thresholdSlack, b.shift))
+	a := p.adjustmentFor(c)
+	a.meanRating += smoothingFactor * (rating - a.meanRating)
+	a.shift -= thresholdGain * (a.meanRating - c.QualityTarget)
+	a.shift = max(-maxThresholdShift, min(maxThresholdShift, a.shift))
 }
 
 // Threshold returns the present bound for release.
@@ -158,14 +158,14 @@
 }
 
 func (p *Planner) threshold(c *config.Cascade) float64 {
-	return max(0, min(1, c.MinRating+p.bound(c).shift))
+	return max(0, min(1, c.MinRating+p.adjustmentFor(c).shift))
 }
 
-func (p *Planner) bound(c *config.Cascade) *bound {
-	b := p.bounds[c.Name]
-	if b == nil {
-		b = &bound{mean: c.QualityTarget}
-		p.bounds[c.Name] = b
+func (p *Planner) adjustmentFor(c *config.Cascade) *adjustment {
+	a := p.adjustments[c.Name]
+	if a == nil {
+		a = &adjustment{meanRating: c.QualityTarget}
+		p.adjustments[c.Name] = a
 	}
-	return b
+	return a
 }
--- a/cascade/cascade_test.go
+++ b/cascade/cascade_test.go
@@ -12,14 +12,14 @@
 	"github.com/violettally/violettally/config"
 )
 
-var declared = &config.Cascade{Name: "auto", Models: []string{"cheap", "costly"}, MinRating: 0.75, QualityTarget: 0.82}
+var testCascade = &config.Cascade{Name: "auto", Models: []string{"cheap", "costly"}, MinRating: 0.75, QualityTarget: 0.82}
 
-// world makes answers: for easy classes the cheap model is nearly as good as
+// workload makes answers: for easy classes the cheap model is nearly as good as
 // the costly one, for hard ones it mostly fails.
-type world struct {
-	random *rand.Rand
-	drift  float64
-	out    bool
+type workload struct {
+	rng         *rand.Rand
+	ratingDrift float64
+	ratingDown  bool
 }
 
 const (
@@ -27,50 +27,50 @@
 	answerTime            = 100 * time.Millisecond
 )
 
-func (w *world) quality(class int, model string) float64 {
+func (w *workload) quality(class int, model string) float64 {
 	mean := 0.9
 	if model == "cheap" {
 		mean = []float64{0.88, 0.8, 0.45}[class]
 	}
-	return max(0, min(1, mean+0.08*w.random.NormFloat64()))
+	return max(0, min(1, mean+0.08*w.rng.NormFloat64()))
 }
 
-// total is what a policy cost and how good it was.
-type total struct{ cost, quality float64 }
+// averages is what a policy cost and how good it was.
+type averages struct{ cost, quality float64 }
 
 // policy answers one request of a class.
-type policy func(w *world, class int) (cost, quality float64)
+type policy func(w *workload, class int) (cost, quality float64)
 
-func always(model string, cost float64) policy {
-	return func(w *world, class int) (float64, float64) { return cost, w.quality(class, model) }
+func alwaysModel(model string, cost float64) policy {
+	return func(w *workload, class int) (float64, float64) { return cost, w.quality(class, model) }
 }
 
-// fixed tries the cheap model first each time, with the declared bound.
-func fixed(w *world, class int) (float64, float64) {
-	if q := w.quality(class, "cheap"); q >= declared.MinRating {
+// fixedThreshold tries the cheap model first each time, with the declared bound.
+func fixedThreshold(w *workload, class int) (float64, float64) {
+	if q := w.quality(class, "cheap"); q >= testCascade.MinRating {
 		return cheapCost, q
 	}
 	return cheapCost + costlyCost, w.quality(class, "costly")
 }
 
-func planned(p *cascade.Planner) policy {
-	return func(w *world, class int) (cost, quality float64) {
-		name := fmt.Sprint(class)
-		plan := p.Plan(declared, name, 0)
+func withPlanner(p *cascade.Planner) policy {
+	return func(w *workload, class int) (cost, quality float64) {
+		className := fmt.Sprint(class)
+		plan := p.Plan(testCascade, className, 0)
 		for i, model := range plan {
 			q := w.quality(class, model)
 			cost += map[string]float64{"cheap": cheapCost, "costly": costlyCost}[model]
 			last := i == len(plan)-1
-			if w.out {
-				if last || p.MayReleaseUnrated(declared, name, model) {
+			if w.ratingDown {
+				if last || p.MayReleaseUnrated(testCascade, className, model) {
 					return cost, q
 				}
 				continue
 			}
-			rated := q + w.drift
-			p.RecordRating(declared, name, model, rated, answerTime)
-			if last || p.MayRelease(declared, rated) {
-				p.RecordReleased(declared, rated)
+			rated := q + w.ratingDrift
+			p.RecordRating(testCascade, className, model, rated, answerTime)
+			if last || p.MayRelease(testCascade, rated) {
+				p.RecordReleased(testCascade, rated)
 				return cost, q
 			}
 		}
@@ -78,29 +78,29 @@
 	}
 }
 
-func run(w *world, answer policy) total {
+func simulate(w *workload, answer policy) averages {
 	const requests = 4000
-	var t total
+	var avg averages
 	for i := range requests {
 		cost, quality := answer(w, []int{0, 0, 0, 1, 1, 2}[i%6])
-		t.cost += cost / requests
-		t.quality += quality / requests
+		avg.cost += cost / requests
+		avg.quality += quality / requests
 	}
-	return t
+	return avg
 }
 
-// TestCost compares the planner with the plain policies on the same requests.
-func TestCost(t *testing.T) {
+// TestPlannerCostAndQuality compares the planner with the plain policies on the same requests.
+func TestPlannerCostAndQuality(t *testing.T) {
 	seeds := []uint64{1, 2, 3, 4, 5}
-	mean := make(map[string]total)
+	mean := make(map[string]averages)
 	for _, seed := range seeds {
 		for name, answer := range map[string]policy{
-			"always cheap":  always("cheap", cheapCost),
-			"always costly": always("costly", costlyCost),
-			"fixed cascade": fixed,
-			"planner":       planned(cascade.New()),
+			"always cheap":  alwaysModel("cheap", cheapCost),
+			"always costly": alwaysModel("costly", costlyCost),
+			"fixed cascade": fixedThreshold,
+			"planner":       withPlanner(cascade.New()),
 		} {
-			got := run(&world{random: rand.New(rand.NewPCG(seed, 0))}, answer)
+			got := simulate(&workload{rng: rand.New(rand.NewPCG(seed, 0))}, answer)
 			m := mean[name]
 			m.cost += got.cost / float64(len(seeds))
 			m.quality += got.quality / float64(len(seeds))
@@ -110,37 +110,37 @@
 	for name, m := range mean {
 		t.Logf("%-14s cost %.2f quality %.3f", name, m.cost, m.quality)
 	}
-	must.GreaterEq(t, declared.QualityTarget-0.01, mean["planner"].quality)
+	must.GreaterEq(t, testCascade.QualityTarget-0.01, mean["planner"].quality)
 	must.Less(t, mean["fixed cascade"].cost, mean["planner"].cost)
 	must.Less(t, mean["always costly"].cost/2, mean["planner"].cost)
 }
 
-// TestRatingTrouble lets the rating service go out or drift after the planner
+// TestUnreliableRatings lets the rating service go out or drift after the planner
 // has learned.
-func TestRatingTrouble(t *testing.T) {
+func TestUnreliableRatings(t *testing.T) {
 	for _, tt := range []struct {
-		name    string
-		drift   float64
-		out     bool
-		quality float64
+		name        string
+		ratingDrift float64
+		ratingDown  bool
+		minQuality  float64
 	}{{"out", 0, true, 0.8}, {"drifts up", 0.1, false, 0.7}, {"drifts down", -0.1, false, 0.82}} {
 		t.Run(tt.name, func(t *testing.T) {
 			p := cascade.New()
-			w := &world{random: rand.New(rand.NewPCG(1, 0))}
-			run(w, planned(p))
-			w.drift, w.out = tt.drift, tt.out
-			got := run(w, planned(p))
+			w := &workload{rng: rand.New(rand.NewPCG(1, 0))}
+			simulate(w, withPlanner(p))
+			w.ratingDrift, w.ratingDown = tt.ratingDrift, tt.ratingDown
+			got := simulate(w, withPlanner(p))
 			t.Logf("cost %.2f quality %.3f", got.cost, got.quality)
-			must.GreaterEq(t, tt.quality, got.quality)
+			must.GreaterEq(t, tt.minQuality, got.quality)
 		})
 	}
 }
 
-// TestDeadline leaves no room for two models.
-func TestDeadline(t *testing.T) {
+// TestPlanFitsDeadline leaves no room for two models.
+func TestPlanFitsDeadline(t *testing.T) {
 	p := cascade.New()
-	p.RecordRating(declared, "c", "cheap", 0.9, answerTime)
-	p.RecordRating(declared, "c", "costly", 0.9, answerTime)
-	must.Eq(t, []string{"cheap", "costly"}, p.Plan(declared, "c", 3*answerTime))
-	must.Eq(t, []string{"costly"}, p.Plan(declared, "c", 3*answerTime/2))
+	p.RecordRating(testCascade, "c", "cheap", 0.9, answerTime)
+	p.RecordRating(testCascade, "c", "costly", 0.9, answerTime)
+	must.Eq(t, []string{"cheap", "costly"}, p.Plan(testCascade, "c", 3*answerTime))
+	must.Eq(t, []string{"costly"}, p.Plan(testCascade, "c", 3*answerTime/2))
 }
--- a/cascade/ladder_test.go
+++ b/cascade/confidence_test.go
@@ -9,7 +9,7 @@
 	"github.com/violettally/violettally/cascade"
 )
 
-func TestLadder(t *testing.T) {
+func TestConfidencePolicyNext(t *testing.T) {
 	tests := []struct {
 		name       string
 		n, step    int
@@ -40,23 +40,23 @@
 
 // TestLadderFirst: an answer that could not be dropped comes from the costliest
 // model.
-func TestLadderFirst(t *testing.T) {
-	l := cascade.NewConfidencePolicy()
-	must.Eq(t, 0, l.First(3, true))
-	must.Eq(t, 2, l.First(3, false))
-	must.Eq(t, 0, l.First(1, false))
+func TestConfidencePolicyFirst(t *testing.T) {
+	p := cascade.NewConfidencePolicy()
+	must.Eq(t, 0, p.First(3, true))
+	must.Eq(t, 2, p.First(3, false))
+	must.Eq(t, 0, p.First(1, false))
 }
 
 // TestLadderPays: a costlier model is asked where a poor answer is likely and
 // its own comes in time; the more there is to wait for it, the surer that must
 // be.
-func TestLadderPays(t *testing.T) {
+func TestConfidencePolicyWorthEscalating(t *testing.T) {
 	const objective = 4 * time.Second
 	tests := []struct {
-		name              string
-		confidence        float64
-		wait, takes, left time.Duration
-		pays              bool
+		name                         string
+		confidence                   float64
+		wait, serviceTime, remaining time.Duration
+		want                         bool
 	}{
 		{"poor, and idle", 10, 0, time.Second, objective, true},
 		{"as likely good", 50, 0, time.Second, objective, true},
@@ -69,8 +69,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			o := cascade.Escalation{Confidence: tt.confidence, Wait: tt.wait, ServiceTime: tt.takes, Remaining: tt.left, Objective: objective}
-			must.Eq(t, tt.pays, cascade.NewConfidencePolicy().WorthEscalating(o))
+			e := cascade.Escalation{Confidence: tt.confidence, Wait: tt.wait, ServiceTime: tt.serviceTime, Remaining: tt.remaining, Objective: objective}
+			must.Eq(t, tt.want, cascade.NewConfidencePolicy().WorthEscalating(e))
 		})
 	}
 	must.True(t, cascade.NewConfidencePolicy().WorthEscalating(cascade.Escalation{Wait: time.Hour}), must.Sprint("no objective"))
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -9,7 +9,7 @@
 	"github.com/violettally/violettally/catalog"
 )
 
-func document(routes ...catalog.Route) catalog.Document {
+func testDocument(routes ...catalog.Route) catalog.Document {
 	return catalog.Document{
 		Version:  3,
 		Routes:   routes,
@@ -18,13 +18,13 @@
 	}
 }
 
-func to(name, host, prefix string) catalog.Route {
+func testRoute(name, host, prefix string) catalog.Route {
 	return catalog.Route{Name: name, Host: host, Prefix: prefix, Targets: []catalog.Target{{Service: "s", Weight: 1}}}
 }
 
 func TestMatch(t *testing.T) {
-	c, err := catalog.New(document(
-		to("short", "a.example", "/a/"), to("long", "a.example", "/a/b/"), to("other", "B.example", "/a/"),
+	c, err := catalog.New(testDocument(
+		testRoute("short", "a.example", "/a/"), testRoute("long", "a.example", "/a/b/"), testRoute("other", "B.example", "/a/"),
 	))
 	must.NoError(t, err)
 	tests := []struct{ host, path, want string }{
@@ -48,7 +48,7 @@
 }
 
 func TestAccounts(t *testing.T) {
-	c, err := catalog.New(document())
+	c, err := catalog.New(testDocument())
 	must.NoError(t, err)
 	a, ok := c.Account("k2")
 	must.True(t, ok)
@@ -60,13 +60,13 @@
 
 // TestInvalid: a document that contradicts itself is refused whole.
 func TestInvalid(t *testing.T) {
-	noTarget, unknown := to("r", "a", "/"), to("r", "a", "/")
-	noTarget.Targets = nil
-	unknown.Targets = []catalog.Target{{Service: "nowhere"}}
+	withoutTarget, unknownService := testRoute("r", "a", "/"), testRoute("r", "a", "/")
+	withoutTarget.Targets = nil
+	unknownService.Targets = []catalog.Target{{Service: "nowhere"}}
 	for name, route := range map[string]catalog.Route{
-		"no slash": to("r", "a", "a/"), "no end": to("r", "a", "/a"), "no target": noTarget, "unknown service": unknown,
+		"no slash": testRoute("r", "a", "a/"), "no end": testRoute("r", "a", "/a"), "no target": withoutTarget, "unknown service": unknownService,
 	} {
-		_, err := catalog.New(document(route))
+		_, err := catalog.New(testDocument(route))
 		must.True(t, errorx.IsOfType(err, catalog.Invalid), must.Sprint(name))
 	}
 	_, err := catalog.New(catalog.Document{})
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -32,13 +32,13 @@
 	open map[*conn]struct{}
 	// closing says that connections are closed as soon as they are idle.
 	closing bool
-	// changed is closed, and made anew, when a connection has closed.
-	changed chan struct{}
+	// connClosed is closed, and made anew, when a connection has closed.
+	connClosed chan struct{}
 }
 
 // NewListener returns a listener that follows the connections of inner.
 func NewListener(inner net.Listener) *Listener {
-	return &Listener{Listener: inner, open: make(map[*conn]struct{}), changed: make(chan struct{})}
+	return &Listener{Listener: inner, open: make(map[*conn]struct{}), connClosed: make(chan struct{})}
 }
 
 // Accept accepts a connection.
@@ -65,7 +65,7 @@
 	if !ok || state != http.StateIdle {
 		return
 	}
-	c.rest()
+	c.markIdle()
 	l.mu.Lock()
 	closing := l.closing
 	l.mu.Unlock()
@@ -93,7 +93,7 @@
 func (l *Listener) Wait(ctx context.Context) error {
 	for {
 		l.mu.Lock()
-		open, changed := len(l.open), l.changed
+		open, connClosed := len(l.open), l.connClosed
 		l.mu.Unlock()
 		if open == 0 {
 			return nil
@@ -101,7 +101,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-changed:
+		case <-connClosed:
 		}
 	}
 }
@@ -119,8 +119,8 @@
 	defer l.mu.Unlock()
 	if _, known := l.open[c]; known {
 		delete(l.open, c)
-		close(l.changed)
-		l.changed = make(chan struct{})
+		close(l.connClosed)
+		l.connClosed = make(chan struct{})
 	}
 }
 
@@ -131,9 +131,9 @@
 
 	mu   sync.Mutex
 	busy bool
-	// readSince says that bytes were read after the last were written: the
+	// readAfterWrite says that bytes were read after the last were written: the
 	// client was quicker with its next request than the server with its rest.
-	readSince bool
+	readAfterWrite bool
 	// closed says that closeIfIdle has closed it.
 	closed bool
 }
@@ -151,7 +151,7 @@
 		return 0, net.ErrClosed
 	}
 	if n > 0 {
-		c.busy, c.readSince = true, true
+		c.busy, c.readAfterWrite = true, true
 	}
 	return n, err
 }
@@ -159,7 +159,7 @@
 // Write notes that the client has an answer to what was read before.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	c.readSince = false
+	c.readAfterWrite = false
 	c.mu.Unlock()
 	return c.Conn.Write(p)
 }
@@ -170,11 +170,11 @@
 	return c.Conn.Close()
 }
 
-// rest notes that the server takes the connection for idle.
-func (c *conn) rest() {
+// markIdle notes that the server takes the connection for idle.
+func (c *conn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.busy = c.readSince
+	c.busy = c.readAfterWrite
 }
 
 // closeIfIdle closes the connection unless a request has begun on it.
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -64,7 +64,7 @@
 	return l
 }
 
-func ask(t *testing.T, c net.Conn, r *bufio.Reader) (*http.Response, error) {
+func sendRequest(t *testing.T, c net.Conn, r *bufio.Reader) (*http.Response, error) {
 	_, err := fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	must.NoError(t, err)
 	return http.ReadResponse(r, nil)
@@ -73,7 +73,7 @@
 // TestRequestInTheMomentOfClose: a request whose bytes have been read when the
 // idle connections are closed gets its answer. With the standard library's own
 // close it reaches the handler and loses its connection.
-func TestRequestInTheMomentOfClose(t *testing.T) {
+func TestRequestDuringCloseIdle(t *testing.T) {
 	inner := &slowListener{Listener: listen(t), arrived: make(chan struct{}), proceed: make(chan struct{})}
 	handled := make(chan struct{}, 1)
 	l := serve(t, inner, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -86,13 +86,13 @@
 	_, err = fmt.Fprint(c, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 	must.NoError(t, err)
 	<-inner.arrived
-	closing := make(chan struct{})
+	closeDone := make(chan struct{})
 	go func() {
 		l.CloseIdle()
-		close(closing)
+		close(closeDone)
 	}()
 	close(inner.proceed)
-	<-closing
+	<-closeDone
 	response, err := http.ReadResponse(bufio.NewReader(c), nil)
 	// Either the connection was closed before its request was taken, or the
 	// request is answered whole. It never reaches the handler and is cut.
@@ -119,7 +119,7 @@
 	idle, err := net.Dial("tcp", l.Addr().String())
 	must.NoError(t, err)
 	idleReader := bufio.NewReader(idle)
-	response, err := ask(t, idle, idleReader)
+	response, err := sendRequest(t, idle, idleReader)
 	must.NoError(t, err)
 	_, _ = io.ReadAll(response.Body)
 	busy, err := net.Dial("tcp", l.Addr().String())
@@ -149,25 +149,25 @@
 	must.NoError(t, <-waited)
 }
 
-// heldListener hands a connection out only when it is told to.
-type heldListener struct {
+// pausedListener hands a connection out only when it is told to.
+type pausedListener struct {
 	net.Listener
 	accepted, proceed chan struct{}
 }
 
-func (h *heldListener) Accept() (net.Conn, error) {
-	c, err := h.Listener.Accept()
+func (l *pausedListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err == nil {
-		close(h.accepted)
-		<-h.proceed
+		close(l.accepted)
+		<-l.proceed
 	}
 	return c, err
 }
 
 // TestAcceptedWhileClosing: a connection that is accepted while the idle ones are
 // closed is closed as well. Otherwise it would be held until its process ends.
-func TestAcceptedWhileClosing(t *testing.T) {
-	inner := &heldListener{listen(t), make(chan struct{}), make(chan struct{})}
+func TestAcceptDuringCloseIdle(t *testing.T) {
+	inner := &pausedListener{listen(t), make(chan struct{}), make(chan struct{})}
 	l := serve(t, inner, http.NotFoundHandler())
 	c, err := net.Dial("tcp", l.Addr().String())
 	must.NoError(t, err)
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -74,79 +74,79 @@
 
 const (
 	planInterval = 2 * time.Second
-	// orderTime is the longest that an order may take.
-	orderTime = 2 * time.Second
-	// maxModels is how many versions an engine holds beside each other.
-	maxModels = 2
+	// orderTimeout is the longest that an order may take.
+	orderTimeout = 2 * time.Second
+	// maxModelsPerServer is how many versions an engine holds beside each other.
+	maxModelsPerServer = 2
 )
 
 // Next returns the order that brings a pool closest to what is wanted. Loads
 // come before unloads; a server with room comes before one that must first
 // give up a surplus copy.
-func Next(holdings []ServerModels, wants []ModelTarget) (Order, bool) {
+func Next(servers []ServerModels, targets []ModelTarget) (Order, bool) {
 	copies := make(map[string]int)
-	for _, h := range holdings {
-		for _, m := range h.Models {
+	for _, s := range servers {
+		for _, m := range s.Models {
 			copies[m]++
 		}
 	}
-	for _, w := range byNeed(wants, copies) {
-		if copies[w.Model] >= w.Copies {
+	for _, t := range sortByShortfall(targets, copies) {
+		if copies[t.Model] >= t.Copies {
 			continue
 		}
-		if at := roomFor(holdings, w.Model); at >= 0 {
-			return Order{Server: holdings[at].Server, Action: ActionLoad, Model: w.Model}, true
+		if index := serverWithRoom(servers, t.Model); index >= 0 {
+			return Order{Server: servers[index].Server, Action: ActionLoad, Model: t.Model}, true
 		}
 	}
-	return surplus(holdings, wants, copies)
+	return surplusOrder(servers, targets, copies)
 }
 
-// byNeed sorts the wants so that a version without any copy comes first.
-func byNeed(wants []ModelTarget, copies map[string]int) []ModelTarget {
-	sorted := append([]ModelTarget(nil), wants...)
+// sortByShortfall sorts the wants so that a version without any copy comes first.
+func sortByShortfall(targets []ModelTarget, copies map[string]int) []ModelTarget {
+	sorted := append([]ModelTarget(nil), targets...)
 	sort.SliceStable(sorted, func(i, j int) bool {
-		return need(sorted[i], copies) > need(sorted[j], copies)
+		return shortfall(sorted[i], copies) > shortfall(sorted[j], copies)
 	})
 	return sorted
 }
 
-func need(w ModelTarget, copies map[string]int) float64 {
-	if copies[w.Model] == 0 && w.Copies > 0 {
+func shortfall(t ModelTarget, copies map[string]int) float64 {
+	if copies[t.Model] == 0 && t.Copies > 0 {
 		return math.Inf(1)
 	}
-	return float64(w.Copies-copies[w.Model]) / math.Max(1, float64(w.Copies))
+	return float64(t.Copies-copies[t.Model]) / math.Max(1, float64(t.Copies))
 }
 
-// roomFor returns the server with the fewest models that lacks this one.
-func roomFor(holdings []ServerModels, model string) int {
+// serverWithRoom returns the server with the fewest models that lacks this one.
+func serverWithRoom(servers []ServerModels, model string) int {
 	best := -1
-	for i, h := range holdings {
-		if len(h.Models) == 0 || len(h.Models) >= maxModels || slices.Contains(h.Models, model) {
+	for i, s := range servers {
+		if len(s.Models) == 0 || len(s.Models) >= maxModelsPerServer || slices.Contains(s.Models, model) {
 			continue
 		}
-		if best < 0 || len(h.Models) < len(holdings[best].Models) {
+		if best < 0 || len(s.Models) < len(servers[best].Models) {
 			best = i
 		}
 	}
 	return best
 }
 
-// surplus returns the unloading of a copy beyond what is wanted, on the server
+// surplusOrder returns the unloading of a copy beyond what is wanted, on the server
 // that holds the most.
-func surplus(holdings []ServerModels, wants []ModelTarget, copies map[string]int) (Order, bool) {
-	wanted := make(map[string]ModelTarget, len(wants))
-	for _, w := range wants {
-		wanted[w.Model] = w
+func surplusOrder(servers []ServerModels, targets []ModelTarget, copies map[string]int) (Order, bool) {
+	byModel := make(map[string]ModelTarget, len(targets))
+	for _, t := range targets {
+		byModel[t.Model] = t
 	}
 	best, bestModel := -1, ""
-	for i, h := range holdings {
-		for _, model := range h.Models {
-			w := wanted[model]
-			lastInUse := w.InUse && copies[model] <= 1
-			if copies[model] <= w.Copies || lastInUse || len(h.Models) < maxModels {
+	for i, s := range servers {
+		for _, model := range s.Models {
+			t := byModel[model]
+			lastInUse := t.InUse && copies[model] <= 1
+			if copies[model] <= t.Copies || lastInUse || len(s.Models) < maxModelsPerServer {
 				continue
 			}
-			if best < 0 || len(h.Models) > len(holdings[best].Models) {
+			if best < 0 || len(s.Models) > len(servers[best].Models) {
 				best, bestModel = i, model
 			}
 		}
@@ -154,12 +154,12 @@
 	if best < 0 {
 		return Order{}, false
 	}
-	return Order{Server: holdings[best].Server, Action: ActionUnload, Model: bestModel}, true
+	return Order{Server: servers[best].Server, Action: ActionUnload, Model: bestModel}, true
 }
 
 // ModelTargets returns what a pool should hold, given the share of each version.
 func ModelTargets(s *config.Snapshot, pool string, servers int, share func(m *config.Model, version string) float64) []ModelTarget {
-	var wants []ModelTarget
+	var targets []ModelTarget
 	models := s.Models()
 	for i := range models {
 		m := &models[i]
@@ -168,14 +168,14 @@
 			if v.Pool != pool {
 				continue
 			}
-			w := ModelTarget{Model: v.EngineName(m.Name), InUse: v.State != config.VersionWithdrawn}
-			if w.InUse {
-				w.Copies = max(1, int(math.Ceil(share(m, v.Name)*float64(servers))))
+			t := ModelTarget{Model: v.EngineName(m.Name), InUse: v.State != config.VersionWithdrawn}
+			if t.InUse {
+				t.Copies = max(1, int(math.Ceil(share(m, v.Name)*float64(servers))))
 			}
-			wants = append(wants, w)
+			targets = append(targets, t)
 		}
 	}
-	return wants
+	return targets
 }
 
 // Planner gives orders while this node holds the lease.
@@ -202,25 +202,25 @@
 func (p *Planner) Step(ctx context.Context) {
 	s := p.snapshot()
 	for _, pool := range s.Pools() {
-		holdings := p.engines.LoadedModels(pool.Name)
-		if order, ok := Next(holdings, ModelTargets(s, pool.Name, len(holdings), p.share)); ok {
-			p.give(ctx, order)
+		servers := p.engines.LoadedModels(pool.Name)
+		if order, ok := Next(servers, ModelTargets(s, pool.Name, len(servers), p.share)); ok {
+			p.send(ctx, order)
 		}
 	}
 }
 
-// give sends an order if the lease allows it.
-func (p *Planner) give(ctx context.Context, o Order) {
-	token, ok := p.lease.Held(orderTime)
+// send sends an order if the lease allows it.
+func (p *Planner) send(ctx context.Context, o Order) {
+	token, ok := p.lease.Held(orderTimeout)
 	if !ok {
 		return
 	}
-	if !o.Server.ChecksFencing && p.lease.HeldFor() < 2*orderTime {
+	if !o.Server.ChecksFencing && p.lease.HeldFor() < 2*orderTimeout {
 		// The holder before may have an order under way that the server
 		// would not refuse.
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderTime)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	if err := p.engines.Order(ctx, o, token); err != nil {
 		slog.Warn("order failed", "server", o.Server.Name, "action", o.Action.String(), "model", o.Model, "error", err)
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -23,9 +23,9 @@
 import "sync"
 
 const (
-	// startTokens lets a pool without traffic retry at all.
-	startTokens = 3
-	maxTokens   = 20
+	// initialTokens lets a pool without traffic retry at all.
+	initialTokens = 3
+	maxTokens     = 20
 )
 
 // Budgets holds the budget of each pool. It is safe for concurrent use.
@@ -60,5 +60,5 @@
 	if balance, ok := b.tokens[pool]; ok {
 		return balance
 	}
-	return startTokens
+	return initialTokens
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -8,9 +8,9 @@
 	"github.com/violettally/violettally/retry"
 )
 
-// TestAmplification lets every attempt of a pool fail: retries add no more than
+// TestRetriesBoundedByShare lets every attempt of a pool fail: retries add no more than
 // the declared share and a few to begin with.
-func TestAmplification(t *testing.T) {
+func TestRetriesBoundedByShare(t *testing.T) {
 	const requests = 10_000
 	for _, share := range []float64{0, 0.1, 0.5} {
 		b := retry.New()
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,12 +10,12 @@
 	"github.com/violettally/violettally/retry"
 )
 
-// TestWindows keeps to a share of the requests of ten seconds, and three more.
-func TestWindows(t *testing.T) {
+// TestWindowBudgets keeps to a share of the requests of ten seconds, and three more.
+func TestWindowBudgets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := retry.NewWindowBudgets(0.5, func() float64 { return 3 }, 10*time.Second)
-		take := func(spare float64) (n int) {
-			for w.Take("s", spare) {
+		take := func(reserve float64) (n int) {
+			for w.Take("s", reserve) {
 				n++
 			}
 			return n
@@ -39,20 +39,20 @@
 }
 
 // TestWindowsSlide: no span of ten seconds has more repeats than the bound.
-func TestWindowsSlide(t *testing.T) {
+func TestWindowBudgetsAnySpan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := retry.NewWindowBudgets(0.5, func() float64 { return 2 }, 10*time.Second)
-		var at []time.Time
+		var retriedAt []time.Time
 		for range 400 {
 			w.RecordRequest("s")
 			if w.Take("s", 0) {
-				at = append(at, time.Now())
+				retriedAt = append(retriedAt, time.Now())
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		for i, from := range at {
+		for i, from := range retriedAt {
 			n := 0
-			for _, later := range at[i:] {
+			for _, later := range retriedAt[i:] {
 				if later.Sub(from) < 9500*time.Millisecond {
 					n++
 				}
--- a/spread/compress.go
+++ b/spread/compress.go
@@ -15,8 +15,8 @@
 	Malformed = namespace.NewType("malformed")
 )
 
-// maxExpanded bounds a document after it is expanded.
-const maxExpanded = 64 << 20
+// maxExpandedBytes bounds a document after it is expanded.
+const maxExpandedBytes = 64 << 20
 
 // compress returns a document in the form in which it is stored (RFC 1952).
 func compress(data []byte) ([]byte, error) {
@@ -31,9 +31,9 @@
 	return out.Bytes(), nil
 }
 
-// expand reads a stored document. One that an operator has written by hand
+// decompress reads a stored document. One that an operator has written by hand
 // need not be compressed.
-func expand(data []byte) ([]byte, error) {
+func decompress(data []byte) ([]byte, error) {
 	if !bytes.HasPrefix(data, []byte{0x1f, 0x8b}) {
 		return data, nil
 	}
@@ -41,7 +41,7 @@
 	if err != nil {
 		return nil, errs.Wrap(Malformed, "expand", err, "stored document")
 	}
-	plain, err := io.ReadAll(io.LimitReader(r, maxExpanded))
+	plain, err := io.ReadAll(io.LimitReader(r, maxExpandedBytes))
 	if err != nil {
 		return nil, errs.Wrap(Malformed, "expand", err, "stored document")
 	}
--- a/spread/size_test.go
+++ b/spread/size_test.go
@@ -14,18 +14,18 @@
 	"github.com/violettally/violettally/view"
 )
 
-// TestSizes stores the shared documents at the letter's size, 480 nodes and
+// TestStoredSizes stores the shared documents at the letter's size, 480 nodes and
 // 2,800 servers, and logs what they take; they must fit the platform's value.
-func TestSizes(t *testing.T) {
+func TestStoredSizes(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	plainView, plainConfig := largeView(t), largeConfig(t)
-	store := func(name string, plain []byte) int {
+	storedSize := func(name string, plain []byte) int {
 		_, err := f.nodes[0].Update(context.Background(), name, func([]byte) ([]byte, error) { return plain, nil })
 		must.NoError(t, err)
 		return len(f.platform.items[spread.KeyPrefix+name].Data)
 	}
-	t.Logf("view: %d bytes, stored %d; configuration: %d bytes, stored %d", len(plainView), store(spread.View, plainView), len(plainConfig), store(spread.Config, plainConfig))
-	must.Less(t, 1<<20, store(spread.Config, plainConfig))
+	t.Logf("view: %d bytes, stored %d; configuration: %d bytes, stored %d", len(plainView), storedSize(spread.View, plainView), len(plainConfig), storedSize(spread.Config, plainConfig))
+	must.Less(t, 1<<20, storedSize(spread.Config, plainConfig))
 }
 
 func largeView(t testing.TB) []byte {
@@ -58,9 +58,9 @@
 	return data
 }
 
-// BenchmarkTakeView takes a changed view, with the earlier ones that a replica
+// BenchmarkDecodeView takes a changed view, with the earlier ones that a replica
 // may have to read from.
-func BenchmarkTakeView(b *testing.B) {
+func BenchmarkDecodeView(b *testing.B) {
 	data := largeView(b)
 	for b.Loop() {
 		v, err := view.Decode(data)
@@ -69,8 +69,8 @@
 	}
 }
 
-// BenchmarkTakeConfig checks and indexes a changed configuration.
-func BenchmarkTakeConfig(b *testing.B) {
+// BenchmarkLoadConfig checks and indexes a changed configuration.
+func BenchmarkLoadConfig(b *testing.B) {
 	data := largeConfig(b)
 	for b.Loop() {
 		d, err := control.Decode(data)
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -45,8 +45,8 @@
 	watchersPerHall = 2
 	fanout          = 4
 	repairInterval  = time.Second
-	// platformFresh is how long a contact with the platform counts.
-	platformFresh = 4 * time.Second
+	// platformContactTTL is how long a contact with the platform counts.
+	platformContactTTL = 4 * time.Second
 )
 
 // Store is what the package needs of the key-value service.
@@ -89,10 +89,10 @@
 	mu          sync.Mutex
 	items       map[string]document.Item
 	subscribers map[string][]func(document.Item)
-	contact     time.Time
+	lastContact time.Time
 	// fetching is the highest revision of each document that is being fetched.
-	fetching map[string]int64
-	delivery sync.Mutex
+	fetching   map[string]int64
+	deliveryMu sync.Mutex
 }
 
 // New returns a spreader without documents.
@@ -109,20 +109,20 @@
 
 // SetMembers names the source of peers. It must be called before Run; the
 // members follow from the view, which this package brings.
-func (s *Replicator) SetMembers(m Members) { s.members = m }
+func (r *Replicator) SetMembers(m Members) { r.members = m }
 
 // Subscribe calls changed with each newer form of a document, one call at a
 // time, in the order of revisions. It must be called before Run.
-func (s *Replicator) Subscribe(name string, changed func(document.Item)) {
-	s.subscribers[name] = append(s.subscribers[name], changed)
+func (r *Replicator) Subscribe(name string, changed func(document.Item)) {
+	r.subscribers[name] = append(r.subscribers[name], changed)
 }
 
 // Revisions returns the revision of each known document.
-func (s *Replicator) Revisions() map[string]int64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	revisions := make(map[string]int64, len(s.items))
-	for name, item := range s.items {
+func (r *Replicator) Revisions() map[string]int64 {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	revisions := make(map[string]int64, len(r.items))
+	for name, item := range r.items {
 		revisions[name] = item.Revision
 	}
 	return revisions
@@ -130,11 +130,11 @@
 
 // Newer returns the documents that are newer than known, compressed as they
 // are stored.
-func (s *Replicator) Newer(known map[string]int64) map[string]document.Item {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (r *Replicator) Newer(known map[string]int64) map[string]document.Item {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	newer := make(map[string]document.Item)
-	for name, item := range s.items {
+	for name, item := range r.items {
 		if item.Revision > known[name] {
 			newer[name] = item
 		}
@@ -144,43 +144,43 @@
 
 // Apply takes a stored document if it is newer than the known one, tells the
 // subscribers, and a few peers.
-func (s *Replicator) Apply(name string, item document.Item) {
-	if s.take(name, item) {
-		go s.notify()
+func (r *Replicator) Apply(name string, item document.Item) {
+	if r.deliver(name, item) {
+		go r.notifyPeers()
 	}
 }
 
-func (s *Replicator) take(name string, item document.Item) bool {
-	s.delivery.Lock()
-	defer s.delivery.Unlock()
-	s.mu.Lock()
-	if item.Revision <= s.items[name].Revision {
-		s.mu.Unlock()
+func (r *Replicator) deliver(name string, item document.Item) bool {
+	r.deliveryMu.Lock()
+	defer r.deliveryMu.Unlock()
+	r.mu.Lock()
+	if item.Revision <= r.items[name].Revision {
+		r.mu.Unlock()
 		return false
 	}
-	s.items[name] = item
-	s.mu.Unlock()
-	plain, err := expand(item.Data)
+	r.items[name] = item
+	r.mu.Unlock()
+	plain, err := decompress(item.Data)
 	if err != nil {
 		slog.Error("stored document cannot be read", "document", name, "revision", item.Revision, "error", err)
 		return true
 	}
-	for _, changed := range s.subscribers[name] {
+	for _, changed := range r.subscribers[name] {
 		changed(document.Item{Data: plain, Revision: item.Revision})
 	}
 	return true
 }
 
-func (s *Replicator) notify() {
-	revisions := s.Revisions()
-	alive := s.members.Alive()
+func (r *Replicator) notifyPeers() {
+	revisions := r.Revisions()
+	alive := r.members.Alive()
 	rand.Shuffle(len(alive), func(i, j int) { alive[i], alive[j] = alive[j], alive[i] })
 	ctx, cancel := context.WithTimeout(context.Background(), repairInterval)
 	defer cancel()
 	var calls sync.WaitGroup
 	for _, m := range alive[:min(fanout, len(alive))] {
 		calls.Go(func() {
-			if err := s.peers.Notify(ctx, m.Peer, revisions); err != nil {
+			if err := r.peers.Notify(ctx, m.Peer, revisions); err != nil {
 				slog.Debug("notice failed", "peer", m.ID, "error", err)
 			}
 		})
@@ -190,53 +190,53 @@
 
 // HandleRevisions compares the revisions that a peer has with its own and fetches what
 // is newer, unless that is being fetched already.
-func (s *Replicator) HandleRevisions(address string, revisions map[string]int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (r *Replicator) HandleRevisions(address string, revisions map[string]int64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	newer := make(map[string]int64)
 	for name, revision := range revisions {
-		if revision > max(s.items[name].Revision, s.fetching[name]) {
+		if revision > max(r.items[name].Revision, r.fetching[name]) {
 			newer[name] = revision
-			s.fetching[name] = revision
+			r.fetching[name] = revision
 		}
 	}
 	if len(newer) > 0 {
 		go func() {
-			s.fetch(address)
-			s.fetched(newer)
+			r.fetchFrom(address)
+			r.clearFetching(newer)
 		}()
 	}
 }
 
-// fetched lets another peer be asked for what a fetch did not bring.
-func (s *Replicator) fetched(revisions map[string]int64) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// clearFetching lets another peer be asked for what a fetch did not bring.
+func (r *Replicator) clearFetching(revisions map[string]int64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for name, revision := range revisions {
-		if s.fetching[name] == revision {
-			delete(s.fetching, name)
+		if r.fetching[name] == revision {
+			delete(r.fetching, name)
 		}
 	}
 }
 
-func (s *Replicator) fetch(address string) {
+func (r *Replicator) fetchFrom(address string) {
 	ctx, cancel := context.WithTimeout(context.Background(), repairInterval)
 	defer cancel()
-	newer, err := s.peers.Fetch(ctx, address, s.Revisions())
+	newer, err := r.peers.Fetch(ctx, address, r.Revisions())
 	if err != nil {
 		slog.Debug("fetch failed", "peer", address, "error", err)
 		return
 	}
 	for name, item := range newer {
-		s.Apply(name, item)
+		r.Apply(name, item)
 	}
 }
 
 // Update changes a shared document at the platform and puts it in force here.
 // The change sees and makes the document as it is before compression.
-func (s *Replicator) Update(ctx context.Context, name string, change func(old []byte) ([]byte, error)) (document.Item, error) {
-	item, err := document.Update(ctx, s.store, KeyPrefix+name, func(old []byte) ([]byte, error) {
-		plain, err := expand(old)
+func (r *Replicator) Update(ctx context.Context, name string, change func(old []byte) ([]byte, error)) (document.Item, error) {
+	item, err := document.Update(ctx, r.store, KeyPrefix+name, func(old []byte) ([]byte, error) {
+		plain, err := decompress(old)
 		if err != nil {
 			return nil, err
 		}
@@ -247,8 +247,8 @@
 		return compress(changed)
 	})
 	if err == nil || err == document.ErrUnchanged {
-		s.touch()
-		s.Apply(name, item)
+		r.recordContact()
+		r.Apply(name, item)
 	}
 	return item, err
 }
@@ -256,37 +256,37 @@
 // ReceivesUpdates reports whether this node can still learn of changes: it has lately
 // reached the platform, or it hears more than half of the view. Without
 // either, a withdrawal could pass it by, and it must start no new work.
-func (s *Replicator) ReceivesUpdates() bool {
-	s.mu.Lock()
-	fresh := s.timers.Now().Sub(s.contact) < platformFresh
-	s.mu.Unlock()
-	return fresh || s.members.HasMajority()
+func (r *Replicator) ReceivesUpdates() bool {
+	r.mu.Lock()
+	inContact := r.timers.Now().Sub(r.lastContact) < platformContactTTL
+	r.mu.Unlock()
+	return inContact || r.members.HasMajority()
 }
 
-func (s *Replicator) touch() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.contact = s.timers.Now()
+func (r *Replicator) recordContact() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lastContact = r.timers.Now()
 }
 
 // Run watches the platform where this node is one of its data hall's
 // watchers, and reads it where the node hears too few peers.
-func (s *Replicator) Run(ctx context.Context) {
-	ticks := s.timers.Subscribe(repairInterval)
+func (r *Replicator) Run(ctx context.Context) {
+	ticks := r.timers.Subscribe(repairInterval)
 	defer ticks.Stop()
-	s.start(ctx)
+	r.loadInitial(ctx)
 	stopWatch := func() {}
 	watching := false
 	defer func() { stopWatch() }()
 	for {
-		duty := s.members.Rank() < watchersPerHall
-		if duty != watching {
+		watcher := r.members.Rank() < watchersPerHall
+		if watcher != watching {
 			stopWatch()
-			stopWatch = s.watchIf(ctx, duty)
-			watching = duty
+			stopWatch = r.startWatchIf(ctx, watcher)
+			watching = watcher
 		}
-		if !duty && !s.members.HasMajority() {
-			s.read(ctx)
+		if !watcher && !r.members.HasMajority() {
+			r.readPlatform(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -296,48 +296,48 @@
 	}
 }
 
-// watchIf starts a watch if this node is to hold one. The function that it
+// startWatchIf starts a watch if this node is to hold one. The function that it
 // returns ends the watch.
-func (s *Replicator) watchIf(ctx context.Context, duty bool) context.CancelFunc {
+func (r *Replicator) startWatchIf(ctx context.Context, watcher bool) context.CancelFunc {
 	ctx, stop := context.WithCancel(ctx)
-	if duty {
-		go s.watch(ctx)
+	if watcher {
+		go r.watchPlatform(ctx)
 	}
 	return stop
 }
 
-// start takes the documents from the platform, or from peers if it is out.
-func (s *Replicator) start(ctx context.Context) {
-	if s.read(ctx) {
+// loadInitial takes the documents from the platform, or from peers if it is out.
+func (r *Replicator) loadInitial(ctx context.Context) {
+	if r.readPlatform(ctx) {
 		return
 	}
-	for _, address := range s.members.Seeds() {
-		s.fetch(address)
+	for _, address := range r.members.Seeds() {
+		r.fetchFrom(address)
 	}
 }
 
-func (s *Replicator) read(ctx context.Context) bool {
-	items, err := s.store.ReadPrefix(ctx, KeyPrefix)
+func (r *Replicator) readPlatform(ctx context.Context) bool {
+	items, err := r.store.ReadPrefix(ctx, KeyPrefix)
 	if err != nil {
 		return false
 	}
-	s.touch()
+	r.recordContact()
 	for name, item := range items {
-		s.Apply(name, item)
+		r.Apply(name, item)
 	}
 	return true
 }
 
-// watch follows the platform until the context ends. Each new watch starts
+// watchPlatform follows the platform until the context ends. Each new watch starts
 // with a read, since the one before may have missed changes.
-func (s *Replicator) watch(ctx context.Context) {
-	ticks := s.timers.Subscribe(repairInterval)
+func (r *Replicator) watchPlatform(ctx context.Context) {
+	ticks := r.timers.Subscribe(repairInterval)
 	defer ticks.Stop()
 	for ctx.Err() == nil {
-		if s.read(ctx) {
-			s.follow(ctx)
+		if r.readPlatform(ctx) {
+			r.followChanges(ctx)
 		} else {
-			s.start(ctx)
+			r.loadInitial(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -346,48 +346,48 @@
 	}
 }
 
-// follow holds one watch. The contact with the platform counts as long as the
+// followChanges holds one watch. The contact with the platform counts as long as the
 // watch stands, which a slow read beside it confirms.
-func (s *Replicator) follow(ctx context.Context) {
+func (r *Replicator) followChanges(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	go s.confirm(ctx, cancel)
+	go r.monitorContact(ctx, cancel)
 	var after int64
-	for _, revision := range s.Revisions() {
+	for _, revision := range r.Revisions() {
 		after = max(after, revision)
 	}
-	err := s.store.WatchPrefix(ctx, KeyPrefix, after, func(key string, item document.Item) {
-		s.touch()
-		s.Apply(strings.TrimPrefix(key, KeyPrefix), item)
+	err := r.store.WatchPrefix(ctx, KeyPrefix, after, func(key string, item document.Item) {
+		r.recordContact()
+		r.Apply(strings.TrimPrefix(key, KeyPrefix), item)
 	})
 	if err != nil && ctx.Err() == nil {
 		slog.Warn("watch of the platform broke", "error", err)
 	}
 }
 
-// compare asks the platform for the documents' revisions alone, and for the
+// checkRevisions asks the platform for the documents' revisions alone, and for the
 // documents if one is newer. It returns false if the platform does not answer.
-func (s *Replicator) compare(ctx context.Context) bool {
-	stored, err := s.store.ReadRevisions(ctx, KeyPrefix)
+func (r *Replicator) checkRevisions(ctx context.Context) bool {
+	stored, err := r.store.ReadRevisions(ctx, KeyPrefix)
 	if err != nil {
 		return false
 	}
-	s.touch()
-	known := s.Revisions()
+	r.recordContact()
+	known := r.Revisions()
 	for name, revision := range stored {
 		if revision > known[name] {
-			return s.read(ctx)
+			return r.readPlatform(ctx)
 		}
 	}
 	return true
 }
 
-// confirm asks the platform now and then beside a watch, so that a watch
+// monitorContact asks the platform now and then beside a watch, so that a watch
 // whose connection died in silence is noticed and replaced.
-func (s *Replicator) confirm(ctx context.Context, broken context.CancelFunc) {
-	s.timers.Every(ctx, platformFresh/2, func() {
-		if !s.compare(ctx) {
-			broken()
+func (r *Replicator) monitorContact(ctx context.Context, stopWatch context.CancelFunc) {
+	r.timers.Every(ctx, platformContactTTL/2, func() {
+		if !r.checkRevisions(ctx) {
+			stopWatch()
 		}
 	})
 }
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -21,8 +21,8 @@
 
 var errDown = errors.New("down")
 
-// platform is the shared documents in memory, with one watcher each.
-type platform struct {
+// fakePlatform is the shared documents in memory, with one watcher each.
+type fakePlatform struct {
 	mu       sync.Mutex
 	items    map[string]document.Item
 	revision int64
@@ -31,7 +31,7 @@
 	watches  int
 }
 
-func (p *platform) Get(_ context.Context, key string) ([]byte, int64, error) {
+func (p *fakePlatform) Get(_ context.Context, key string) ([]byte, int64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.down {
@@ -40,7 +40,7 @@
 	return p.items[key].Data, p.items[key].Revision, nil
 }
 
-func (p *platform) Swap(_ context.Context, key string, data []byte, expected int64) (int64, bool, error) {
+func (p *fakePlatform) Swap(_ context.Context, key string, data []byte, expected int64) (int64, bool, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.down {
@@ -57,7 +57,7 @@
 	return p.revision, true, nil
 }
 
-func (p *platform) ReadPrefix(context.Context, string) (map[string]document.Item, error) {
+func (p *fakePlatform) ReadPrefix(context.Context, string) (map[string]document.Item, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.down {
@@ -70,7 +70,7 @@
 	return items, nil
 }
 
-func (p *platform) ReadRevisions(ctx context.Context, prefix string) (map[string]int64, error) {
+func (p *fakePlatform) ReadRevisions(ctx context.Context, prefix string) (map[string]int64, error) {
 	items, err := p.ReadPrefix(ctx, prefix)
 	revisions := make(map[string]int64)
 	for name, item := range items {
@@ -79,7 +79,7 @@
 	return revisions, err
 }
 
-func (p *platform) WatchPrefix(ctx context.Context, _ string, _ int64, changed func(string, document.Item)) error {
+func (p *fakePlatform) WatchPrefix(ctx context.Context, _ string, _ int64, changed func(string, document.Item)) error {
 	p.mu.Lock()
 	p.watches++
 	id := p.watches
@@ -94,35 +94,35 @@
 
 // fleet is nodes that reach each other by name.
 type fleet struct {
-	platform *platform
+	platform *fakePlatform
 	nodes    []*spread.Replicator
 	perHall  int
-	cut      sync.Map
+	isolated sync.Map
 	fetches  int
 	mu       sync.Mutex
 }
 
-func (f *fleet) isCut(at int) bool {
-	_, cut := f.cut.Load(at)
-	return cut
+func (f *fleet) isIsolated(index int) bool {
+	_, isolated := f.isolated.Load(index)
+	return isolated
 }
 
-// peers is one node's view of the fleet.
-type peers struct {
-	f  *fleet
-	at int
+// fleetPeers is one node's view of the fleet.
+type fleetPeers struct {
+	f     *fleet
+	index int
 }
 
-func (p peers) node(address string) (*spread.Replicator, error) {
-	var at int
-	_, _ = fmt.Sscan(address, &at)
-	if p.f.isCut(at) || p.f.isCut(p.at) {
+func (p fleetPeers) node(address string) (*spread.Replicator, error) {
+	var index int
+	_, _ = fmt.Sscan(address, &index)
+	if p.f.isIsolated(index) || p.f.isIsolated(p.index) {
 		return nil, errDown
 	}
-	return p.f.nodes[at], nil
+	return p.f.nodes[index], nil
 }
 
-func (p peers) Fetch(_ context.Context, address string, known map[string]int64) (map[string]document.Item, error) {
+func (p fleetPeers) Fetch(_ context.Context, address string, known map[string]int64) (map[string]document.Item, error) {
 	n, err := p.node(address)
 	if err != nil {
 		return nil, err
@@ -134,37 +134,37 @@
 	return n.Newer(known), nil
 }
 
-func (p peers) Notify(_ context.Context, address string, revisions map[string]int64) error {
+func (p fleetPeers) Notify(_ context.Context, address string, revisions map[string]int64) error {
 	n, err := p.node(address)
 	if err != nil {
 		return err
 	}
 	time.Sleep(time.Millisecond)
-	n.HandleRevisions(fmt.Sprint(p.at), revisions)
+	n.HandleRevisions(fmt.Sprint(p.index), revisions)
 	return nil
 }
 
-func (p peers) Alive() []view.Member {
+func (p fleetPeers) Alive() []view.Member {
 	var alive []view.Member
 	for i := range p.f.nodes {
-		if i != p.at && !p.f.isCut(i) && !p.f.isCut(p.at) {
+		if i != p.index && !p.f.isIsolated(i) && !p.f.isIsolated(p.index) {
 			alive = append(alive, view.Member{ID: fmt.Sprint(i), Peer: fmt.Sprint(i)})
 		}
 	}
 	return alive
 }
 
-func (p peers) HasMajority() bool { return 2*(len(p.Alive())+1) > len(p.f.nodes) }
-func (p peers) Rank() int         { return p.at % p.f.perHall }
-func (p peers) Seeds() []string   { return []string{"0", "1"} }
+func (p fleetPeers) HasMajority() bool { return 2*(len(p.Alive())+1) > len(p.f.nodes) }
+func (p fleetPeers) Rank() int         { return p.index % p.f.perHall }
+func (p fleetPeers) Seeds() []string   { return []string{"0", "1"} }
 
 func newFleet(t *testing.T, halls, perHall int) *fleet {
-	f := &fleet{platform: &platform{items: make(map[string]document.Item), watchers: make(map[int]func(string, document.Item))}, perHall: perHall}
+	f := &fleet{platform: &fakePlatform{items: make(map[string]document.Item), watchers: make(map[int]func(string, document.Item))}, perHall: perHall}
 	for i := range halls * perHall {
 		timers := timer.New()
 		t.Cleanup(timers.Close)
-		s := spread.New(f.platform, peers{f, i}, timers)
-		s.SetMembers(peers{f, i})
+		s := spread.New(f.platform, fleetPeers{f, i}, timers)
+		s.SetMembers(fleetPeers{f, i})
 		f.nodes = append(f.nodes, s)
 	}
 	return f
@@ -173,32 +173,32 @@
 func (f *fleet) start(ctx context.Context) {
 	for i, n := range f.nodes {
 		go n.Run(ctx)
-		go f.beat(ctx, i)
+		go f.exchangeHeartbeats(ctx, i)
 	}
 }
 
-// beat stands in for the heartbeats, which carry the revisions of a random
+// exchangeHeartbeats stands in for the heartbeats, which carry the revisions of a random
 // peer twice a second.
-func (f *fleet) beat(ctx context.Context, at int) {
+func (f *fleet) exchangeHeartbeats(ctx context.Context, index int) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(500 * time.Millisecond):
 		}
-		if from := rand.IntN(len(f.nodes)); !f.isCut(at) && !f.isCut(from) {
-			f.nodes[at].HandleRevisions(fmt.Sprint(from), f.nodes[from].Revisions())
+		if other := rand.IntN(len(f.nodes)); !f.isIsolated(index) && !f.isIsolated(other) {
+			f.nodes[index].HandleRevisions(fmt.Sprint(other), f.nodes[other].Revisions())
 		}
 	}
 }
 
-func (f *fleet) apply(n int, text string) error {
-	_, err := f.nodes[n].Update(context.Background(), spread.Config, func([]byte) ([]byte, error) { return []byte(text), nil })
+func (f *fleet) update(index int, text string) error {
+	_, err := f.nodes[index].Update(context.Background(), spread.Config, func([]byte) ([]byte, error) { return []byte(text), nil })
 	return err
 }
 
-// have counts the nodes that have a revision.
-func (f *fleet) have(revision int64) int {
+// countWithRevision counts the nodes that have a revision.
+func (f *fleet) countWithRevision(revision int64) int {
 	n := 0
 	for _, s := range f.nodes {
 		if s.Revisions()[spread.Config] >= revision {
@@ -208,21 +208,21 @@
 	return n
 }
 
-// TestEverywhere applies a document at one of 140 nodes in seven data halls:
+// TestUpdateReachesAllNodes applies a document at one of 140 nodes in seven data halls:
 // all have it within the letter's 4 s, few watch, and each fetches about once.
-func TestEverywhere(t *testing.T) {
+func TestUpdateReachesAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7, 20)
 		ctx, cancel := context.WithCancel(t.Context())
 		f.start(ctx)
 		time.Sleep(2 * time.Second)
 		start := time.Now()
-		must.NoError(t, f.apply(77, "one"))
-		for f.have(1) < len(f.nodes) && time.Since(start) < 4*time.Second {
+		must.NoError(t, f.update(77, "one"))
+		for f.countWithRevision(1) < len(f.nodes) && time.Since(start) < 4*time.Second {
 			time.Sleep(time.Millisecond)
 		}
-		t.Logf("%d of %d nodes have it after %s, with %d watches and %d fetches", f.have(1), len(f.nodes), time.Since(start), f.platform.watches, f.fetches)
-		must.Eq(t, len(f.nodes), f.have(1))
+		t.Logf("%d of %d nodes have it after %s, with %d watches and %d fetches", f.countWithRevision(1), len(f.nodes), time.Since(start), f.platform.watches, f.fetches)
+		must.Eq(t, len(f.nodes), f.countWithRevision(1))
 		must.Eq(t, 14, f.platform.watches)
 		must.LessEq(t, 2*len(f.nodes), f.fetches)
 		cancel()
@@ -230,14 +230,14 @@
 	})
 }
 
-// TestCutOff lists when a node may go on.
-func TestCutOff(t *testing.T) {
+// TestReceivesUpdates lists when a node may go on.
+func TestReceivesUpdates(t *testing.T) {
 	tests := []struct {
-		name     string
-		platform bool
-		cut      []int
-		node     int
-		want     bool
+		name       string
+		platformUp bool
+		isolated   []int
+		node       int
+		want       bool
 	}{
 		{"all well", true, nil, 0, true},
 		{"platform out, peers heard", false, nil, 0, true},
@@ -253,10 +253,10 @@
 				f.start(ctx)
 				time.Sleep(2 * time.Second)
 				f.platform.mu.Lock()
-				f.platform.down = !tt.platform
+				f.platform.down = !tt.platformUp
 				f.platform.mu.Unlock()
-				for _, at := range tt.cut {
-					f.cut.Store(at, true)
+				for _, index := range tt.isolated {
+					f.isolated.Store(index, true)
 				}
 				time.Sleep(10 * time.Second)
 				must.Eq(t, tt.want, f.nodes[tt.node].ReceivesUpdates())
@@ -267,8 +267,8 @@
 	}
 }
 
-// TestNeverBack offers documents out of order: subscribers see them rise.
-func TestNeverBack(t *testing.T) {
+// TestIgnoresOlderRevisions offers documents out of order: subscribers see them rise.
+func TestIgnoresOlderRevisions(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	var seen []int64
 	f.nodes[0].Subscribe(spread.Config, func(item document.Item) { seen = append(seen, item.Revision) })
@@ -278,13 +278,13 @@
 	must.Eq(t, []int64{3, 7}, seen)
 }
 
-// TestCompressed stores documents compressed and gives them out whole.
-func TestCompressed(t *testing.T) {
+// TestStoresCompressed stores documents compressed and gives them out whole.
+func TestStoresCompressed(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	var got []byte
 	f.nodes[0].Subscribe(spread.Config, func(item document.Item) { got = item.Data })
 	text := bytes.Repeat([]byte("a line of a declaration\n"), 1000)
-	must.NoError(t, f.apply(0, string(text)))
+	must.NoError(t, f.update(0, string(text)))
 	must.Eq(t, string(text), string(got))
 	must.Less(t, len(text)/20, len(f.platform.items[spread.KeyPrefix+spread.Config].Data))
 }
