--- a/cascade/cascade.go
+++ b/cascade/cascade.go
@@ -1,26 +1,27 @@
-// Package cascade decides when a cheaper model may answer before a costlier
-// one.
+// Package cascade decides which of several models answers a request: a cheaper
+// one, or a costlier one if the cheaper one's answer is not good enough.
 //
-// A cascade tries its models from the cheapest on; an answer is rated before
-// it is released, and the next model is asked if the rating is too low. A
-// failed try costs time and money, so the planner skips a model that has
-// lately failed for this class of request, and goes straight to the last one
-// if the deadline leaves no room for two. The bound for release moves so that
-// the mean rating of what is released stays at the declared target: above it,
-// cheaper answers pass more easily; below it, fewer do.
+// A [Planner] tries the models in order of cost. Each answer is rated before it
+// is released to the client, and the next model is asked if the rating is below
+// the release threshold. A rejected answer costs time and money, so the planner
+// skips a model that has recently failed for this class of request, and goes
+// straight to the last model if the deadline does not allow two attempts. The
+// threshold is adjusted so that the mean rating of the released answers stays
+// at the configured target: a mean above the target lowers the threshold, a
+// mean below it raises it.
 //
 // # Usage
 //
-//	for _, model := range planner.Plan(c, class, left) {
+//	for _, model := range planner.Plan(c, class, remaining) {
 //		answer := run(model)
-//		if planner.Releases(c, rating) { … }
+//		if planner.MayRelease(c, rating) { … }
 //	}
 //
-// Where no rating service stands beside the models, a [ConfidencePolicy] goes by the
-// models' own confidence:
+// Without a rating service, a [ConfidencePolicy] decides by the confidence that
+// the models report for their own answers:
 //
-//	step := ladder.First(len(models), mayEscalate)
-//	step, escalate := ladder.Next(len(models), step, confidence, last)
+//	step := policy.First(len(models), mayEscalate)
+//	step, escalate := policy.Next(len(models), step, confidence, last)
 package cascade
 
 import (
@@ -32,27 +33,30 @@
 )
 
 const (
-	// smoothingFactor is the weight of one answer in the running means.
+	// smoothingFactor is the weight of the latest answer in the exponential
+	// moving averages.
 	smoothingFactor = 0.05
-	// minPassRate is the chance of release below which a model is skipped.
+	// minPassRate is the pass rate below which a model is skipped.
 	minPassRate = 0.35
-	// exploreProbability is how often a skipped model is tried all the same, so that its
-	// recovery is noticed.
+	// exploreProbability is how often a model with a low pass rate is tried all
+	// the same, so that its recovery is noticed.
 	exploreProbability = 0.03
-	// minUnratedPassRate is the chance of release above which an answer may go out
-	// unrated while the rating service is out.
+	// minUnratedPassRate is the pass rate from which a model's answers may be
+	// released unrated while the rating service is unavailable.
 	minUnratedPassRate = 0.9
-	// thresholdGain is how far the bound moves per released answer and unit
-	// of distance from the target.
+	// thresholdGain is the change of the threshold per released answer and unit
+	// of distance between the mean rating and the target.
 	thresholdGain = 0.05
-	// maxThresholdShift is how far the bound may move from the declared one.
+	// maxThresholdShift limits how far the threshold may move from the
+	// configured one.
 	maxThresholdShift = 0.15
-	// maxStats bounds the classes remembered.
+	// maxStats limits the number of modelStats; all are discarded when it is
+	// reached.
 	maxStats = 4096
 )
 
-// Planner holds what one node has learned of its cascades. It is safe for
-// concurrent use.
+// Planner holds one node's statistics on the models of its cascades. It is safe
+// for concurrent use.
 type Planner struct {
 	mu          sync.Mutex
 	stats       map[statsKey]*modelStats
@@ -61,24 +65,28 @@
 
 type statsKey struct{ cascade, class, model string }
 
+// modelStats describes the recent answers of one model to one class of request.
 type modelStats struct {
+	// passRate is the share of answers whose rating reached the threshold.
 	passRate float64
+	// duration is the mean time that an answer took.
 	duration time.Duration
 }
 
-// adjustment is the release bound of one cascade and the mean of what it released.
+// adjustment is the shift of one cascade's threshold from the configured one,
+// and the mean rating of its released answers.
 type adjustment struct {
 	shift      float64
 	meanRating float64
 }
 
-// New returns a planner that has learned nothing.
+// New returns a planner without statistics.
 func New() *Planner {
 	return &Planner{stats: make(map[statsKey]*modelStats), adjustments: make(map[string]*adjustment)}
 }
 
-// Plan returns the models to try in order, at least the last one. Left is the
-// time until the deadline, zero for none.
+// Plan returns the models to try, in order. The last model is always among
+// them. Remaining is the time until the deadline, zero for none.
 func (p *Planner) Plan(c *config.Cascade, class string, remaining time.Duration) []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,7 +117,8 @@
 	return s
 }
 
-// RecordRating takes the rating of one answer of a model and the time it took.
+// RecordRating records the rating of a model's answer and the time that the
+// answer took.
 func (p *Planner) RecordRating(c *config.Cascade, class, model string, rating float64, duration time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -125,14 +134,14 @@
 	s.duration += time.Duration(smoothingFactor * float64(duration-s.duration))
 }
 
-// MayRelease reports whether an answer of this rating may go out.
+// MayRelease reports whether an answer with this rating may be released.
 func (p *Planner) MayRelease(c *config.Cascade, rating float64) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return rating >= p.threshold(c)
 }
 
-// MayReleaseUnrated reports whether a model's answer may go out while the
+// MayReleaseUnrated reports whether a model's answer may be released while the
 // rating service gives no rating.
 func (p *Planner) MayReleaseUnrated(c *config.Cascade, class, model string) bool {
 	p.mu.Lock()
@@ -140,7 +149,8 @@
 	return p.statsFor(c.Name, class, model).passRate >= minUnratedPassRate
 }
 
-// RecordReleased takes the rating of an answer that went out and moves the bound.
+// RecordReleased records the rating of a released answer and adjusts the
+// threshold.
 func (p *Planner) RecordReleased(c *config.Cascade, rating float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,7 +160,7 @@
 	a.shift = max(-maxThresholdShift, min(maxThresholdShift, a.shift))
 }
 
-// Threshold returns the present bound for release.
+// Threshold returns the current release threshold.
 func (p *Planner) Threshold(c *config.Cascade) float64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cascade/cascade_test.go
+++ b/cascade/cascade_test.go
@@ -14,8 +14,8 @@
 
 var testCascade = &config.Cascade{Name: "auto", Models: []string{"cheap", "costly"}, MinRating: 0.75, QualityTarget: 0.82}
 
-// workload makes answers: for easy classes the cheap model is nearly as good as
-// the costly one, for hard ones it mostly fails.
+// workload generates answers. For easy classes the cheap model is nearly as
+// good as the costly one; for hard classes it mostly fails.
 type workload struct {
 	rng         *rand.Rand
 	ratingDrift float64
@@ -35,7 +35,7 @@
 	return max(0, min(1, mean+0.08*w.rng.NormFloat64()))
 }
 
-// averages is what a policy cost and how good it was.
+// averages holds the mean cost and quality of a policy's answers.
 type averages struct{ cost, quality float64 }
 
 // policy answers one request of a class.
@@ -45,7 +45,8 @@
 	return func(w *workload, class int) (float64, float64) { return cost, w.quality(class, model) }
 }
 
-// fixedThreshold tries the cheap model first each time, with the declared bound.
+// fixedThreshold tries the cheap model first for each request, with the
+// configured threshold.
 func fixedThreshold(w *workload, class int) (float64, float64) {
 	if q := w.quality(class, "cheap"); q >= testCascade.MinRating {
 		return cheapCost, q
@@ -89,7 +90,8 @@
 	return avg
 }
 
-// TestPlannerCostAndQuality compares the planner with the plain policies on the same requests.
+// TestPlannerCostAndQuality compares the planner with simpler policies on the
+// same requests.
 func TestPlannerCostAndQuality(t *testing.T) {
 	seeds := []uint64{1, 2, 3, 4, 5}
 	mean := make(map[string]averages)
@@ -115,15 +117,15 @@
 	must.Less(t, mean["always costly"].cost/2, mean["planner"].cost)
 }
 
-// TestUnreliableRatings lets the rating service go out or drift after the planner
-// has learned.
+// TestUnreliableRatings makes the rating service unavailable, or lets its
+// ratings drift, after the planner has collected statistics.
 func TestUnreliableRatings(t *testing.T) {
 	for _, tt := range []struct {
 		name        string
 		ratingDrift float64
 		ratingDown  bool
 		minQuality  float64
-	}{{"out", 0, true, 0.8}, {"drifts up", 0.1, false, 0.7}, {"drifts down", -0.1, false, 0.82}} {
+	}{{"unavailable", 0, true, 0.8}, {"ratings drift up", 0.1, false, 0.7}, {"ratings drift down", -0.1, false, 0.82}} {
 		t.Run(tt.name, func(t *testing.T) {
 			p := cascade.New()
 			w := &workload{rng: rand.New(rand.NewPCG(1, 0))}
@@ -136,7 +138,8 @@
 	}
 }
 
-// TestPlanFitsDeadline leaves no room for two models.
+// TestPlanFitsDeadline checks that only the last model is planned if the
+// deadline does not allow two attempts.
 func TestPlanFitsDeadline(t *testing.T) {
 	p := cascade.New()
 	p.RecordRating(testCascade, "c", "cheap", 0.9, answerTime)
--- a/cascade/confidence.go
+++ b/cascade/confidence.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// ConfidencePolicy decides between models by the confidence that a model tells of its
-// own answer, where no rating service stands beside it. The cheapest model
-// answers first; an answer that it has too little confidence in is dropped
-// before the client has any of it, and a costlier model answers instead: the
-// next one where the confidence was nearly enough, or else the costliest.
+// ConfidencePolicy decides between models by the confidence that a model
+// reports for its own answer, for deployments without a rating service. The
+// cheapest model answers first. If its confidence is too low, the answer is
+// discarded before the client has received any of it and a costlier model is
+// asked: the next one if the confidence was nearly high enough, otherwise the
+// costliest.
 type ConfidencePolicy struct{ minRelease, minNextModel float64 }
 
 const (
-	// minReleaseConfidence is the least confidence, of 0 to 100, that releases an
-	// answer whatever the load is: above it one answer in fifty is poor, below
-	// it [ConfidencePolicy.Pays] decides.
+	// minReleaseConfidence is the confidence, from 0 to 100, from which an
+	// answer is released whatever the load is: one such answer in fifty is
+	// poor. Below it, [ConfidencePolicy.WorthEscalating] decides.
 	minReleaseConfidence = 65
-	// minNextModelConfidence is the confidence from which the next model is tried in place
-	// of the costliest; without the middle model worth fell from 0.707 to 0.698,
-	// and with a bound of 42 to 0.705 (docs/DECISIONS.md).
+	// minNextModelConfidence is the confidence from which the next model is
+	// asked instead of the costliest. Without the middle model, worth falls
+	// from 0.707 to 0.698, and with a limit of 42 to 0.705 (docs/DECISIONS.md).
 	minNextModelConfidence = 35
 )
 
-// NewConfidencePolicy returns a ladder with the default bounds.
+// NewConfidencePolicy returns a policy with the default limits.
 func NewConfidencePolicy() *ConfidencePolicy {
 	return &ConfidencePolicy{minRelease: minReleaseConfidence, minNextModel: minNextModelConfidence}
 }
 
 // First returns the index of the model that answers first, of n. It is the
-// cheapest, unless its answer could not be dropped for a better one: then it is
-// the costliest, since a poor answer is worth little.
+// cheapest if its answer may be discarded for a better one, otherwise the
+// costliest, since a poor answer is worth little.
 func (p *ConfidencePolicy) First(n int, mayEscalate bool) int {
 	if mayEscalate {
 		return 0
@@ -38,9 +39,9 @@
 	return n - 1
 }
 
-// Next returns the index of the model to ask in place of the one at step, whose
-// answer has the given confidence; false to release its answer. Last says that
-// nothing can follow the next answer.
+// Next returns the index of the model to ask instead of the one at step, whose
+// answer has the given confidence. It returns false if that answer is to be
+// released. Last means that no other model can be asked after the next one.
 func (p *ConfidencePolicy) Next(n, step int, confidence float64, last bool) (int, bool) {
 	switch {
 	case step >= n-1 || confidence >= p.minRelease:
@@ -52,43 +53,48 @@
 }
 
 const (
-	// evenOddsConfidence is the confidence at which an answer is as often poor as it
-	// is good, sureness how far above it the odds are e to one. Answers that
-	// models gave 20 to 35 were poor almost always, 35 to 50 three in five, 50
-	// to 65 two in five, and above hardly ever.
+	// evenOddsConfidence is the confidence at which an answer is as likely poor
+	// as good. At confidenceScale above it, the odds of a good answer are e to
+	// one. Almost all answers with a confidence of 20 to 35 are poor, three in
+	// five of those from 35 to 50, two in five from 50 to 65, and hardly any
+	// above.
 	evenOddsConfidence = 50.0
 	confidenceScale    = 6.0
-	// minGain is the least gain, as a share of a good answer's worth, for which
-	// a costlier model is asked where nothing waits: its own price, and the wait
-	// of those who come next. At 0.15 worth at twice the load fell from 0.67 to
-	// 0.62.
+	// minGain is the least gain, as a share of a good answer's value, for which
+	// a costlier model is asked when no requests are waiting. It covers the
+	// model's price and the delay to the requests that come next. With 0.15,
+	// worth at twice the load falls from 0.67 to 0.62.
 	minGain = 0.45
-	// fullCostWait is the wait, as a share of the objective, that is worth as much as
-	// a good answer: from about half of it on no costlier model is asked. At
-	// twice that, worth at three times the load fell from 0.59 to 0.57.
+	// fullCostWait is the wait, as a share of the objective, that costs as much
+	// as a good answer is worth. Together with minGain, it rules out costlier
+	// models from about half of this wait on. With twice the share, worth at
+	// three times the load falls from 0.59 to 0.57.
 	fullCostWait = 0.5
-	// lateValue is what a good answer that comes late is worth of one in time:
-	// the deployments' sheets say 0.3 for each kind of request.
+	// lateValue is the value of a good answer that is late, relative to one in
+	// time. The deployments' specifications set 0.3 for each kind of request.
 	lateValue = 0.3
-	// forecastError is by which share of what is expected answers are off: a quarter
-	// with little load, a third or more under load.
+	// forecastError is the relative error of forecast times: a quarter under
+	// low load, a third or more under high load.
 	forecastError = 0.35
 )
 
-// Escalation is what a costlier model would take in place of an answer.
+// Escalation is a request to a costlier model, whose answer would replace the
+// present one.
 type Escalation struct {
-	// Confidence of the answer that it would replace.
+	// Confidence is that of the answer to be replaced, from 0 to 100.
 	Confidence float64
-	// Wait is how long the request waits until a server turns to it, Takes how
-	// long its answer takes to begin from then on.
+	// Wait is the expected time until a server starts on the request,
+	// ServiceTime the expected time from then until its answer begins.
 	Wait, ServiceTime time.Duration
-	// Remaining is what is left of the objective, zero or less if nothing is.
+	// Objective is the time within which the answer should begin, zero for
+	// none. Remaining is what is left of it, negative if it has passed.
 	Remaining, Objective time.Duration
 }
 
-// WorthEscalating reports whether a costlier model is worth asking: whether the chance that
-// the answer was poor, and that the other one comes in time, is worth what the
-// others wait for it.
+// WorthEscalating reports whether the costlier model should be asked: whether
+// the chance that the present answer is poor and that the new one is in time
+// outweighs the cost of the wait to other requests. Without an objective, it
+// always is.
 func (p *ConfidencePolicy) WorthEscalating(e Escalation) bool {
 	if e.Objective <= 0 {
 		return true
--- a/cascade/confidence_test.go
+++ b/cascade/confidence_test.go
@@ -18,14 +18,14 @@
 		next       int
 		escalates  bool
 	}{
-		{"sure", 3, 0, 90, false, 0, false},
-		{"just sure", 3, 0, 65, false, 0, false},
-		{"nearly sure", 3, 0, 64, false, 1, true},
-		{"even", 3, 0, 49, false, 1, true},
-		{"nearly sure, one answer left", 3, 0, 49, true, 2, true},
-		{"unsure", 3, 0, 20, false, 2, true},
-		{"the next one is nearly sure", 3, 1, 40, false, 2, true},
-		{"the costliest is unsure", 3, 2, 5, false, 0, false},
+		{"high confidence", 3, 0, 90, false, 0, false},
+		{"at the release limit", 3, 0, 65, false, 0, false},
+		{"below the release limit", 3, 0, 64, false, 1, true},
+		{"medium confidence", 3, 0, 49, false, 1, true},
+		{"medium confidence, one answer left", 3, 0, 49, true, 2, true},
+		{"low confidence", 3, 0, 20, false, 2, true},
+		{"second model, medium confidence", 3, 1, 40, false, 2, true},
+		{"costliest model, low confidence", 3, 2, 5, false, 0, false},
 		{"two models", 2, 0, 49, false, 1, true},
 		{"one model", 1, 0, 5, false, 0, false},
 	}
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestLadderFirst: an answer that could not be dropped comes from the costliest
-// model.
+// TestConfidencePolicyFirst checks that the costliest model answers first if an
+// answer could not be discarded.
 func TestConfidencePolicyFirst(t *testing.T) {
 	p := cascade.NewConfidencePolicy()
 	must.Eq(t, 0, p.First(3, true))
@@ -47,9 +47,9 @@
 	must.Eq(t, 0, p.First(1, false))
 }
 
-// TestLadderPays: a costlier model is asked where a poor answer is likely and
-// its own comes in time; the more there is to wait for it, the surer that must
-// be.
+// TestConfidencePolicyWorthEscalating checks that a costlier model is asked if
+// the present answer is likely poor and the new one comes in time, and that a
+// longer queue requires a higher probability.
 func TestConfidencePolicyWorthEscalating(t *testing.T) {
 	const objective = 4 * time.Second
 	tests := []struct {
@@ -58,14 +58,14 @@
 		wait, serviceTime, remaining time.Duration
 		want                         bool
 	}{
-		{"poor, and idle", 10, 0, time.Second, objective, true},
-		{"as likely good", 50, 0, time.Second, objective, true},
-		{"likely good", 55, 0, time.Second, objective, false},
-		{"as likely good, and others wait", 50, 500 * time.Millisecond, time.Second, objective, false},
-		{"poor, and others wait", 10, 500 * time.Millisecond, time.Second, objective, true},
-		{"poor, and very many wait", 10, 2500 * time.Millisecond, time.Second, objective, false},
-		{"poor, but late", 10, 0, time.Second, 500 * time.Millisecond, false},
-		{"nothing is left", 10, 0, time.Second, -time.Second, false},
+		{"poor, no queue", 10, 0, time.Second, objective, true},
+		{"even odds, no queue", 50, 0, time.Second, objective, true},
+		{"probably good, no queue", 55, 0, time.Second, objective, false},
+		{"even odds, short queue", 50, 500 * time.Millisecond, time.Second, objective, false},
+		{"poor, short queue", 10, 500 * time.Millisecond, time.Second, objective, true},
+		{"poor, long queue", 10, 2500 * time.Millisecond, time.Second, objective, false},
+		{"poor, but the new answer is late", 10, 0, time.Second, 500 * time.Millisecond, false},
+		{"poor, but the objective has passed", 10, 0, time.Second, -time.Second, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
