--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,20 +1,20 @@
-// Package retry bounds how much a pool's failures multiply its load, by
-// [Budgets] of tokens or, where the platform states its bound by the requests
-// of a time, by [WindowBudgets].
+// Package retry limits how much retries add to the load of failing servers.
+// [Budgets] limits them by tokens per pool. [WindowBudgets] limits them by the
+// requests in a time window, for platforms that state their limit that way.
 //
-// Each request to a pool pays a share of a token into the pool's budget and
-// each retry takes one out, so that in a pool-wide failure the load grows by
-// that share at most. Whether a retry is safe is decided by the caller, which
-// knows whether the attempt has run.
+// Each request to a pool adds a share of a token to the pool's budget and each
+// retry takes one token, so that retries add at most that share to the load
+// when the whole pool fails. The caller decides whether a retry is safe, since
+// it knows whether the attempt has run.
 //
 // # Usage
 //
-//	budgets.Paid(pool, share)
+//	budgets.RecordRequest(pool, share)
 //	if !budgets.Take(pool) {
 //		return refuse("retry_budget")
 //	}
 //
-//	windows.Paid(service)
+//	windows.RecordRequest(service)
 //	if !windows.Take(service, 0) {
 //		return refuse("retry_budget")
 //	}
@@ -23,28 +23,30 @@
 import "sync"
 
 const (
-	// initialTokens lets a pool without traffic retry at all.
+	// initialTokens allows retries in a pool that has had little traffic.
 	initialTokens = 3
 	maxTokens     = 20
 )
 
-// Budgets holds the budget of each pool. It is safe for concurrent use.
+// Budgets holds the retry budget of each pool. It is safe for concurrent use.
 type Budgets struct {
 	mu     sync.Mutex
 	tokens map[string]float64
 }
 
-// New returns full budgets.
+// New returns budgets in which each pool starts with initialTokens.
 func New() *Budgets { return &Budgets{tokens: make(map[string]float64)} }
 
-// RecordRequest counts one request to a pool whose share of retries is given.
+// RecordRequest counts one request to a pool, which adds share tokens to its
+// budget.
 func (b *Budgets) RecordRequest(pool string, share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens[pool] = min(maxTokens, b.balance(pool)+share)
 }
 
-// Take takes one retry out of the pool's budget, if there is one.
+// Take takes the token for one retry out of the pool's budget. It returns false
+// if there is none.
 func (b *Budgets) Take(pool string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -8,8 +8,8 @@
 	"github.com/violettally/violettally/retry"
 )
 
-// TestRetriesBoundedByShare lets every attempt of a pool fail: retries add no more than
-// the declared share and a few to begin with.
+// TestRetriesBoundedByShare fails every attempt in a pool and checks that
+// retries add no more than the configured share and the initial tokens.
 func TestRetriesBoundedByShare(t *testing.T) {
 	const requests = 10_000
 	for _, share := range []float64{0, 0.1, 0.5} {
@@ -26,6 +26,6 @@
 		}
 		must.LessEq(t, int(requests*(1+share))+3, attempts)
 		must.GreaterEq(t, int(requests*(1+share))-20, attempts)
-		must.True(t, b.Take("another pool"), must.Sprint("a pool's failure is its own"))
+		must.True(t, b.Take("another pool"), must.Sprint("each pool has its own budget"))
 	}
 }
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// slicesPerWindow is the number of parts of a window; what is older than the window
-// goes slice by slice. More of them would follow the window more closely, and
-// cost more at each request.
+// slicesPerWindow is the number of slices in a window. Counts expire one slice
+// at a time; more slices would follow the window more closely, at a higher cost
+// per request.
 const slicesPerWindow = 20
 
-// WindowBudgets bound by service how many requests one node sends once more: within
-// any window, to a share of the requests of that window or of the one before,
-// and a few more. They are for platforms that hold the system to such a bound
-// over all nodes: if each node keeps to its part, the sum keeps to the whole.
-// They are safe for concurrent use.
+// WindowBudgets limits, by service, how many retries one node sends: within any
+// window, to a share of the requests in that window or in the previous one,
+// whichever had more, plus a small allowance. It is for platforms that apply
+// such a limit to all nodes together: if each node stays within its part, the
+// sum stays within the limit. It is safe for concurrent use.
 type WindowBudgets struct {
 	ratio float64
 	slack func() float64
-	// sliceLength is how long each part of a window lasts. Slices are counted from
-	// made on, by the steady clock: the time of day may be stepped.
+	// sliceLength is the duration of one slice. Slices are numbered from
+	// created on, by the monotonic clock, since the wall clock may be stepped.
 	sliceLength time.Duration
 	created     time.Time
 
@@ -27,9 +27,9 @@
 	services map[string]*window
 }
 
-// window counts requests and repeats of a service in slices of time, each at
-// the remainder of its number. There is room for the requests of two windows,
-// this one and the one before.
+// window counts a service's requests and retries in slices. A slice's index is
+// its number modulo the length of the array. Requests are kept for two windows,
+// the current and the previous one.
 type window struct {
 	requests [2 * slicesPerWindow]int
 	retries  [slicesPerWindow]int
@@ -37,10 +37,10 @@
 	newest int64
 }
 
-// NewWindowBudgets returns windows of that length, without requests. Repeats are
-// bound to the ratio of a window's requests and to slack more, which is this
-// node's part of what the platform allows beside the ratio. Slack is asked for
-// anew each time, since it depends on the number of nodes.
+// NewWindowBudgets returns budgets for windows of the given length. Retries are
+// limited to ratio times a window's requests, plus slack: this node's part of
+// what the platform allows in addition to the ratio. Slack is called each time,
+// since it depends on the number of nodes.
 func NewWindowBudgets(ratio float64, slack func() float64, length time.Duration) *WindowBudgets {
 	return &WindowBudgets{ratio: ratio, slack: slack, sliceLength: length / slicesPerWindow, created: time.Now(), services: make(map[string]*window)}
 }
@@ -53,8 +53,8 @@
 	s.requests[s.newest%int64(len(s.requests))]++
 }
 
-// Take counts one repeat if the bound allows it and still leaves a share of the
-// bound, spare, for others.
+// Take counts one retry if the limit allows it. Reserve is the share of the
+// limit that must be left for other uses.
 func (w *WindowBudgets) Take(service string, reserve float64) bool {
 	slack := w.slack()
 	w.mu.Lock()
@@ -67,7 +67,7 @@
 	return true
 }
 
-// Allows reports whether Take would count a repeat now.
+// Allows reports whether Take would succeed now.
 func (w *WindowBudgets) Allows(service string, reserve float64) bool {
 	slack := w.slack()
 	w.mu.Lock()
@@ -80,7 +80,7 @@
 	return float64(s.totalRetries()+1) <= limit*(1-reserve)
 }
 
-// currentWindow returns the service's window, moved on to the present slice.
+// currentWindow returns the service's window, advanced to the current slice.
 func (w *WindowBudgets) currentWindow(service string) *window {
 	now := int64(time.Since(w.created) / w.sliceLength)
 	s := w.services[service]
@@ -99,7 +99,7 @@
 	return s
 }
 
-// totalRetries returns the repeats of this window.
+// totalRetries returns the number of retries in the current window.
 func (s *window) totalRetries() (sum int) {
 	for _, n := range s.retries {
 		sum += n
@@ -107,8 +107,8 @@
 	return sum
 }
 
-// maxRequests returns the requests of this window or of the one before, whichever
-// had more.
+// maxRequests returns the number of requests in the current window or in the
+// previous one, whichever had more.
 func (s *window) maxRequests() int {
 	current, previous := 0, 0
 	for i := range int64(slicesPerWindow) {
--- a/retry/window_test.go
+++ b/retry/window_test.go
@@ -10,7 +10,8 @@
 	"github.com/violettally/violettally/retry"
 )
 
-// TestWindowBudgets keeps to a share of the requests of ten seconds, and three more.
+// TestWindowBudgets checks that retries are limited to half of the requests in
+// ten seconds, plus three.
 func TestWindowBudgets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := retry.NewWindowBudgets(0.5, func() float64 { return 3 }, 10*time.Second)
@@ -20,25 +21,26 @@
 			}
 			return n
 		}
-		must.Eq(t, 3, take(0), must.Sprint("the slack"))
+		must.Eq(t, 3, take(0), must.Sprint("only the slack"))
 		for range 100 {
 			w.RecordRequest("s")
 			w.RecordRequest("other")
 		}
-		must.Eq(t, 36, take(0.25), must.Sprint("a part is left for others"))
+		must.Eq(t, 36, take(0.25), must.Sprint("a quarter is reserved"))
 		must.Eq(t, 14, take(0))
 		time.Sleep(5 * time.Second)
 		must.Eq(t, 0, take(0))
 		time.Sleep(6 * time.Second)
-		must.Eq(t, 53, take(0), must.Sprint("by the requests of the window before"))
+		must.Eq(t, 53, take(0), must.Sprint("limited by the requests of the previous window"))
 		time.Sleep(11 * time.Second)
-		must.Eq(t, 3, take(0), must.Sprint("all is forgotten"))
+		must.Eq(t, 3, take(0), must.Sprint("all counts have expired"))
 		time.Sleep(time.Hour)
 		must.Eq(t, 3, take(0))
 	})
 }
 
-// TestWindowsSlide: no span of ten seconds has more repeats than the bound.
+// TestWindowBudgetsAnySpan checks that no span of 9.5 seconds, a window less
+// one slice, has more retries than the limit.
 func TestWindowBudgetsAnySpan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := retry.NewWindowBudgets(0.5, func() float64 { return 2 }, 10*time.Second)
