--- a/spread/compress.go
+++ b/spread/compress.go
@@ -11,14 +11,16 @@
 var (
 	namespace = errs.Namespace("spread")
 
-	// Malformed says that a stored document cannot be expanded.
+	// Malformed is the type of errors about stored documents that cannot be
+	// decompressed.
 	Malformed = namespace.NewType("malformed")
 )
 
-// maxExpandedBytes bounds a document after it is expanded.
+// maxExpandedBytes limits the size of a document after decompression.
 const maxExpandedBytes = 64 << 20
 
-// compress returns a document in the form in which it is stored (RFC 1952).
+// compress returns a document in the gzip format (RFC 1952) in which it is
+// stored.
 func compress(data []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w := gzip.NewWriter(&out)
@@ -31,8 +33,8 @@
 	return out.Bytes(), nil
 }
 
-// decompress reads a stored document. One that an operator has written by hand
-// need not be compressed.
+// decompress returns the content of a stored document. A document that an
+// operator wrote by hand may be uncompressed.
 func decompress(data []byte) ([]byte, error) {
 	if !bytes.HasPrefix(data, []byte{0x1f, 0x8b}) {
 		return data, nil
--- a/spread/size_test.go
+++ b/spread/size_test.go
@@ -14,8 +14,9 @@
 	"github.com/violettally/violettally/view"
 )
 
-// TestStoredSizes stores the shared documents at the letter's size, 480 nodes and
-// 2,800 servers, and logs what they take; they must fit the platform's value.
+// TestStoredSizes stores the shared documents of a deployment of 480 nodes and
+// 2,800 servers and logs their sizes. The configuration must fit into one value
+// of the key-value service.
 func TestStoredSizes(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	plainView, plainConfig := largeView(t), largeConfig(t)
@@ -58,8 +59,8 @@
 	return data
 }
 
-// BenchmarkDecodeView takes a changed view, with the earlier ones that a replica
-// may have to read from.
+// BenchmarkDecodeView decodes a changed view and the earlier views from which a
+// replica may have to read.
 func BenchmarkDecodeView(b *testing.B) {
 	data := largeView(b)
 	for b.Loop() {
@@ -69,7 +70,7 @@
 	}
 }
 
-// BenchmarkLoadConfig checks and indexes a changed configuration.
+// BenchmarkLoadConfig decodes, checks and indexes a changed configuration.
 func BenchmarkLoadConfig(b *testing.B) {
 	data := largeConfig(b)
 	for b.Loop() {
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -1,20 +1,22 @@
-// Package spread brings the shared documents (configuration, view, roll-out
-// stages) from the platform's key-value service to every node.
+// Package spread distributes the shared documents (configuration, view,
+// roll-out stages) from the platform's key-value service to all nodes.
 //
-// A waiting watch costs the platform a call, so only [watchersPerHall] nodes
-// in each data hall hold one. Whoever learns of a newer document tells a few
-// peers, which fetch it once and tell others; the revisions carried on
-// heartbeats repair what that missed. Documents are compressed at the platform
-// and between nodes, since a large configuration changes many times a day. A
-// node moves only to higher revisions, so nothing ever reverts. A node that
-// starts during an outage takes the highest from peers.
+// Each open watch costs the platform a call, so only watchersPerHall nodes in
+// each data hall hold one. A node that receives a newer document notifies a few
+// random peers, which fetch it once and notify others. Heartbeats carry the
+// documents' revisions, so that nodes which no notification reached catch up.
+// Documents are compressed in the key-value service and between nodes, since a
+// large configuration changes many times a day. A node accepts only higher
+// revisions, so a document never reverts to an older state. A node that starts
+// while the platform is unavailable takes the highest revisions from its peers.
 //
 // # Usage
 //
-//	s := spread.New(store, peers, timers, self)
-//	s.Subscribe("config", func(item document.Item) { … })
-//	go s.Run(ctx)
-//	item, err := s.Update(ctx, "config", change)
+//	r := spread.New(store, peers, timers)
+//	r.SetMembers(members)
+//	r.Subscribe(spread.Config, func(item document.Item) { … })
+//	go r.Run(ctx)
+//	item, err := r.Update(ctx, spread.Config, change)
 package spread
 
 import (
@@ -37,49 +39,55 @@
 	Rollouts = "rollouts"
 )
 
-// KeyPrefix starts the keys of the shared documents at the platform, so that one
-// watch covers them all.
+// KeyPrefix is the prefix of the shared documents' keys in the key-value
+// service, so that one watch covers them all.
 const KeyPrefix = "shared/"
 
 const (
 	watchersPerHall = 2
 	fanout          = 4
 	repairInterval  = time.Second
-	// platformContactTTL is how long a contact with the platform counts.
+	// platformContactTTL is how long a node counts as in contact with the
+	// platform after its last successful call.
 	platformContactTTL = 4 * time.Second
 )
 
-// Store is what the package needs of the key-value service.
+// Store is the part of the key-value service that this package uses.
 type Store interface {
 	document.Store
+	// ReadPrefix returns the documents whose keys start with a prefix, by the
+	// rest of their keys.
 	ReadPrefix(ctx context.Context, prefix string) (map[string]document.Item, error)
-	// ReadRevisions is Shared without the documents themselves.
+	// ReadRevisions returns the revisions of the documents that ReadPrefix
+	// would return.
 	ReadRevisions(ctx context.Context, prefix string) (map[string]int64, error)
+	// WatchPrefix calls changed for each write of such a key after the given
+	// revision, until the context ends or the watch fails.
 	WatchPrefix(ctx context.Context, prefix string, after int64, changed func(key string, item document.Item)) error
 }
 
-// Peers is what the package needs of the other nodes.
+// Peers calls the other nodes.
 type Peers interface {
-	// Fetch asks a peer for the documents that are newer than known.
+	// Fetch returns a peer's documents that are newer than the known revisions.
 	Fetch(ctx context.Context, address string, known map[string]int64) (map[string]document.Item, error)
-	// Notify tells a peer which revisions this node has.
+	// Notify sends a peer the revisions of this node's documents.
 	Notify(ctx context.Context, address string, revisions map[string]int64) error
 }
 
-// Members tells which peers there are.
+// Members provides the state of the membership.
 type Members interface {
-	// Alive returns the members that answer, without this node.
+	// Alive returns the members that respond, without this node.
 	Alive() []view.Member
-	// HasMajority reports whether more than half of the view answers.
+	// HasMajority reports whether more than half of the view's members respond.
 	HasMajority() bool
-	// Rank returns this node's place among the answering members of its
-	// data hall.
+	// Rank returns this node's position among the responding members of its
+	// data hall; zero is the first.
 	Rank() int
-	// Seeds returns peer addresses to ask before there is a view.
+	// Seeds returns the addresses of peers to ask before a view is known.
 	Seeds() []string
 }
 
-// Replicator keeps the newest known form of each shared document.
+// Replicator keeps the newest known revision of each shared document.
 type Replicator struct {
 	store   Store
 	peers   Peers
@@ -91,11 +99,13 @@
 	subscribers map[string][]func(document.Item)
 	lastContact time.Time
 	// fetching is the highest revision of each document that is being fetched.
-	fetching   map[string]int64
+	fetching map[string]int64
+	// deliveryMu is held while subscribers are called, so that they see
+	// revisions in order.
 	deliveryMu sync.Mutex
 }
 
-// New returns a spreader without documents.
+// New returns a replicator without documents.
 func New(store Store, peers Peers, timers *timer.Service) *Replicator {
 	return &Replicator{
 		store:       store,
@@ -107,12 +117,14 @@
 	}
 }
 
-// SetMembers names the source of peers. It must be called before Run; the
-// members follow from the view, which this package brings.
+// SetMembers sets the source of members. It must be called before Run. The
+// members come from the view, which is itself a shared document, so they are
+// not known to New.
 func (r *Replicator) SetMembers(m Members) { r.members = m }
 
-// Subscribe calls changed with each newer form of a document, one call at a
-// time, in the order of revisions. It must be called before Run.
+// Subscribe registers a function that is called with each newer revision of a
+// document, one call at a time and in the order of revisions. It must be called
+// before Run.
 func (r *Replicator) Subscribe(name string, changed func(document.Item)) {
 	r.subscribers[name] = append(r.subscribers[name], changed)
 }
@@ -128,8 +140,8 @@
 	return revisions
 }
 
-// Newer returns the documents that are newer than known, compressed as they
-// are stored.
+// Newer returns the documents that are newer than the known revisions,
+// compressed as stored.
 func (r *Replicator) Newer(known map[string]int64) map[string]document.Item {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -142,8 +154,8 @@
 	return newer
 }
 
-// Apply takes a stored document if it is newer than the known one, tells the
-// subscribers, and a few peers.
+// Apply takes a document as stored if it is newer than the known one, passes it
+// to the subscribers and notifies a few peers.
 func (r *Replicator) Apply(name string, item document.Item) {
 	if r.deliver(name, item) {
 		go r.notifyPeers()
@@ -162,7 +174,7 @@
 	r.mu.Unlock()
 	plain, err := decompress(item.Data)
 	if err != nil {
-		slog.Error("stored document cannot be read", "document", name, "revision", item.Revision, "error", err)
+		slog.Error("stored document cannot be decompressed", "document", name, "revision", item.Revision, "error", err)
 		return true
 	}
 	for _, changed := range r.subscribers[name] {
@@ -181,15 +193,15 @@
 	for _, m := range alive[:min(fanout, len(alive))] {
 		calls.Go(func() {
 			if err := r.peers.Notify(ctx, m.Peer, revisions); err != nil {
-				slog.Debug("notice failed", "peer", m.ID, "error", err)
+				slog.Debug("notifying peer failed", "peer", m.ID, "error", err)
 			}
 		})
 	}
 	calls.Wait()
 }
 
-// HandleRevisions compares the revisions that a peer has with its own and fetches what
-// is newer, unless that is being fetched already.
+// HandleRevisions compares a peer's revisions with this node's and fetches what
+// is newer, unless it is being fetched already.
 func (r *Replicator) HandleRevisions(address string, revisions map[string]int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -208,7 +220,8 @@
 	}
 }
 
-// clearFetching lets another peer be asked for what a fetch did not bring.
+// clearFetching marks the fetch of these revisions as finished, so that another
+// peer can be asked for what it did not return.
 func (r *Replicator) clearFetching(revisions map[string]int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -224,7 +237,7 @@
 	defer cancel()
 	newer, err := r.peers.Fetch(ctx, address, r.Revisions())
 	if err != nil {
-		slog.Debug("fetch failed", "peer", address, "error", err)
+		slog.Debug("fetching documents from peer failed", "peer", address, "error", err)
 		return
 	}
 	for name, item := range newer {
@@ -232,8 +245,8 @@
 	}
 }
 
-// Update changes a shared document at the platform and puts it in force here.
-// The change sees and makes the document as it is before compression.
+// Update changes a shared document in the key-value service and applies it on
+// this node. Change gets and returns the uncompressed document.
 func (r *Replicator) Update(ctx context.Context, name string, change func(old []byte) ([]byte, error)) (document.Item, error) {
 	item, err := document.Update(ctx, r.store, KeyPrefix+name, func(old []byte) ([]byte, error) {
 		plain, err := decompress(old)
@@ -253,9 +266,9 @@
 	return item, err
 }
 
-// ReceivesUpdates reports whether this node can still learn of changes: it has lately
-// reached the platform, or it hears more than half of the view. Without
-// either, a withdrawal could pass it by, and it must start no new work.
+// ReceivesUpdates reports whether this node can still learn of changes: it has
+// recently reached the platform, or more than half of the view responds.
+// Otherwise it could miss a withdrawal, so it must start no new work.
 func (r *Replicator) ReceivesUpdates() bool {
 	r.mu.Lock()
 	inContact := r.timers.Now().Sub(r.lastContact) < platformContactTTL
@@ -269,8 +282,9 @@
 	r.lastContact = r.timers.Now()
 }
 
-// Run watches the platform where this node is one of its data hall's
-// watchers, and reads it where the node hears too few peers.
+// Run keeps the documents up to date until the context ends. It watches the
+// platform while this node is one of its data hall's watchers; otherwise it
+// polls the platform while too few peers respond.
 func (r *Replicator) Run(ctx context.Context) {
 	ticks := r.timers.Subscribe(repairInterval)
 	defer ticks.Stop()
@@ -296,8 +310,8 @@
 	}
 }
 
-// startWatchIf starts a watch if this node is to hold one. The function that it
-// returns ends the watch.
+// startWatchIf starts a watch if this node is a watcher. The returned function
+// ends the watch.
 func (r *Replicator) startWatchIf(ctx context.Context, watcher bool) context.CancelFunc {
 	ctx, stop := context.WithCancel(ctx)
 	if watcher {
@@ -306,7 +320,8 @@
 	return stop
 }
 
-// loadInitial takes the documents from the platform, or from peers if it is out.
+// loadInitial reads the documents from the platform, or from peers if the
+// platform is unavailable.
 func (r *Replicator) loadInitial(ctx context.Context) {
 	if r.readPlatform(ctx) {
 		return
@@ -328,8 +343,8 @@
 	return true
 }
 
-// watchPlatform follows the platform until the context ends. Each new watch starts
-// with a read, since the one before may have missed changes.
+// watchPlatform watches the platform until the context ends. Each new watch
+// starts with a read, since the previous one may have missed changes.
 func (r *Replicator) watchPlatform(ctx context.Context) {
 	ticks := r.timers.Subscribe(repairInterval)
 	defer ticks.Stop()
@@ -346,8 +361,8 @@
 	}
 }
 
-// followChanges holds one watch. The contact with the platform counts as long as the
-// watch stands, which a slow read beside it confirms.
+// followChanges runs one watch until it fails. Meanwhile monitorContact
+// confirms the contact with the platform.
 func (r *Replicator) followChanges(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -361,12 +376,12 @@
 		r.Apply(strings.TrimPrefix(key, KeyPrefix), item)
 	})
 	if err != nil && ctx.Err() == nil {
-		slog.Warn("watch of the platform broke", "error", err)
+		slog.Warn("platform watch failed", "error", err)
 	}
 }
 
-// checkRevisions asks the platform for the documents' revisions alone, and for the
-// documents if one is newer. It returns false if the platform does not answer.
+// checkRevisions reads only the documents' revisions from the platform, and the
+// documents if any is newer. It returns false if the platform does not respond.
 func (r *Replicator) checkRevisions(ctx context.Context) bool {
 	stored, err := r.store.ReadRevisions(ctx, KeyPrefix)
 	if err != nil {
@@ -382,8 +397,9 @@
 	return true
 }
 
-// monitorContact asks the platform now and then beside a watch, so that a watch
-// whose connection died in silence is noticed and replaced.
+// monitorContact polls the revisions at the platform while a watch runs, and
+// stops the watch if the platform does not respond. This detects a watch whose
+// connection was lost without an error.
 func (r *Replicator) monitorContact(ctx context.Context, stopWatch context.CancelFunc) {
 	r.timers.Every(ctx, platformContactTTL/2, func() {
 		if !r.checkRevisions(ctx) {
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -21,7 +21,8 @@
 
 var errDown = errors.New("down")
 
-// fakePlatform is the shared documents in memory, with one watcher each.
+// fakePlatform is an in-memory key-value service that holds the shared
+// documents.
 type fakePlatform struct {
 	mu       sync.Mutex
 	items    map[string]document.Item
@@ -92,7 +93,8 @@
 	return ctx.Err()
 }
 
-// fleet is nodes that reach each other by name.
+// fleet is a set of nodes that call each other directly. A node's address is
+// its index.
 type fleet struct {
 	platform *fakePlatform
 	nodes    []*spread.Replicator
@@ -107,7 +109,8 @@
 	return isolated
 }
 
-// fleetPeers is one node's view of the fleet.
+// fleetPeers implements spread.Peers and spread.Members for one node of a
+// fleet.
 type fleetPeers struct {
 	f     *fleet
 	index int
@@ -177,8 +180,8 @@
 	}
 }
 
-// exchangeHeartbeats stands in for the heartbeats, which carry the revisions of a random
-// peer twice a second.
+// exchangeHeartbeats stands in for the heartbeats: twice a second it gives the
+// node the revisions of a random peer.
 func (f *fleet) exchangeHeartbeats(ctx context.Context, index int) {
 	for {
 		select {
@@ -197,7 +200,8 @@
 	return err
 }
 
-// countWithRevision counts the nodes that have a revision.
+// countWithRevision returns the number of nodes that have a revision of the
+// configuration or a newer one.
 func (f *fleet) countWithRevision(revision int64) int {
 	n := 0
 	for _, s := range f.nodes {
@@ -208,8 +212,9 @@
 	return n
 }
 
-// TestUpdateReachesAllNodes applies a document at one of 140 nodes in seven data halls:
-// all have it within the letter's 4 s, few watch, and each fetches about once.
+// TestUpdateReachesAllNodes updates a document at one of 140 nodes in seven
+// data halls. All nodes must have it within 4 s, with two watches per data hall
+// and at most two fetches per node on average.
 func TestUpdateReachesAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 7, 20)
@@ -226,11 +231,12 @@
 		must.Eq(t, 14, f.platform.watches)
 		must.LessEq(t, 2*len(f.nodes), f.fetches)
 		cancel()
-		time.Sleep(time.Minute) // let the last calls end
+		time.Sleep(time.Minute) // let running calls finish
 	})
 }
 
-// TestReceivesUpdates lists when a node may go on.
+// TestReceivesUpdates checks which nodes still receive updates when the
+// platform is down or a node cannot reach its peers.
 func TestReceivesUpdates(t *testing.T) {
 	tests := []struct {
 		name       string
@@ -239,11 +245,11 @@
 		node       int
 		want       bool
 	}{
-		{"all well", true, nil, 0, true},
-		{"platform out, peers heard", false, nil, 0, true},
-		{"alone, with the platform", true, []int{0}, 0, true},
-		{"alone, without it", false, []int{0}, 0, false},
-		{"the others, without the platform", false, []int{0}, 1, true},
+		{"platform and peers reachable", true, nil, 0, true},
+		{"platform down, peers reachable", false, nil, 0, true},
+		{"isolated node, platform reachable", true, []int{0}, 0, true},
+		{"isolated node, platform down", false, []int{0}, 0, false},
+		{"other nodes, platform down", false, []int{0}, 1, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -261,13 +267,14 @@
 				time.Sleep(10 * time.Second)
 				must.Eq(t, tt.want, f.nodes[tt.node].ReceivesUpdates())
 				cancel()
-				time.Sleep(time.Minute) // let the last calls end
+				time.Sleep(time.Minute) // let running calls finish
 			})
 		})
 	}
 }
 
-// TestIgnoresOlderRevisions offers documents out of order: subscribers see them rise.
+// TestIgnoresOlderRevisions applies revisions out of order. Subscribers must
+// see only increasing ones.
 func TestIgnoresOlderRevisions(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	var seen []int64
@@ -278,7 +285,8 @@
 	must.Eq(t, []int64{3, 7}, seen)
 }
 
-// TestStoresCompressed stores documents compressed and gives them out whole.
+// TestStoresCompressed checks that documents are stored compressed and
+// delivered uncompressed.
 func TestStoresCompressed(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	var got []byte
