--- a/drain/drain.go
+++ b/drain/drain.go
@@ -1,9 +1,10 @@
-// Package drain closes a server's connections without cutting a request.
+// Package drain closes a server's connections without interrupting a request.
 //
-// The standard library's server closes connections that it believes to be
-// idle. It believes so until it has parsed a request's header, so a request
-// whose bytes have been read in the same moment is passed on and then cut. A
-// Listener here counts a connection as busy from the first byte on.
+// The shutdown of net/http's server closes connections that it considers idle.
+// It considers a connection idle until it has parsed a request's header, so a
+// request whose bytes have just been read can still reach the handler and then
+// lose its connection. A [Listener] counts a connection as busy from the first
+// byte on.
 //
 // # Usage
 //
@@ -23,25 +24,25 @@
 	"sync"
 )
 
-// Listener follows the connections that it accepts. It is safe for concurrent
+// Listener tracks the connections that it accepts. It is safe for concurrent
 // use.
 type Listener struct {
 	net.Listener
 
 	mu   sync.Mutex
 	open map[*conn]struct{}
-	// closing says that connections are closed as soon as they are idle.
+	// closing means that connections are closed as soon as they are idle.
 	closing bool
-	// connClosed is closed, and made anew, when a connection has closed.
+	// connClosed is closed and replaced when a connection has closed.
 	connClosed chan struct{}
 }
 
-// NewListener returns a listener that follows the connections of inner.
+// NewListener returns a listener that tracks the connections of inner.
 func NewListener(inner net.Listener) *Listener {
 	return &Listener{Listener: inner, open: make(map[*conn]struct{}), connClosed: make(chan struct{})}
 }
 
-// Accept accepts a connection.
+// Accept accepts a connection and tracks it.
 func (l *Listener) Accept() (net.Conn, error) {
 	inner, err := l.Listener.Accept()
 	if err != nil {
@@ -53,13 +54,14 @@
 	closing := l.closing
 	l.mu.Unlock()
 	if closing {
-		// CloseIdle could not know of it.
+		// CloseIdle may have run before the connection was tracked.
 		c.closeIfIdle()
 	}
 	return c, nil
 }
 
-// ConnState is the server's hook by which a connection becomes idle again.
+// ConnState is the server's ConnState hook, which reports when a connection
+// becomes idle again.
 func (l *Listener) ConnState(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*conn)
 	if !ok || state != http.StateIdle {
@@ -89,7 +91,7 @@
 	}
 }
 
-// Wait returns once no connection is open, or with the context's error.
+// Wait returns nil once no connection is open, or the context's error.
 func (l *Listener) Wait(ctx context.Context) error {
 	for {
 		l.mu.Lock()
@@ -113,7 +115,7 @@
 	return len(l.open)
 }
 
-// remove forgets a connection that closes; a second time does nothing.
+// remove stops tracking a connection that closes. A second call does nothing.
 func (l *Listener) remove(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,25 +126,26 @@
 	}
 }
 
-// conn is a connection that knows whether a request has begun on it.
+// conn is a connection that tracks whether a request has begun on it.
 type conn struct {
 	net.Conn
 	listener *Listener
 
 	mu   sync.Mutex
 	busy bool
-	// readAfterWrite says that bytes were read after the last were written: the
-	// client was quicker with its next request than the server with its rest.
+	// readAfterWrite means that bytes were read after the last write: the
+	// client sent its next request before the server reported the connection as
+	// idle.
 	readAfterWrite bool
-	// closed says that closeIfIdle has closed it.
+	// closed means that closeIfIdle has closed the connection.
 	closed bool
 }
 
-// NetConn returns the connection without the following of it.
+// NetConn returns the underlying connection.
 func (c *conn) NetConn() net.Conn { return c.Conn }
 
-// Read marks the connection as busy. What arrives after closeIfIdle is not
-// handed on: the client is told, by the close, that it was not read.
+// Read marks the connection as busy. Bytes that arrive after closeIfIdle are
+// discarded; the close tells the client that they were not read.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
@@ -156,7 +159,7 @@
 	return n, err
 }
 
-// Write notes that the client has an answer to what was read before.
+// Write records that the server has answered what was read before.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	c.readAfterWrite = false
@@ -164,13 +167,14 @@
 	return c.Conn.Write(p)
 }
 
-// Close closes the connection and lets Wait know.
+// Close closes the connection and wakes Wait.
 func (c *conn) Close() error {
 	c.listener.remove(c)
 	return c.Conn.Close()
 }
 
-// markIdle notes that the server takes the connection for idle.
+// markIdle records that the server considers the connection idle. It stays busy
+// if bytes of the next request have been read.
 func (c *conn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -186,6 +190,6 @@
 	}
 	c.closed = true
 	c.listener.remove(c)
-	// The server's own task closes it again, and learns nothing from it.
+	// The error does not matter: the server's goroutine closes the connection again.
 	_ = c.Conn.Close()
 }
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -16,8 +16,8 @@
 	"github.com/violettally/violettally/drain"
 )
 
-// slowConn delivers its bytes and then holds the server up, so that a test
-// can act between the arrival of a request and its parsing.
+// slowConn holds up the server after the first bytes have been read, so that a
+// test can act between the arrival of a request and its parsing.
 type slowConn struct {
 	net.Conn
 	once    *sync.Once
@@ -70,9 +70,10 @@
 	return http.ReadResponse(r, nil)
 }
 
-// TestRequestInTheMomentOfClose: a request whose bytes have been read when the
-// idle connections are closed gets its answer. With the standard library's own
-// close it reaches the handler and loses its connection.
+// TestRequestDuringCloseIdle checks that a request whose bytes have been read
+// when the idle connections are closed is answered in full or never handled.
+// The shutdown of net/http's server lets it reach the handler and closes its
+// connection.
 func TestRequestDuringCloseIdle(t *testing.T) {
 	inner := &slowListener{Listener: listen(t), arrived: make(chan struct{}), proceed: make(chan struct{})}
 	handled := make(chan struct{}, 1)
@@ -94,8 +95,8 @@
 	close(inner.proceed)
 	<-closeDone
 	response, err := http.ReadResponse(bufio.NewReader(c), nil)
-	// Either the connection was closed before its request was taken, or the
-	// request is answered whole. It never reaches the handler and is cut.
+	// Either the connection was closed before the request was read, or the
+	// response is complete. No request reaches the handler and is cut off.
 	if err != nil {
 		must.Eq(t, 0, len(handled))
 		return
@@ -105,8 +106,8 @@
 	must.Eq(t, "whole", string(body))
 }
 
-// TestCloseIdle closes what rests, leaves what works, and closes that too once
-// it rests.
+// TestCloseIdle checks that idle connections are closed at once and busy ones
+// as soon as they are idle.
 func TestCloseIdle(t *testing.T) {
 	entered, finish := make(chan struct{}), make(chan struct{})
 	l := serve(t, listen(t), http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -149,7 +150,7 @@
 	must.NoError(t, <-waited)
 }
 
-// pausedListener hands a connection out only when it is told to.
+// pausedListener returns an accepted connection only once proceed is closed.
 type pausedListener struct {
 	net.Listener
 	accepted, proceed chan struct{}
@@ -164,8 +165,9 @@
 	return c, err
 }
 
-// TestAcceptedWhileClosing: a connection that is accepted while the idle ones are
-// closed is closed as well. Otherwise it would be held until its process ends.
+// TestAcceptDuringCloseIdle checks that a connection accepted while the idle
+// ones are closed is closed as well. Otherwise it would stay open until the
+// process ends.
 func TestAcceptDuringCloseIdle(t *testing.T) {
 	inner := &pausedListener{listen(t), make(chan struct{}), make(chan struct{})}
 	l := serve(t, inner, http.NotFoundHandler())
