--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,18 +1,19 @@
-// Package placement decides which backend servers hold which model version,
-// and orders the engines to load and unload.
+// Package placement decides which backend servers hold which model versions,
+// and sends the engines orders to load and unload them.
 //
-// How many copies a version wants follows from its state and its roll-out
+// The number of copies of a version follows from its state and its roll-out
 // share. Loads are ordered one at a time, since the weight store is
-// rate-limited; the last copy of a version that is in use is never taken.
+// rate-limited. The last copy of a version that is in use is never unloaded.
 //
-// Only the node that holds the driver's lease gives orders, and each order
-// carries the lease's fencing token. A backend server that does not check the
-// token gets an order only while the lease surely outlives it, and only after
-// the holder has waited out the longest order of the one before.
+// Only the node that holds the driver's lease sends orders, and each order
+// carries the lease's fencing token. An order is sent only while the lease is
+// certain to outlast it. If the backend server does not check the token, a new
+// holder also waits until the longest order of the previous holder must have
+// ended.
 //
 // # Usage
 //
-//	order, ok := placement.Next(servers, wants)
+//	order, ok := placement.Next(servers, targets)
 package placement
 
 import (
@@ -32,7 +33,7 @@
 // Action is what an order tells an engine to do.
 type Action int
 
-// The actions.
+// Actions of an order.
 const (
 	ActionLoad Action = iota
 	ActionUnload
@@ -45,8 +46,8 @@
 	Model  string
 }
 
-// ServerModels is a server and what it says it holds. A server that says nothing
-// is left alone.
+// ServerModels is a backend server and the models that it reports as loaded. A
+// server that reports none gets no orders.
 type ServerModels struct {
 	Server config.Server
 	Models []string
@@ -56,19 +57,22 @@
 type ModelTarget struct {
 	Model  string
 	Copies int
-	// InUse versions keep their last copy whatever else is wanted.
+	// InUse keeps the last copy loaded, whatever Copies is.
 	InUse bool
 }
 
-// Engines gives orders.
+// Engines sends orders to engines and reads which models they have loaded.
 type Engines interface {
 	Order(ctx context.Context, o Order, token int64) error
 	LoadedModels(pool string) []ServerModels
 }
 
-// Lease tells whether this node gives the orders.
+// Lease tells whether this node may send orders.
 type Lease interface {
+	// Held returns the fencing token if the lease is certain to last for
+	// another d.
 	Held(d time.Duration) (token int64, ok bool)
+	// HeldFor returns how long the lease has been held without a gap.
 	HeldFor() time.Duration
 }
 
@@ -76,13 +80,13 @@
 	planInterval = 2 * time.Second
 	// orderTimeout is the longest that an order may take.
 	orderTimeout = 2 * time.Second
-	// maxModelsPerServer is how many versions an engine holds beside each other.
+	// maxModelsPerServer is how many versions an engine holds at the same time.
 	maxModelsPerServer = 2
 )
 
-// Next returns the order that brings a pool closest to what is wanted. Loads
-// come before unloads; a server with room comes before one that must first
-// give up a surplus copy.
+// Next returns the order that brings a pool closest to its targets. Loads come
+// before unloads; a surplus copy on a full server is unloaded only if no copy
+// can be loaded.
 func Next(servers []ServerModels, targets []ModelTarget) (Order, bool) {
 	copies := make(map[string]int)
 	for _, s := range servers {
@@ -101,7 +105,8 @@
 	return surplusOrder(servers, targets, copies)
 }
 
-// sortByShortfall sorts the wants so that a version without any copy comes first.
+// sortByShortfall sorts the targets by their relative shortfall, largest first.
+// A version without any copy comes before all others.
 func sortByShortfall(targets []ModelTarget, copies map[string]int) []ModelTarget {
 	sorted := append([]ModelTarget(nil), targets...)
 	sort.SliceStable(sorted, func(i, j int) bool {
@@ -117,7 +122,8 @@
 	return float64(t.Copies-copies[t.Model]) / math.Max(1, float64(t.Copies))
 }
 
-// serverWithRoom returns the server with the fewest models that lacks this one.
+// serverWithRoom returns the index of the server with the fewest models that
+// has room for this one and has not loaded it, or -1.
 func serverWithRoom(servers []ServerModels, model string) int {
 	best := -1
 	for i, s := range servers {
@@ -131,8 +137,8 @@
 	return best
 }
 
-// surplusOrder returns the unloading of a copy beyond what is wanted, on the server
-// that holds the most.
+// surplusOrder returns an order to unload a copy beyond its target from the
+// full server with the most models.
 func surplusOrder(servers []ServerModels, targets []ModelTarget, copies map[string]int) (Order, bool) {
 	byModel := make(map[string]ModelTarget, len(targets))
 	for _, t := range targets {
@@ -157,7 +163,8 @@
 	return Order{Server: servers[best].Server, Action: ActionUnload, Model: bestModel}, true
 }
 
-// ModelTargets returns what a pool should hold, given the share of each version.
+// ModelTargets returns the targets of a pool with a number of servers, given
+// the share of its model's new sessions that each version gets.
 func ModelTargets(s *config.Snapshot, pool string, servers int, share func(m *config.Model, version string) float64) []ModelTarget {
 	var targets []ModelTarget
 	models := s.Models()
@@ -178,7 +185,7 @@
 	return targets
 }
 
-// Planner gives orders while this node holds the lease.
+// Planner sends orders while this node holds the lease.
 type Planner struct {
 	engines  Engines
 	lease    Lease
@@ -187,18 +194,18 @@
 	share    func(m *config.Model, version string) float64
 }
 
-// New returns a planner. The share of a version is the part of its model's
-// new sessions that it gets.
+// New returns a planner. Share returns the part of its model's new sessions
+// that a version gets.
 func New(engines Engines, lease Lease, snapshot func() *config.Snapshot, share func(m *config.Model, version string) float64, timers *timer.Service) *Planner {
 	return &Planner{engines: engines, lease: lease, timers: timers, snapshot: snapshot, share: share}
 }
 
-// Run gives orders until the context ends.
+// Run sends orders until the context ends.
 func (p *Planner) Run(ctx context.Context) {
 	p.timers.Every(ctx, planInterval, func() { p.Step(ctx) })
 }
 
-// Step gives at most one order to each pool.
+// Step sends at most one order to each pool.
 func (p *Planner) Step(ctx context.Context) {
 	s := p.snapshot()
 	for _, pool := range s.Pools() {
@@ -216,15 +223,15 @@
 		return
 	}
 	if !o.Server.ChecksFencing && p.lease.HeldFor() < 2*orderTimeout {
-		// The holder before may have an order under way that the server
-		// would not refuse.
+		// The previous holder may have an order in progress that the server
+		// would not reject.
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	if err := p.engines.Order(ctx, o, token); err != nil {
-		slog.Warn("order failed", "server", o.Server.Name, "action", o.Action.String(), "model", o.Model, "error", err)
+		slog.Warn("placement order failed", "server", o.Server.Name, "action", o.Action.String(), "model", o.Model, "error", err)
 		return
 	}
-	slog.Info("order given", "server", o.Server.Name, "action", o.Action.String(), "model", o.Model, "token", token)
+	slog.Info("placement order sent", "server", o.Server.Name, "action", o.Action.String(), "model", o.Model, "token", token)
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -22,7 +22,7 @@
 	return all
 }
 
-// TestNext lists what pools hold, what is wanted, and the next order.
+// TestNext checks the next order for given loaded models and targets.
 func TestNext(t *testing.T) {
 	inUse := func(model string, copies int) placement.ModelTarget {
 		return placement.ModelTarget{Model: model, Copies: copies, InUse: true}
@@ -33,13 +33,13 @@
 		targets []placement.ModelTarget
 		want    string
 	}{
-		{"all as wanted", serverModels([]string{"a"}, []string{"b"}), []placement.ModelTarget{inUse("a", 1), inUse("b", 1)}, ""},
-		{"no copy comes first", serverModels([]string{"a"}, []string{"a"}), []placement.ModelTarget{inUse("a", 2), inUse("b", 1)}, "load b on s0"},
-		{"the emptier server", serverModels([]string{"a", "b"}, []string{"a"}), []placement.ModelTarget{inUse("a", 2), inUse("b", 2)}, "load b on s1"},
-		{"full servers give up a surplus copy", serverModels([]string{"a", "b"}, []string{"a", "b"}), []placement.ModelTarget{inUse("a", 1), inUse("b", 2), inUse("c", 1)}, "unload a on s0"},
-		{"a withdrawn version goes", serverModels([]string{"a", "old"}), []placement.ModelTarget{inUse("a", 1), {Model: "old"}}, "unload old on s0"},
-		{"the last copy in use stays", serverModels([]string{"a", "b"}), []placement.ModelTarget{{Model: "a", Copies: 0, InUse: true}, inUse("b", 1)}, ""},
-		{"servers that say nothing are left alone", serverModels(nil, nil), []placement.ModelTarget{inUse("a", 1)}, ""},
+		{"targets met", serverModels([]string{"a"}, []string{"b"}), []placement.ModelTarget{inUse("a", 1), inUse("b", 1)}, ""},
+		{"model without a copy first", serverModels([]string{"a"}, []string{"a"}), []placement.ModelTarget{inUse("a", 2), inUse("b", 1)}, "load b on s0"},
+		{"server with fewer models", serverModels([]string{"a", "b"}, []string{"a"}), []placement.ModelTarget{inUse("a", 2), inUse("b", 2)}, "load b on s1"},
+		{"surplus copy on a full server", serverModels([]string{"a", "b"}, []string{"a", "b"}), []placement.ModelTarget{inUse("a", 1), inUse("b", 2), inUse("c", 1)}, "unload a on s0"},
+		{"withdrawn version", serverModels([]string{"a", "old"}), []placement.ModelTarget{inUse("a", 1), {Model: "old"}}, "unload old on s0"},
+		{"last copy in use", serverModels([]string{"a", "b"}), []placement.ModelTarget{{Model: "a", Copies: 0, InUse: true}, inUse("b", 1)}, ""},
+		{"servers that report no models", serverModels(nil, nil), []placement.ModelTarget{inUse("a", 1)}, ""},
 		{"no capacity", serverModels([]string{"a", "b"}), []placement.ModelTarget{inUse("a", 1), inUse("b", 1), inUse("c", 1)}, ""},
 	}
 	for _, tt := range tests {
@@ -54,7 +54,7 @@
 	}
 }
 
-// fakeEngines takes orders; lease is held as the test says.
+// fakeEngines records the tokens of the orders that it gets.
 type fakeEngines struct {
 	loaded []placement.ServerModels
 	tokens []int64
@@ -75,7 +75,7 @@
 func (l fakeLease) Held(time.Duration) (int64, bool) { return 7, l.held }
 func (l fakeLease) HeldFor() time.Duration           { return l.heldFor }
 
-// TestOrderRequiresLease lists when the holder of the lease may give an order.
+// TestOrderRequiresLease checks when the holder of the lease may send an order.
 func TestOrderRequiresLease(t *testing.T) {
 	c := config.Config{
 		Pools:  []config.Pool{{Name: "p", Servers: []config.Server{{Name: "s0", URL: "http://127.0.0.1:1", Slots: 1}}}},
@@ -91,10 +91,10 @@
 		lease         fakeLease
 		want          []int64
 	}{
-		{"not the holder", true, fakeLease{held: false}, nil},
-		{"a server that checks the token", true, fakeLease{held: true}, []int64{7}},
-		{"one that does not, a new holder", false, fakeLease{held: true, heldFor: time.Second}, nil},
-		{"one that does not, the wait is over", false, fakeLease{held: true, heldFor: time.Minute}, []int64{7}},
+		{"lease not held", true, fakeLease{held: false}, nil},
+		{"server checks the token", true, fakeLease{held: true}, []int64{7}},
+		{"server does not check the token, new holder", false, fakeLease{held: true, heldFor: time.Second}, nil},
+		{"server does not check the token, after the wait", false, fakeLease{held: true, heldFor: time.Minute}, []int64{7}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
