--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,17 +1,17 @@
-// Package catalog holds what the operators declared for requests that are
-// passed through to backend servers as they come: routes, services, client
-// accounts and limits.
+// Package catalog holds the operators' declaration for requests that are
+// forwarded unchanged to backend servers: routes, services, client accounts and
+// limits.
 //
-// It stands beside package config, which declares models and versions for the
-// callers' API of the product's own. Where the platform keeps the operators'
-// declarations, an adapter decodes them into a [Document]; New checks the
-// whole and indexes it, or refuses it entirely.
+// Package config, in contrast, declares models and versions for the product's
+// own API. Where the platform keeps the operators' declarations, an adapter
+// decodes them into a [Document]. [New] checks and indexes the whole document,
+// or rejects it as a whole.
 //
 // # Usage
 //
 //	c, err := catalog.New(document)
 //	if err != nil {
-//		return err // the catalog before stays in force
+//		return err // the previous catalog stays in force
 //	}
 //	route, ok := c.Match(host, path)
 package catalog
@@ -30,28 +30,28 @@
 var (
 	namespace = errs.Namespace("catalog")
 
-	// Invalid says that a document contradicts itself.
+	// Invalid is the type of errors about documents that fail the checks.
 	Invalid = namespace.NewType("invalid")
 )
 
-// Kind tells what may be done with a request of a route.
+// Kind tells how often a request of a route may run.
 type Kind int
 
-// The kinds.
+// Kinds of routes.
 const (
 	// KindOnce may run at most once.
 	KindOnce Kind = iota
 	// KindRepeatable may run more than once.
 	KindRepeatable
-	// KindStream answers with a series of events. Only where the route is
-	// resumable may it run more than once.
+	// KindStream is answered with a stream of events. It may run more than once
+	// only if the route is resumable.
 	KindStream
 )
 
-// Document is one whole declaration. Its fields are exported for the adapters
-// that fill them.
+// Document is one complete declaration. Its fields are exported for the
+// adapters that fill them.
 type Document struct {
-	// Version rises with each declaration.
+	// Version increases with each declaration.
 	Version  int64
 	Routes   []Route
 	Services []Service
@@ -59,35 +59,37 @@
 	Limits   Limits
 }
 
-// Route says where requests of one host and path go.
+// Route defines where the requests of one host and path prefix are sent.
 type Route struct {
 	Name string
-	// Host is compared without its port, in lower case.
+	// Host is compared without the request's port and regardless of case.
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
 	// Timeout is the longest that a request may be held.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or a stream's first
-	// event, is in time.
+	// Objective is the time within which an answer, or the first event of a
+	// stream, counts as in time.
 	Objective time.Duration
-	// MaxPause is the longest pause between events of a stream in time.
+	// MaxPause is the longest pause between two events of a stream that counts
+	// as in time.
 	MaxPause time.Duration
-	// Attempts is the greatest number of servers that may run one request.
+	// Attempts is the maximum number of servers that may run one request.
 	Attempts int
-	// Priority is the rank of the route, zero first.
+	// Priority is the rank of the route; zero is the highest.
 	Priority int
-	// Anonymous requests need no key.
+	// Anonymous means that requests need no key.
 	Anonymous bool
-	// Prompted requests carry the parts of a prompt, which servers cache.
+	// Prompted means that requests carry the parts of a prompt, which servers
+	// cache.
 	Prompted bool
-	// Resumable streams may be taken up at another server.
+	// Resumable means that a stream can be continued on another server.
 	Resumable bool
-	// Models may answer, the cheapest first; empty where the caller names
-	// the model.
+	// Models are the models that may answer, cheapest first; empty if the
+	// client names the model.
 	Models []string
-	// Targets are the services that share the route's requests.
+	// Targets are the services among which the route's requests are divided.
 	Targets []Target
 }
 
@@ -96,7 +98,7 @@
 	return r.Kind == KindRepeatable || (r.Kind == KindStream && r.Resumable)
 }
 
-// Target is one service with its part of a route's requests.
+// Target is a service and its share of a route's requests.
 type Target struct {
 	Service string
 	Weight  float64
@@ -105,9 +107,10 @@
 // Service is a group of backend servers that do the same work.
 type Service struct {
 	Name string
-	// MaxConnections is what one server accepts from all nodes together.
+	// MaxConnections is the number of connections that one server accepts from
+	// all nodes together.
 	MaxConnections int
-	// Engine is set where the servers run models.
+	// Engine is set if the servers run models.
 	Engine *Engine
 }
 
@@ -115,9 +118,11 @@
 type Engine struct {
 	// Slots is the number of requests that an engine runs at once.
 	Slots int
-	// CacheTokens is an engine's memory for running requests and prompts.
+	// CacheTokens is the size of an engine's memory for running requests and
+	// cached prompts, in tokens.
 	CacheTokens int
-	// Costs are by model, for 1,000 tokens made; read ones count a quarter.
+	// Costs are the costs of 1,000 generated tokens, by model. A prompt token
+	// costs a quarter of a generated one.
 	Costs map[string]float64
 }
 
@@ -125,30 +130,31 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Priority takes the place of the route's where it is set.
+	// Priority overrides the route's priority if it is set.
 	Priority *int
 }
 
-// Limits bound what a client may send. Zero means no bound.
+// Limits restrict what a client may send. Zero means no limit.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTime bounds the sending of a header, IdleTime how long a
-	// connection rests between two requests.
+	// HeaderTime is the longest that sending a header may take, IdleTime how
+	// long a connection may be idle between two requests.
 	HeaderTime time.Duration
 	IdleTime   time.Duration
 }
 
-// Catalog is a declaration in force: immutable and indexed.
+// Catalog is a checked and indexed declaration. It is immutable.
 type Catalog struct {
 	document Document
-	// byHost holds the routes of each host, those with longer prefixes first.
+	// byHost holds the routes of each host, longest prefix first.
 	byHost   map[string][]*Route
 	services map[string]*Service
 	byKey    map[string]*Account
 }
 
-// Empty returns the catalog before any declaration; its version is zero.
+// Empty returns the catalog that is in force before any declaration. Its
+// version is zero.
 func Empty() *Catalog { return &Catalog{} }
 
 // New checks and indexes a document.
@@ -170,7 +176,7 @@
 			return nil, err
 		}
 	}
-	// The longest prefix comes first, so that the first match wins.
+	// Longest prefix first, so that Match can return the first match.
 	for _, routes := range c.byHost {
 		slices.SortStableFunc(routes, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
@@ -182,7 +188,7 @@
 	return c, nil
 }
 
-// addRoute checks a route and indexes it by its host.
+// addRoute checks a route and adds it to its host's routes.
 func (c *Catalog) addRoute(r *Route) error {
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return errs.New(Invalid, "new", "route %s: prefix %q does not begin and end with a slash", r.Name, r.Prefix)
@@ -203,11 +209,11 @@
 // Version returns the declaration's version; zero for none.
 func (c *Catalog) Version() int64 { return c.document.Version }
 
-// Limits returns what bounds clients.
+// Limits returns the limits for clients.
 func (c *Catalog) Limits() Limits { return c.document.Limits }
 
-// Match returns the route of a host and path: of the host's routes the one
-// with the longest prefix.
+// Match returns the route of a host and path: the one with the longest prefix
+// among the host's routes that match. The host may include a port.
 func (c *Catalog) Match(host, path string) (*Route, bool) {
 	name, _, _ := strings.Cut(strings.ToLower(host), ":")
 	for _, r := range c.byHost[name] {
@@ -222,7 +228,7 @@
 // request needs a key.
 func (c *Catalog) HasAccounts() bool { return len(c.document.Accounts) > 0 }
 
-// Account returns the account that holds a key.
+// Account returns the account that a key belongs to.
 func (c *Catalog) Account(key string) (*Account, bool) {
 	a, ok := c.byKey[key]
 	return a, ok
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -58,13 +58,14 @@
 	must.False(t, catalog.Empty().HasAccounts())
 }
 
-// TestInvalid: a document that contradicts itself is refused whole.
+// TestInvalid checks that documents with an invalid route or no version are
+// rejected.
 func TestInvalid(t *testing.T) {
 	withoutTarget, unknownService := testRoute("r", "a", "/"), testRoute("r", "a", "/")
 	withoutTarget.Targets = nil
 	unknownService.Targets = []catalog.Target{{Service: "nowhere"}}
 	for name, route := range map[string]catalog.Route{
-		"no slash": testRoute("r", "a", "a/"), "no end": testRoute("r", "a", "/a"), "no target": withoutTarget, "unknown service": unknownService,
+		"no leading slash": testRoute("r", "a", "a/"), "no trailing slash": testRoute("r", "a", "/a"), "no target": withoutTarget, "unknown service": unknownService,
 	} {
 		_, err := catalog.New(testDocument(route))
 		must.True(t, errorx.IsOfType(err, catalog.Invalid), must.Sprint(name))
