--- a/relay/choose.go
+++ b/relay/choose.go
@@ -64,17 +64,17 @@
 	x.modelIndex = step
 	servers, _ := x.servers()
 	forecast := x.relay.Balancer.Forecast(x.task(servers))
-	offer := cascade.Offer{
-		Confidence: confidence,
-		Wait:       forecast.Wait,
-		Takes:      forecast.ServiceTime,
-		Left:       x.route.Objective - x.elapsed(),
-		Objective:  x.route.Objective,
+	offer := cascade.Escalation{
+		Confidence:  confidence,
+		Wait:        forecast.Wait,
+		ServiceTime: forecast.ServiceTime,
+		Remaining:   x.route.Objective - x.elapsed(),
+		Objective:   x.route.Objective,
 	}
 	length, known := x.bodyDuration()
-	pays := x.relay.Cascade.Pays(offer) && x.relay.endsInTime(x.deadline, forecast.Latency()+length, known)
+	pays := x.relay.Cascade.WorthEscalating(offer) && x.relay.endsInTime(x.deadline, forecast.Latency()+length, known)
 	x.record.Note("offer", "%s for confidence %.0f: %d ms, of it %d waiting, %d left: %t", x.model(), confidence,
-		forecast.Latency().Milliseconds(), forecast.Wait.Milliseconds(), offer.Left.Milliseconds(), pays)
+		forecast.Latency().Milliseconds(), forecast.Wait.Milliseconds(), offer.Remaining.Milliseconds(), pays)
 	return pays
 }
 
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -58,8 +58,8 @@
 // run makes attempts until the client has its response. If it returns a refusal, the caller
 // must send it.
 func (x *exchange) run(ctx context.Context) *Refusal {
-	x.relay.Budgets.Paid(x.service)
-	x.relay.Reroutes.Paid(x.service)
+	x.relay.Budgets.RecordRequest(x.service)
+	x.relay.Reroutes.RecordRequest(x.service)
 	x.chooseModel()
 	if !x.endsBeforeShutdown() {
 		return x.shutdownRefusal("the answer would not be whole before its end")
--- a/relay/harness_test.go
+++ b/relay/harness_test.go
@@ -62,7 +62,7 @@
 	parts.Versions = cmp.Or[relay.Versions](parts.Versions, noRollout{})
 	parts.Counters = noCounters{}
 	parts.Balancer = cmp.Or(parts.Balancer, route.NewBalancer("", func(string) {}))
-	parts.Cascade = cascade.NewLadder()
+	parts.Cascade = cascade.NewConfidencePolicy()
 	parts.Records = cmp.Or(parts.Records, decision.New("n"))
 	return relay.New(parts)
 }
@@ -119,7 +119,7 @@
 // unlimitedBudget allows every retry.
 type unlimitedBudget struct{}
 
-func (unlimitedBudget) Paid(string)                 {}
+func (unlimitedBudget) RecordRequest(string)        {}
 func (unlimitedBudget) Take(string, float64) bool   { return true }
 func (unlimitedBudget) Allows(string, float64) bool { return true }
 
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -189,13 +189,13 @@
 	// answer has the given confidence; false to keep the answer. Last says that the next answer
 	// cannot be replaced.
 	Next(n, step int, confidence float64, last bool) (int, bool)
-	// Pays reports whether the model is worth asking.
-	Pays(o cascade.Offer) bool
+	// WorthEscalating reports whether the model is worth asking.
+	WorthEscalating(o cascade.Escalation) bool
 }
 
 // Budgets limit the retries per service.
 type Budgets interface {
-	Paid(service string)
+	RecordRequest(service string)
 	// Take takes one retry out of the budget if at least the share spare of the budget remains.
 	Take(service string, spare float64) bool
 	// Allows reports whether Take would succeed now.
--- a/retry/window.go
+++ b/retry/window.go
@@ -5,115 +5,115 @@
 	"time"
 )
 
-// slices is the number of parts of a window; what is older than the window
-// goes slice by slice. More of them would follow the window more closely, and
-// cost more at each request.
-const slices = 20
+// slicesPerWindow is the number of slices in a window. Counts expire one slice
+// at a time; more slices would follow the window more closely, at a higher cost
+// per request.
+const slicesPerWindow = 20
 
-// Windows bound by service how many requests one node sends once more: within
-// any window, to a share of the requests of that window or of the one before,
-// and a few more. They are for platforms that hold the system to such a bound
-// over all nodes: if each node keeps to its part, the sum keeps to the whole.
-// They are safe for concurrent use.
-type Windows struct {
+// WindowBudgets limits, by service, how many retries one node sends: within any
+// window, to a share of the requests in that window or in the previous one,
+// whichever had more, plus a small allowance. It is for platforms that apply
+// such a limit to all nodes together: if each node stays within its part, the
+// sum stays within the limit. It is safe for concurrent use.
+type WindowBudgets struct {
 	ratio float64
 	slack func() float64
-	// slice is how long each part of a window lasts. Slices are counted from
-	// made on, by the steady clock: the time of day may be stepped.
-	slice time.Duration
-	made  time.Time
+	// sliceLength is the duration of one slice. Slices are numbered from
+	// created on, by the monotonic clock, since the wall clock may be stepped.
+	sliceLength time.Duration
+	created     time.Time
 
 	mu       sync.Mutex
 	services map[string]*window
 }
 
-// window counts requests and repeats of a service in slices of time, each at
-// the remainder of its number. There is room for the requests of two windows,
-// this one and the one before.
+// window counts a service's requests and retries in slices. A slice's index is
+// its number modulo the length of the array. Requests are kept for two windows,
+// the current and the previous one.
 type window struct {
-	requests [2 * slices]int
-	repeats  [slices]int
-	// at is the number of the newest slice.
-	at int64
+	requests [2 * slicesPerWindow]int
+	retries  [slicesPerWindow]int
+	// newest is the number of the newest slice.
+	newest int64
 }
 
-// NewWindows returns windows of that length, without requests. Repeats are
-// bound to the ratio of a window's requests and to slack more, which is this
-// node's part of what the platform allows beside the ratio. Slack is asked for
-// anew each time, since it depends on the number of nodes.
-func NewWindows(ratio float64, slack func() float64, length time.Duration) *Windows {
-	return &Windows{ratio: ratio, slack: slack, slice: length / slices, made: time.Now(), services: make(map[string]*window)}
+// NewWindowBudgets returns budgets for windows of the given length. Retries are
+// limited to ratio times a window's requests, plus slack: this node's part of
+// what the platform allows in addition to the ratio. Slack is called each time,
+// since it depends on the number of nodes.
+func NewWindowBudgets(ratio float64, slack func() float64, length time.Duration) *WindowBudgets {
+	return &WindowBudgets{ratio: ratio, slack: slack, sliceLength: length / slicesPerWindow, created: time.Now(), services: make(map[string]*window)}
 }
 
-// Paid counts one request to a service.
-func (w *Windows) Paid(service string) {
+// RecordRequest counts one request to a service.
+func (w *WindowBudgets) RecordRequest(service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s := w.current(service)
-	s.requests[s.at%int64(len(s.requests))]++
+	s := w.currentWindow(service)
+	s.requests[s.newest%int64(len(s.requests))]++
 }
 
-// Take counts one repeat if the bound allows it and still leaves a share of the
-// bound, spare, for others.
-func (w *Windows) Take(service string, spare float64) bool {
+// Take counts one retry if the limit allows it. Reserve is the share of the
+// limit that must be left for other uses.
+func (w *WindowBudgets) Take(service string, reserve float64) bool {
 	slack := w.slack()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s := w.current(service)
-	if !w.allows(s, slack, spare) {
+	s := w.currentWindow(service)
+	if !w.allows(s, slack, reserve) {
 		return false
 	}
-	s.repeats[s.at%slices]++
+	s.retries[s.newest%slicesPerWindow]++
 	return true
 }
 
-// Allows reports whether Take would count a repeat now.
-func (w *Windows) Allows(service string, spare float64) bool {
+// Allows reports whether Take would succeed now.
+func (w *WindowBudgets) Allows(service string, reserve float64) bool {
 	slack := w.slack()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.allows(w.current(service), slack, spare)
+	return w.allows(w.currentWindow(service), slack, reserve)
 }
 
-func (w *Windows) allows(s *window, slack, spare float64) bool {
-	bound := w.ratio*float64(s.most()) + slack
-	return float64(s.repeated()+1) <= bound*(1-spare)
+func (w *WindowBudgets) allows(s *window, slack, reserve float64) bool {
+	limit := w.ratio*float64(s.maxRequests()) + slack
+	return float64(s.totalRetries()+1) <= limit*(1-reserve)
 }
 
-// current returns the service's window, moved on to the present slice.
-func (w *Windows) current(service string) *window {
-	now := int64(time.Since(w.made) / w.slice)
+// currentWindow returns the service's window, advanced to the current slice.
+func (w *WindowBudgets) currentWindow(service string) *window {
+	now := int64(time.Since(w.created) / w.sliceLength)
 	s := w.services[service]
 	if s == nil {
-		s = &window{at: now}
+		s = &window{newest: now}
 		w.services[service] = s
 	}
-	if now-s.at > int64(len(s.requests)) {
-		*s = window{at: now}
+	if now-s.newest > int64(len(s.requests)) {
+		*s = window{newest: now}
 	}
-	for s.at < now {
-		s.at++
-		s.requests[s.at%int64(len(s.requests))] = 0
-		s.repeats[s.at%slices] = 0
+	for s.newest < now {
+		s.newest++
+		s.requests[s.newest%int64(len(s.requests))] = 0
+		s.retries[s.newest%slicesPerWindow] = 0
 	}
 	return s
 }
 
-// repeated returns the repeats of this window.
-func (s *window) repeated() (sum int) {
-	for _, n := range s.repeats {
+// totalRetries returns the number of retries in the current window.
+func (s *window) totalRetries() (sum int) {
+	for _, n := range s.retries {
 		sum += n
 	}
 	return sum
 }
 
-// most returns the requests of this window or of the one before, whichever
-// had more.
-func (s *window) most() int {
-	this, before := 0, 0
-	for i := range int64(slices) {
-		this += s.requests[(s.at-i+2*slices)%int64(len(s.requests))]
-		before += s.requests[(s.at-i+slices)%int64(len(s.requests))]
+// maxRequests returns the number of requests in the current window or in the
+// previous one, whichever had more.
+func (s *window) maxRequests() int {
+	current, previous := 0, 0
+	for i := range int64(slicesPerWindow) {
+		current += s.requests[(s.newest-i+2*slicesPerWindow)%int64(len(s.requests))]
+		previous += s.requests[(s.newest-i+slicesPerWindow)%int64(len(s.requests))]
 	}
-	return max(this, before)
+	return max(current, previous)
 }
