--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -50,8 +50,8 @@
 
 	// Start says that the gateway could not be made or opened.
 	Start = namespace.NewType("start")
-	// Entry says that what stands under a gateway's key names none.
-	Entry = namespace.NewType("entry")
+	// InvalidEntry says that what stands under a gateway's key names none.
+	InvalidEntry = namespace.NewType("entry")
 )
 
 const (
@@ -135,7 +135,7 @@
 	g.nodes = newNodes(g)
 	g.suspects = suspect.New(g.timers)
 	g.board = share.NewBoard(g.self, g, g.client, g.timers, g.heard)
-	g.mirror = mirror.New(g.store, mirrorPeers{g}, g.timers, mirror.WithEvents(instruments.News))
+	g.mirror = mirror.New(g.store, mirrorPeers{g}, g.timers, mirror.WithEvents(instruments.MirrorEvent))
 	g.nodes.told = g.mirror.Told()
 	g.verdicts = suspect.NewKeeper(g.suspects, g.store, g.mirror, g.nodes.countWorking, g.timers)
 	g.makeRollouts()
--- a/gateway/nodes.go
+++ b/gateway/nodes.go
@@ -38,11 +38,11 @@
 func decodeEntry(value []byte) (entry, error) {
 	var e entry
 	if err := json.Unmarshal(value, &e); err != nil {
-		return entry{}, errs.Wrap(Entry, "decode", err, "not an entry")
+		return entry{}, errs.Wrap(InvalidEntry, "decode", err, "not an entry")
 	}
 	for _, address := range []string{e.Caller, e.Peer} {
 		if _, err := netip.ParseAddrPort(address); err != nil {
-			return entry{}, errs.Wrap(Entry, "decode", err, "gateway %q of VM %q", e.ID, e.VM)
+			return entry{}, errs.Wrap(InvalidEntry, "decode", err, "gateway %q of VM %q", e.ID, e.VM)
 		}
 	}
 	return e, nil
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -37,9 +37,9 @@
 	if finding == suspect.FindingKnown {
 		return
 	}
-	g.metrics.Suspects(suspect.EventLost)
+	g.metrics.SuspectEvent(suspect.EventLost)
 	if !g.board.TellLost(server, digest, g.suspects.Ends(digest) > 1) {
-		g.metrics.Suspects(suspect.EventUntold)
+		g.metrics.SuspectEvent(suspect.EventUntold)
 	}
 	g.found(digest, finding, true)
 	g.withdrawn(withdrawn)
@@ -98,7 +98,7 @@
 	if finding == suspect.FindingKnown {
 		return
 	}
-	g.metrics.Suspects(suspect.EventHeard)
+	g.metrics.SuspectEvent(suspect.EventHeard)
 	g.found(s.Lost, finding, false)
 	g.withdrawn(withdrawn)
 	g.leftBehind(s.Server, s.Age())
@@ -110,7 +110,7 @@
 	if finding != suspect.FindingVerdict {
 		return
 	}
-	g.metrics.Suspects(suspect.EventVerdict)
+	g.metrics.SuspectEvent(suspect.EventVerdict)
 	slog.Warn("servers end under a request; it is refused", "content", suspect.Name(digest), "servers", g.suspects.Ends(digest), "own", own)
 	g.relay.TakeBack(digest)
 	g.verdicts.Changed(digest, own)
@@ -119,7 +119,7 @@
 // withdrawn notes requests that are refused no more.
 func (g *Gateway) withdrawn(digests []uint64) {
 	for _, digest := range digests {
-		g.metrics.Suspects(suspect.EventWithdrawn)
+		g.metrics.SuspectEvent(suspect.EventWithdrawn)
 		slog.Warn("a request is refused no more", "content", suspect.Name(digest))
 		g.verdicts.Changed(digest, true)
 	}
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -180,11 +180,13 @@
 	add(m.billedCost, b.Cost, attributes...)
 }
 
-// Vote counts a claim replica's reply.
-func (m *Metrics) Vote(v claim.Verdict) { add(m.votes, 1, attribute.String("verdict", v.String())) }
+// ClaimVerdict counts a claim replica's reply.
+func (m *Metrics) ClaimVerdict(v claim.Verdict) {
+	add(m.votes, 1, attribute.String("verdict", v.String()))
+}
 
-// Status counts a change of opinion on a member.
-func (m *Metrics) Status(s member.Status) {
+// MemberStatus counts a change of opinion on a member.
+func (m *Metrics) MemberStatus(s member.Status) {
 	add(m.statuses, 1, attribute.String("status", s.String()))
 }
 
@@ -202,11 +204,11 @@
 // EntryUnusable counts an entry that names no server or node to use.
 func (m *Metrics) EntryUnusable(reason string) { add(m.entries, 1, attribute.String("reason", reason)) }
 
-// News counts what happened to the news of the platform's store.
-func (m *Metrics) News(e mirror.Event) { add(m.news, 1, attribute.String("event", e.String())) }
+// MirrorEvent counts what happened to the news of the platform's store.
+func (m *Metrics) MirrorEvent(e mirror.Event) { add(m.news, 1, attribute.String("event", e.String())) }
 
-// Suspects counts what happened to the evidence on requests under which servers end.
-func (m *Metrics) Suspects(e suspect.Event) {
+// SuspectEvent counts what happened to the evidence on requests under which servers end.
+func (m *Metrics) SuspectEvent(e suspect.Event) {
 	add(m.suspects, 1, attribute.String("event", e.String()))
 }
 
--- a/metrics/relay.go
+++ b/metrics/relay.go
@@ -10,33 +10,37 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// Relay counts what package relay decides.
-type Relay struct{ m *Metrics }
+// RelayCounters counts what package relay decides.
+type RelayCounters struct{ m *Metrics }
 
 // Relay returns the instruments of package relay.
-func (m *Metrics) Relay() Relay { return Relay{m} }
+func (m *Metrics) Relay() RelayCounters { return RelayCounters{m} }
 
 // Refused counts a refusal.
-func (r Relay) Refused(reason relay.Reason, account string) {
+func (r RelayCounters) Refused(reason relay.Reason, account string) {
 	add(r.m.refusals, 1, attribute.String("reason", reason.String()), attribute.String("account", account))
 }
 
 // Retried counts a request that is sent again.
-func (r Relay) Retried(reason relay.Reason) { r.m.Retried(reason.String()) }
+func (r RelayCounters) Retried(reason relay.Reason) { r.m.Retried(reason.String()) }
 
 // Escalated counts an answer that was dropped for one of a costlier model.
-func (r Relay) Escalated(model string) { add(r.m.escalations, 1, attribute.String("model", model)) }
+func (r RelayCounters) Escalated(model string) {
+	add(r.m.escalations, 1, attribute.String("model", model))
+}
 
 // Resumed counts a stream that goes on at another server.
-func (r Relay) Resumed() { add(r.m.resumes, 1) }
+func (r RelayCounters) Resumed() { add(r.m.resumes, 1) }
 
 // Sent counts a request that goes to a server, with the age of the news of the
 // platform's store by which the server was chosen.
-func (r Relay) Sent(age time.Duration) { r.m.newsAge.Record(context.Background(), age.Seconds()) }
+func (r RelayCounters) Sent(age time.Duration) {
+	r.m.newsAge.Record(context.Background(), age.Seconds())
+}
 
 // Answered counts an answer and its times. The times are not told apart by
 // status, which would multiply the histograms.
-func (r Relay) Answered(route string, status int, first, total time.Duration) {
+func (r RelayCounters) Answered(route string, status int, first, total time.Duration) {
 	name := attribute.String("route", route)
 	add(r.m.answers, 1, name, attribute.String("status", strconv.Itoa(status)))
 	r.m.observe(first, total, name)
--- a/node/node.go
+++ b/node/node.go
@@ -150,7 +150,7 @@
 		member.WithInterval(settings.Millis(s.Times.ProbeMillis)),
 		member.WithPayload(n.fillHeartbeat),
 		member.WithObserver(n.heard),
-		member.WithCounter(n.metrics.Status),
+		member.WithCounter(n.metrics.MemberStatus),
 	)
 	n.spreader.SetMembers(seeds{n.prober, n.vms})
 	n.keeper = view.NewKeeper(spread.View, n.self, n.spreader, n.prober, n.vms, n.timers)
@@ -164,7 +164,7 @@
 	s := n.settings
 	n.bills = billing.NewMemory(n.self, members{n.keeper, n.prober}, n.client, n.store, n.timers)
 	n.replica = claim.NewReplica(n.self.ID, n.keeper, n.client, n.timers, claim.WithFolded(n.bills.Folded))
-	n.claimer = claim.NewClaimer(n.keeper, n.client, claim.WithVerdictCounter(n.metrics.Vote))
+	n.claimer = claim.NewClaimer(n.keeper, n.client, claim.WithVerdictCounter(n.metrics.ClaimVerdict))
 	n.keeper.Subscribe(n.replica.SetView)
 	n.journal = ledger.New(n.self.ID, n.store, n.bills, n.timers, n.foldInterval)
 	n.closer = ledger.NewCloser(n.store, n.bills, n.bills.IsMember, n.onDuty, n.timers)
