--- a/gateway/export_test.go
+++ b/gateway/export_test.go
@@ -17,8 +17,8 @@
 	g.mirror.Subscribe(prefix, changed)
 }
 
-// Follow follows the store until the context ends, with all doors closed.
-func (g *Gateway) Follow(ctx context.Context) { g.mirror.Run(ctx) }
+// FollowStore follows the store until the context ends, with all doors closed.
+func (g *Gateway) FollowStore(ctx context.Context) { g.mirror.Run(ctx) }
 
 // IsReady is what the platform is told.
 func (g *Gateway) IsReady() bool { return g.ready() }
@@ -26,45 +26,45 @@
 // Servers returns the servers that requests may go to.
 func (g *Gateway) Servers(service string) []registry.Server { return g.registry.Servers(service) }
 
-// OwnCaller is where clients reach the gateway of KeepEntry, ownPeer where peers do.
+// OwnCallerAddress is where clients reach the gateway of KeepEntry, ownPeer where peers do.
 const (
-	OwnCaller = "127.0.0.1:1"
-	ownPeer   = "127.0.0.1:2"
+	OwnCallerAddress = "127.0.0.1:1"
+	ownPeerAddress   = "127.0.0.1:2"
 )
 
-// OwnEntry is the entry that KeepEntry keeps, as it is stored.
-func OwnEntry(leaving bool, caller string) mirror.Change {
-	e := entry{Member: view.NewMember(view.Member{VM: "node", Caller: caller, Peer: ownPeer}), Leaving: leaving}
+// StoredEntry is the entry that KeepEntry keeps, as it is stored.
+func StoredEntry(leaving bool, caller string) mirror.Change {
+	e := entry{Member: view.NewMember(view.Member{VM: "node", Caller: caller, Peer: ownPeerAddress}), Leaving: leaving}
 	value, err := json.Marshal(e)
 	if err != nil {
 		panic(err)
 	}
-	return mirror.Change{Item: mirror.Item{Key: nodePrefix + "node", Value: value, Revision: 1, Lease: 1}}
+	return mirror.Change{Item: mirror.Item{Key: gatewayPrefix + "node", Value: value, Revision: 1, Lease: 1}}
 }
 
-// KeepEntry keeps a gateway's entry at a store until the context ends. The store
+// MaintainEntry keeps a gateway's entry at a store until the context ends. The store
 // held what is told of it first.
-func KeepEntry(ctx context.Context, store entryStore, timers *timer.Service, held ...mirror.Change) {
-	g := &Gateway{timers: timers, self: view.NewMember(view.Member{VM: "node", Caller: OwnCaller, Peer: ownPeer})}
-	n := newNodes(g)
+func MaintainEntry(ctx context.Context, store entryStore, timers *timer.Service, held ...mirror.Change) {
+	g := &Gateway{timers: timers, self: view.NewMember(view.Member{VM: "node", Caller: OwnCallerAddress, Peer: ownPeerAddress})}
+	n := newMembership(g)
 	n.store = store
 	told := make(chan struct{})
-	n.told = told
+	n.synced = told
 	for _, c := range held {
-		n.take(c)
+		n.applyChange(c)
 	}
 	close(told)
 	n.run(ctx)
 }
 
-// TakeServer takes what the store holds of a server; nil for no entry.
-func (g *Gateway) TakeServer(id string, value []byte) {
-	g.takeServer(mirror.Change{Item: mirror.Item{Key: platform.ServerPrefix + id, Value: value, Deleted: value == nil}})
+// ApplyServerEntry takes what the store holds of a server; nil for no entry.
+func (g *Gateway) ApplyServerEntry(id string, value []byte) {
+	g.applyServer(mirror.Change{Item: mirror.Item{Key: platform.ServerPrefix + id, Value: value, Deleted: value == nil}})
 }
 
-// TakeNode takes what the store holds of another gateway.
-func (g *Gateway) TakeNode(vm string, value []byte) {
-	g.nodes.take(mirror.Change{Item: mirror.Item{Key: nodePrefix + vm, Value: value}})
+// ApplyGatewayEntry takes what the store holds of another gateway.
+func (g *Gateway) ApplyGatewayEntry(vm string, value []byte) {
+	g.membership.applyChange(mirror.Change{Item: mirror.Item{Key: gatewayPrefix + vm, Value: value}})
 }
 
 // Balancer returns what chooses among servers.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -55,27 +55,27 @@
 )
 
 const (
-	// driverLease is the lease of the gateway that drives roll-outs.
-	driverLease = "driver"
-	// leaseTime is how long the driver's lease outlives its holder. Shorter
+	// driverLeaseName is the lease of the gateway that drives roll-outs.
+	driverLeaseName = "driver"
+	// driverLeaseTTL is how long the driver's lease outlives its holder. Shorter
 	// leases cost more renewals; a driver that is gone is replaced well within
 	// the bound for stopping a bad version (5 s).
-	leaseTime = 2500 * time.Millisecond
+	driverLeaseTTL = 2500 * time.Millisecond
 	// addressTTL is how long clients keep the addresses that they are told.
 	// A node that leaves serves on for longer than that. At 2 s twice as many
 	// requests came to nodes after their signal: 3,187 in 72 stops, and 1,696
 	// at 1 s, the shortest that the directory can tell.
 	addressTTL = time.Second
-	// retryMargin is the part of the platform's bound on repeats that is used:
+	// retrySafetyFactor is the part of the platform's bound on repeats that is used:
 	// windows at the nodes begin at other moments than those that are judged.
-	retryMargin = 0.85
-	// movesRatio is the share of the requests that may be taken away from late
+	retrySafetyFactor = 0.85
+	// rerouteRatio is the share of the requests that may be taken away from late
 	// servers. Fewer servers than that are slow or dark at once on the days of
 	// the deployments; where more are late, it is for load.
-	movesRatio = 0.15
-	// canaryMargin keeps the first stage of a roll-out below the agreed share,
+	rerouteRatio = 0.15
+	// canarySafetyFactor keeps the first stage of a roll-out below the agreed share,
 	// since requests fall on either side by chance.
-	canaryMargin = 0.7
+	canarySafetyFactor = 0.7
 )
 
 // Gateway is one process of the system.
@@ -83,28 +83,28 @@
 	settings *settings.Gateway
 	self     view.Member
 
-	timers   *timer.Service
-	metrics  *metrics.Metrics
-	store    *platform.Store
-	mirror   *mirror.Mirror
-	registry *registry.Registry
-	runners  *platform.Runners
-	balancer *route.Balancer
-	picker   *rollout.Picker
-	services *rollout.Services
-	driver   *rollout.Driver
-	leases   *lease.Holder
-	client   *peer.Client
-	nodes    *nodes
-	board    *share.Board
-	suspects *suspect.List
-	verdicts *suspect.Keeper
+	timers        *timer.Service
+	metrics       *metrics.Metrics
+	store         *platform.Store
+	mirror        *mirror.Mirror
+	registry      *registry.Registry
+	runners       *platform.Runners
+	balancer      *route.Balancer
+	picker        *rollout.Picker
+	services      *rollout.Services
+	driver        *rollout.Driver
+	leaseHolder   *lease.Holder
+	client        *peer.Client
+	membership    *membership
+	exchange      *share.Board
+	detector      *suspect.List
+	verdictSyncer *suspect.Keeper
 
-	relay   *relay.Relay
-	records *decision.Log
-	callers *platform.Callers
-	catalog atomic.Pointer[catalog.Catalog]
-	leaving atomic.Bool
+	relay        *relay.Relay
+	decisions    *decision.Log
+	clientServer *platform.Callers
+	catalog      atomic.Pointer[catalog.Catalog]
+	leaving      atomic.Bool
 }
 
 // New makes a gateway that does not run yet.
@@ -131,24 +131,24 @@
 		peer.WithKnown(func(key string) (mirror.Item, bool) { return g.mirror.Get(key) }))
 	g.registry = registry.New(g.timers)
 	g.runners = platform.NewRunners()
-	g.balancer = route.NewBalancer(s.DataHall, instruments.BreakerOpened, route.WithAnnouncer(func(s share.Send, news float64) { g.board.Tell(s, news) }))
-	g.nodes = newNodes(g)
-	g.suspects = suspect.New(g.timers)
-	g.board = share.NewBoard(g.self, g, g.client, g.timers, g.heard)
+	g.balancer = route.NewBalancer(s.DataHall, instruments.BreakerOpened, route.WithAnnouncer(func(s share.Send, news float64) { g.exchange.Tell(s, news) }))
+	g.membership = newMembership(g)
+	g.detector = suspect.New(g.timers)
+	g.exchange = share.NewBoard(g.self, g, g.client, g.timers, g.handleRecord)
 	g.mirror = mirror.New(g.store, mirrorPeers{g}, g.timers, mirror.WithEvents(instruments.MirrorEvent))
-	g.nodes.told = g.mirror.Told()
-	g.verdicts = suspect.NewKeeper(g.suspects, g.store, g.mirror, g.nodes.countWorking, g.timers)
-	g.makeRollouts()
+	g.membership.synced = g.mirror.Told()
+	g.verdictSyncer = suspect.NewKeeper(g.detector, g.store, g.mirror, g.membership.countAllPeers, g.timers)
+	g.initRollouts()
 	g.subscribe()
-	g.makeRelay()
-	if err := g.makeGauges(); err != nil {
+	g.initRelay()
+	if err := g.registerGauges(); err != nil {
 		return nil, errs.Wrap(Start, "new", err, "metrics")
 	}
 	return g, nil
 }
 
-// makeGauges shows what this node knows of the store.
-func (g *Gateway) makeGauges() error {
+// registerGauges shows what this node knows of the store.
+func (g *Gateway) registerGauges() error {
 	return errors.Join(
 		g.metrics.Gauge("violettally_declaration_version", "Version of the declaration in force.",
 			func() float64 { return float64(g.Catalog().Version()) }),
@@ -159,18 +159,18 @@
 	)
 }
 
-// makeRollouts joins what picks versions, and what drives roll-outs while this
+// initRollouts joins what picks versions, and what drives roll-outs while this
 // node holds the lease.
-func (g *Gateway) makeRollouts() {
+func (g *Gateway) initRollouts() {
 	g.picker = rollout.NewPicker()
-	g.services = rollout.NewServices(g.picker, canaryMargin*g.settings.Bounds.CanaryShare)
-	g.leases = lease.New(driverLease, g.self.ID, g.store, g.timers, leaseTime, lease.WithCandidates(g.mayDrive))
-	g.driver = rollout.NewDriver(stagesKey, stages{g}, collector{g}, g.leases, g.services.Models, g.timers)
+	g.services = rollout.NewServices(g.picker, canarySafetyFactor*g.settings.Bounds.CanaryShare)
+	g.leaseHolder = lease.New(driverLeaseName, g.self.ID, g.store, g.timers, driverLeaseTTL, lease.WithCandidates(g.mayDrive))
+	g.driver = rollout.NewDriver(stagesKey, stageUpdater{g}, countCollector{g}, g.leaseHolder, g.services.Models, g.timers)
 }
 
-// makeRelay joins the path of requests.
-func (g *Gateway) makeRelay() {
-	g.records = decision.New(g.self.ID)
+// initRelay joins the path of requests.
+func (g *Gateway) initRelay() {
+	g.decisions = decision.New(g.self.ID)
 	g.relay = relay.New(relay.Parts{
 		Started:  g.mirror.Told(),
 		Catalog:  g.Catalog,
@@ -179,22 +179,22 @@
 		Versions: g.services,
 		Balancer: g.balancer,
 		Ladder:   cascade.NewLadder(),
-		Budgets:  g.makeBudgets(g.settings.Bounds.RetryRatio),
-		Moves:    g.makeBudgets(min(movesRatio, g.settings.Bounds.RetryRatio)),
-		Suspects: suspects{g},
+		Budgets:  g.newRetryBudgets(g.settings.Bounds.RetryRatio),
+		Moves:    g.newRetryBudgets(min(rerouteRatio, g.settings.Bounds.RetryRatio)),
+		Suspects: relaySuspects{g},
 		Backends: g.runners,
-		Records:  g.records,
+		Records:  g.decisions,
 		Counters: g.metrics.Relay(),
 	})
 }
 
-// makeBudgets gives this node its part of what the platform lets all nodes
+// newRetryBudgets gives this node its part of what the platform lets all nodes
 // send once more, or of a smaller share of the requests.
-func (g *Gateway) makeBudgets(ratio float64) *retry.Windows {
+func (g *Gateway) newRetryBudgets(ratio float64) *retry.Windows {
 	bounds := g.settings.Bounds
-	slack := func() float64 { return retryMargin * bounds.RetrySlack / float64(g.nodes.countWorking()+1) }
+	slack := func() float64 { return retrySafetyFactor * bounds.RetrySlack / float64(g.membership.countAllPeers()+1) }
 	length := time.Duration(bounds.RetryWindowSeconds * float64(time.Second))
-	return retry.NewWindows(retryMargin*ratio, slack, length)
+	return retry.NewWindows(retrySafetyFactor*ratio, slack, length)
 }
 
 // Catalog returns the declaration in force.
@@ -203,7 +203,7 @@
 // Run opens the doors and runs the gateway until the context ends; then it
 // drains and leaves.
 func (g *Gateway) Run(ctx context.Context) error {
-	doors, err := g.listen()
+	doors, err := g.openEndpoints()
 	if err != nil {
 		return err
 	}
@@ -213,7 +213,7 @@
 	for _, d := range doors {
 		go func() { failed <- d.serve(work, d.listener) }()
 	}
-	for _, run := range []func(context.Context){g.mirror.Run, g.nodes.run, g.board.Run, g.driver.Run, g.reviewSuspects, g.verdicts.Run, g.watchStalls} {
+	for _, run := range []func(context.Context){g.mirror.Run, g.membership.run, g.exchange.Run, g.driver.Run, g.reviewSuspects, g.verdictSyncer.Run, g.watchStalls} {
 		go run(work)
 	}
 	// The lease is given up at the signal and not at the end, so that another
@@ -221,7 +221,7 @@
 	// that can't be given up lapses.
 	stays, leave := context.WithCancel(ctx)
 	defer leave()
-	go g.leases.Run(stays)
+	go g.leaseHolder.Run(stays)
 	if drain := g.settings.Drain(); drain > 0 && drain < mirror.OldestUsed {
 		slog.Warn("requests may go by news that is older than the agreed time after which a leaving server gets none",
 			"agreed_ms", drain.Milliseconds(), "oldest_ms", mirror.OldestUsed.Milliseconds())
@@ -248,17 +248,17 @@
 }
 
 const (
-	// noticeShare of the grace, and noticeTime at most, is how long a gateway
+	// drainAcceptShare of the grace, and noticeTime at most, is how long a gateway
 	// that leaves still takes new connections. Clients keep its address that
 	// long, some for three times addressTTL; what comes later than 3 s after the
 	// signal must be answered whole, whatever happens.
-	noticeShare = 0.35
-	noticeTime  = 2800 * time.Millisecond
-	// endShare of the grace is when whatever still runs is ended, so that the
+	drainAcceptShare = 0.35
+	maxDrainAccept   = 2800 * time.Millisecond
+	// abortShare of the grace is when whatever still runs is ended, so that the
 	// last answers are out before the platform kills the process.
-	endShare = 0.95
-	// flushTime is how long those last answers may take to be written.
-	flushTime = 100 * time.Millisecond
+	abortShare = 0.95
+	// flushTimeout is how long those last answers may take to be written.
+	flushTimeout = 100 * time.Millisecond
 )
 
 // drain takes the gateway out of the directory, serves until clients have new
@@ -266,29 +266,29 @@
 func (g *Gateway) drain() {
 	signal := g.timers.Now()
 	grace := g.settings.Grace()
-	end := signal.Add(time.Duration(endShare * float64(grace)))
-	doorCloses := signal.Add(min(noticeTime, time.Duration(noticeShare*float64(grace))))
+	end := signal.Add(time.Duration(abortShare * float64(grace)))
+	doorCloses := signal.Add(min(maxDrainAccept, time.Duration(drainAcceptShare*float64(grace))))
 	g.relay.Leave(relay.NewStop(signal, doorCloses, end))
-	g.callers.Leave()
+	g.clientServer.Leave()
 	// Last, since who sees that this gateway is not ready counts on the rest: an
 	// answer that went out in between would keep its connection.
 	g.leaving.Store(true)
-	slog.Info("gateway is leaving", "grace_ms", grace.Milliseconds(), "under_way", len(g.records.Open()))
+	slog.Info("gateway is leaving", "grace_ms", grace.Milliseconds(), "under_way", len(g.decisions.Open()))
 	// The call to the store may take a second; the door closes on time all the
 	// same, since what comes after that can't be ended.
-	go g.nodes.leave()
-	g.waitUntil(doorCloses)
-	slog.Info("door closes", "after_ms", g.timers.Now().Sub(signal).Milliseconds(), "under_way", len(g.records.Open()))
+	go g.membership.announceLeaving()
+	g.sleepUntil(doorCloses)
+	slog.Info("door closes", "after_ms", g.timers.Now().Sub(signal).Milliseconds(), "under_way", len(g.decisions.Open()))
 	g.shutdown(end)
-	g.nodes.remove()
-	for _, record := range g.records.Open() {
+	g.membership.deregister()
+	for _, record := range g.decisions.Open() {
 		record.End("left under way")
 	}
 	slog.Info("gateway has left", "after_ms", g.timers.Now().Sub(signal).Milliseconds())
 }
 
-// waitUntil returns at a time.
-func (g *Gateway) waitUntil(at time.Time) {
+// sleepUntil returns at a time.
+func (g *Gateway) sleepUntil(at time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), at)
 	defer cancel()
 	<-ctx.Done()
@@ -299,14 +299,14 @@
 func (g *Gateway) shutdown(end time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
-	if g.callers.Shutdown(ctx) == nil {
+	if g.clientServer.Shutdown(ctx) == nil {
 		return
 	}
-	slog.Warn("requests were still under way", "count", len(g.records.Open()))
+	slog.Warn("requests were still under way", "count", len(g.decisions.Open()))
 	g.relay.End()
-	flush, endFlush := context.WithTimeout(context.Background(), flushTime)
+	flush, endFlush := context.WithTimeout(context.Background(), flushTimeout)
 	defer endFlush()
-	if err := g.callers.Wait(flush); err != nil {
+	if err := g.clientServer.Wait(flush); err != nil {
 		slog.Warn("last answers not all written", "error", err)
 	}
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -35,7 +35,7 @@
 			store := standin.NewStore()
 			t.Cleanup(store.Close)
 			for _, key := range tt.keys {
-				store.Put(key, document(key))
+				store.Put(key, storedValue(key))
 			}
 			server := httptest.NewServer(store.Door().Handler())
 			t.Cleanup(server.Close)
@@ -52,7 +52,7 @@
 				close(told)
 				<-goOn
 			})
-			go g.Follow(t.Context())
+			go g.FollowStore(t.Context())
 			<-told
 			must.False(t, g.IsReady(), must.Sprintf("ready with %d of 2 servers known", len(g.Servers("records"))))
 			release()
@@ -62,8 +62,8 @@
 	}
 }
 
-// document is what the operators or a server write under a key.
-func document(key string) any {
+// storedValue is what the operators or a server write under a key.
+func storedValue(key string) any {
 	if key == "op/config" {
 		return map[string]any{
 			"version": 1,
--- a/gateway/doors.go
+++ b/gateway/listeners.go
@@ -13,11 +13,11 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// readTime bounds a header at the doors other than the callers'.
-const readTime = 5 * time.Second
+// readHeaderTimeout bounds a header at the doors other than the callers'.
+const readHeaderTimeout = 5 * time.Second
 
-// door is one address that the gateway listens on.
-type door struct {
+// endpoint is one address that the gateway listens on.
+type endpoint struct {
 	listener net.Listener
 	serve    serveFunc
 }
@@ -25,8 +25,8 @@
 // serveFunc answers at a door until it closes.
 type serveFunc func(context.Context, net.Listener) error
 
-// listen opens all doors: the callers', which drains, and the others.
-func (g *Gateway) listen() ([]door, error) {
+// openEndpoints opens all doors: the callers', which drains, and the others.
+func (g *Gateway) openEndpoints() ([]endpoint, error) {
 	s := g.settings
 	peers := peer.NewGatewayServer(g)
 	doors := []struct {
@@ -34,7 +34,7 @@
 		serve   serveFunc
 	}{
 		{s.Ready.Listen, serveHTTP(platform.Ready(g.ready))},
-		{s.Directory.Listen, serveHTTP(platform.Directory(g.nodes.addresses, addressTTL))},
+		{s.Directory.Listen, serveHTTP(platform.Directory(g.membership.clientAddresses, addressTTL))},
 		{s.Metrics.Listen, serveHTTP(g.metrics.Handler())},
 		{s.Peer.Listen, func(ctx context.Context, l net.Listener) error { return peers.Serve(ctx, l, nil) }},
 	}
@@ -44,14 +44,14 @@
 	}
 	limits := func() catalog.Limits { return g.Catalog().Limits() }
 	refused := func(reason relay.Reason) { g.metrics.Relay().Refused(reason, "") }
-	g.callers = platform.NewCallers(callers, g.relay, limits, refused)
-	open := []door{{callers, func(context.Context, net.Listener) error { return g.callers.Serve() }}}
+	g.clientServer = platform.NewCallers(callers, g.relay, limits, refused)
+	open := []endpoint{{callers, func(context.Context, net.Listener) error { return g.clientServer.Serve() }}}
 	for _, d := range doors {
 		listener, err := listen(d.address)
 		if err != nil {
 			return nil, err
 		}
-		open = append(open, door{listener, d.serve})
+		open = append(open, endpoint{listener, d.serve})
 	}
 	return open, nil
 }
@@ -67,7 +67,7 @@
 // serveHTTP serves a handler at a door.
 func serveHTTP(handler http.Handler) serveFunc {
 	return func(_ context.Context, l net.Listener) error {
-		server := &http.Server{Handler: handler, ReadHeaderTimeout: readTime}
+		server := &http.Server{Handler: handler, ReadHeaderTimeout: readHeaderTimeout}
 		return server.Serve(l)
 	}
 }
--- a/gateway/entry.go
+++ b/gateway/own_entry.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// renewals is how often a gateway renews its entry within the life of its
+	// renewalsPerTTL is how often a gateway renews its entry within the life of its
 	// lease, so that one that is lost does no harm.
-	renewals = 3
-	// entryLife is how long a gateway's entry outlives its last renewal. Each
+	renewalsPerTTL = 3
+	// entryTTL is how long a gateway's entry outlives its last renewal. Each
 	// renewal is paid for; clients pass over an address that does not answer.
-	entryLife = 5 * time.Second
-	// renewalAgain is how long after a first renewal that failed the next one
+	entryTTL = 5 * time.Second
+	// renewalRetryDelay is how long after a first renewal that failed the next one
 	// follows. One without an answer has taken a second already, and the
 	// connection may only have gone silent while a new one works: with half of
 	// the usual pause the entry has more than a second to live then.
-	renewalAgain = entryLife / renewals / 2
-	// renewalsSkippedMax is how many renewals are left out at most after
+	renewalRetryDelay = entryTTL / renewalsPerTTL / 2
+	// maxSkippedRenewals is how many renewals are left out at most after
 	// several that failed. The store's return ends the pause.
-	renewalsSkippedMax = 4
-	// earlierWait is how long a gateway that starts waits for the store to tell what
+	maxSkippedRenewals = 4
+	// syncTimeout is how long a gateway that starts waits for the store to tell what
 	// an earlier process of its VM left behind. The store answers in 4 ms; where
 	// all of a deployment start at once, within half a second.
-	earlierWait = 500 * time.Millisecond
-	// leaveTime bounds the call by which a gateway tells that it leaves. A slow
+	syncTimeout = 500 * time.Millisecond
+	// leaveTimeout bounds the call by which a gateway tells that it leaves. A slow
 	// store takes some hundred milliseconds.
-	leaveTime = time.Second
-	// removeTime bounds its last call, since the process is about to be killed.
-	removeTime = 200 * time.Millisecond
+	leaveTimeout = time.Second
+	// deregisterTimeout bounds its last call, since the process is about to be killed.
+	deregisterTimeout = 200 * time.Millisecond
 )
 
 // entryStore is what the list needs of the platform's store.
@@ -41,20 +41,20 @@
 	Revoke(ctx context.Context, lease int64) error
 }
 
-// earlierEntry is what an earlier process of this VM has left behind of its entry.
-type earlierEntry struct {
-	// lease that it was written under; zero for none.
-	lease int64
-	// same says that the entry would be written as it stands.
-	same bool
+// previousEntry is what an earlier process of this VM has left behind of its entry.
+type previousEntry struct {
+	// leaseID that it was written under; zero for none.
+	leaseID int64
+	// current says that the entry would be written as it stands.
+	current bool
 }
 
-// awaitEarlier waits until the store has told what is left of an earlier process.
-func (n *nodes) awaitEarlier(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, earlierWait)
+// awaitSync waits until the store has told what is left of an earlier process.
+func (n *membership) awaitSync(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	select {
-	case <-n.told:
+	case <-n.synced:
 	case <-ctx.Done():
 	}
 }
@@ -62,28 +62,28 @@
 // run keeps this gateway's entry until the context ends. After a renewal that
 // failed the next one is early; after several it leaves some out, until the store
 // is known to be back.
-func (n *nodes) run(ctx context.Context) {
-	n.awaitEarlier(ctx)
+func (n *membership) run(ctx context.Context) {
+	n.awaitSync(ctx)
 	failed := 0
 	for {
-		if err := n.keep(ctx); err != nil {
+		if err := n.renewOrRegister(ctx); err != nil {
 			failed++
 			slog.Debug("own entry not renewed", "failed", failed, "error", err)
 		} else {
 			failed = 0
 		}
-		pause := entryLife / renewals
+		pause := entryTTL / renewalsPerTTL
 		switch {
 		case failed == 1:
-			pause = renewalAgain
+			pause = renewalRetryDelay
 		case failed > 1:
-			pause *= time.Duration(1 + min(failed, renewalsSkippedMax))
+			pause *= time.Duration(1 + min(failed, maxSkippedRenewals))
 		}
 		ticks := n.g.timers.Subscribe(pause)
 		select {
 		case <-ctx.Done():
 		case <-ticks.C():
-		case <-n.regained:
+		case <-n.renewRequests:
 		}
 		ticks.Stop()
 		if ctx.Err() != nil {
@@ -92,11 +92,11 @@
 	}
 }
 
-// keep renews the entry's lease, or makes both anew; a gateway that leaves makes
+// renewOrRegister renews the entry's lease, or makes both anew; a gateway that leaves makes
 // none.
-func (n *nodes) keep(ctx context.Context) error {
+func (n *membership) renewOrRegister(ctx context.Context) error {
 	n.mu.Lock()
-	id := n.lease
+	id := n.leaseID
 	n.mu.Unlock()
 	if id == 0 && n.g.leaving.Load() {
 		return nil
@@ -108,101 +108,101 @@
 		}
 		slog.Warn("own entry has lapsed; writing it anew")
 	}
-	return n.announce(ctx)
+	return n.register(ctx)
 }
 
-// announce makes this gateway's entry.
-func (n *nodes) announce(ctx context.Context) error {
-	id, written, err := n.takeLease(ctx)
+// register makes this gateway's entry.
+func (n *membership) register(ctx context.Context) error {
+	id, written, err := n.acquireLease(ctx)
 	if err != nil {
 		return err
 	}
 	if !written {
-		if err := n.write(ctx, id); err != nil {
+		if err := n.writeEntry(ctx, id); err != nil {
 			return err
 		}
 	}
 	n.mu.Lock()
-	n.lease = id
-	_, stands := n.known[n.key()]
+	n.leaseID = id
+	_, stands := n.entries[n.ownKey()]
 	n.mu.Unlock()
 	if n.g.leaving.Load() || written && !stands {
 		// It may have begun to leave while this entry was being written, or the
 		// earlier process's last call may have taken the entry back meanwhile.
-		return n.write(ctx, id)
+		return n.writeEntry(ctx, id)
 	}
 	return nil
 }
 
-// takeLease returns a lease for this gateway's entry, and whether the entry stands
+// acquireLease returns a lease for this gateway's entry, and whether the entry stands
 // under it as it should. A process that was killed leaves both behind: the one
 // that takes its place renews them, which costs a twentieth of making them anew.
 // When all processes of a deployment are killed at once, that is most of what
 // their start asks of the store.
-func (n *nodes) takeLease(ctx context.Context) (id int64, written bool, err error) {
+func (n *membership) acquireLease(ctx context.Context) (id int64, written bool, err error) {
 	n.mu.Lock()
-	earlier := n.earlier
-	n.earlier = earlierEntry{}
+	earlier := n.previous
+	n.previous = previousEntry{}
 	n.mu.Unlock()
-	if earlier.lease != 0 {
-		alive, err := n.store.KeepAlive(ctx, earlier.lease)
+	if earlier.leaseID != 0 {
+		alive, err := n.store.KeepAlive(ctx, earlier.leaseID)
 		if err != nil {
 			return 0, false, err
 		}
 		if alive {
-			slog.Info("entry of an earlier process taken over", "as_it_stands", earlier.same)
-			return earlier.lease, earlier.same, nil
+			slog.Info("entry of an earlier process taken over", "as_it_stands", earlier.current)
+			return earlier.leaseID, earlier.current, nil
 		}
 	}
-	id, err = n.store.Grant(ctx, entryLife)
+	id, err = n.store.Grant(ctx, entryTTL)
 	return id, false, err
 }
 
-// write writes this gateway's entry under a lease.
-func (n *nodes) write(ctx context.Context, lease int64) error {
+// writeEntry writes this gateway's entry under a lease.
+func (n *membership) writeEntry(ctx context.Context, lease int64) error {
 	data, err := json.Marshal(entry{Member: n.g.self, Leaving: n.g.leaving.Load()})
 	if err != nil {
 		return err
 	}
-	return n.store.Put(ctx, n.key(), data, lease)
+	return n.store.Put(ctx, n.ownKey(), data, lease)
 }
 
-// leave tells the others that this gateway leaves. Where the store does not
+// announceLeaving tells the others that this gateway leaves. Where the store does not
 // answer, its entry is renewed no more and lapses.
-func (n *nodes) leave() {
+func (n *membership) announceLeaving() {
 	n.mu.Lock()
-	id := n.lease
+	id := n.leaseID
 	n.mu.Unlock()
 	if id == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), leaveTime)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	if err := n.write(ctx, id); err != nil {
+	if err := n.writeEntry(ctx, id); err != nil {
 		slog.Warn("others not told that this gateway leaves; its entry lapses", "error", err)
-		n.forgetLease()
+		n.clearLease()
 	}
 }
 
-// remove takes this gateway's entry back.
-func (n *nodes) remove() {
-	id := n.forgetLease()
+// deregister takes this gateway's entry back.
+func (n *membership) deregister() {
+	id := n.clearLease()
 	if id == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), removeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), deregisterTimeout)
 	defer cancel()
 	if err := n.store.Revoke(ctx, id); err != nil {
 		slog.Warn("own entry not taken back; it lapses with its lease", "error", err)
 	}
 }
 
-// forgetLease returns the lease of this gateway's entry, zero for none, and
+// clearLease returns the lease of this gateway's entry, zero for none, and
 // renews it no more.
-func (n *nodes) forgetLease() int64 {
+func (n *membership) clearLease() int64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	id := n.lease
-	n.lease = 0
+	id := n.leaseID
+	n.leaseID = 0
 	return id
 }
--- a/gateway/nodes_test.go
+++ b/gateway/own_entry_test.go
@@ -15,8 +15,8 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// entries is a store with one lease, in the bubble's time.
-type entries struct {
+// fakeStore is a store with one lease, in the bubble's time.
+type fakeStore struct {
 	mu sync.Mutex
 	// silent says that the next call goes on a connection that is silent.
 	silent  bool
@@ -32,8 +32,8 @@
 // callTime is how long a call waits for its answer.
 const callTime = time.Second
 
-// call returns the error of a call on a silent connection, the one of its time.
-func (e *entries) call() error {
+// simulateCall returns the error of a call on a silent connection, the one of its time.
+func (e *fakeStore) simulateCall() error {
 	e.mu.Lock()
 	silent := e.silent
 	e.silent = false
@@ -45,16 +45,16 @@
 	return context.DeadlineExceeded
 }
 
-// goSilent silences the next call, and returns how many renewals there were.
-func (e *entries) goSilent() (renewals int) {
+// silenceNextCall silences the next call, and returns how many renewals there were.
+func (e *fakeStore) silenceNextCall() (renewals int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.silent = true
 	return e.renewals
 }
 
-func (e *entries) Grant(_ context.Context, ttl time.Duration) (int64, error) {
-	if err := e.call(); err != nil {
+func (e *fakeStore) Grant(_ context.Context, ttl time.Duration) (int64, error) {
+	if err := e.simulateCall(); err != nil {
 		return 0, err
 	}
 	e.mu.Lock()
@@ -64,8 +64,8 @@
 	return 1, nil
 }
 
-func (e *entries) Put(context.Context, string, []byte, int64) error {
-	if err := e.call(); err != nil {
+func (e *fakeStore) Put(context.Context, string, []byte, int64) error {
+	if err := e.simulateCall(); err != nil {
 		return err
 	}
 	e.mu.Lock()
@@ -74,8 +74,8 @@
 	return nil
 }
 
-func (e *entries) KeepAlive(context.Context, int64) (bool, error) {
-	if err := e.call(); err != nil {
+func (e *fakeStore) KeepAlive(context.Context, int64) (bool, error) {
+	if err := e.simulateCall(); err != nil {
 		return false, err
 	}
 	e.mu.Lock()
@@ -89,11 +89,11 @@
 	return true, nil
 }
 
-func (e *entries) Revoke(context.Context, int64) error { return e.call() }
+func (e *fakeStore) Revoke(context.Context, int64) error { return e.simulateCall() }
 
 // TestEntrySurvivesSilence: an entry outlives one renewal on a connection that
 // went silent, at any moment.
-func TestEntrySurvivesSilence(t *testing.T) {
+func TestEntrySurvivesSilentConnection(t *testing.T) {
 	for after := time.Duration(0); after < 2*time.Second; after += 100 * time.Millisecond {
 		t.Run(fmt.Sprint("after ", after), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -103,11 +103,11 @@
 					cancel()
 					timers.Close()
 				})
-				e := &entries{}
-				go gateway.KeepEntry(ctx, e, timers)
+				e := &fakeStore{}
+				go gateway.MaintainEntry(ctx, e, timers)
 				time.Sleep(10*time.Second + after)
 				synctest.Wait()
-				before := e.goSilent()
+				before := e.silenceNextCall()
 				time.Sleep(20 * time.Second)
 				synctest.Wait()
 				e.mu.Lock()
@@ -120,11 +120,11 @@
 	}
 }
 
-// TestEntryTakenOver lists what a killed process has left of its VM's entry, and
+// TestPreviousEntryReused lists what a killed process has left of its VM's entry, and
 // what the next one then asks of the store.
-func TestEntryTakenOver(t *testing.T) {
+func TestPreviousEntryReused(t *testing.T) {
 	const life = 5 * time.Second
-	deleted := gateway.OwnEntry(false, gateway.OwnCaller)
+	deleted := gateway.StoredEntry(false, gateway.OwnCallerAddress)
 	deleted.Deleted = true
 	tests := []struct {
 		name string
@@ -134,11 +134,11 @@
 		grants, puts int
 	}{
 		{"nothing", nil, 0, 1, 1},
-		{"as it should be", []mirror.Change{gateway.OwnEntry(false, gateway.OwnCaller)}, life, 0, 0},
-		{"leaving", []mirror.Change{gateway.OwnEntry(true, gateway.OwnCaller)}, life, 0, 1},
-		{"at another address", []mirror.Change{gateway.OwnEntry(false, "10.0.0.1:1")}, life, 0, 1},
-		{"lapsed", []mirror.Change{gateway.OwnEntry(false, gateway.OwnCaller)}, 0, 1, 1},
-		{"taken back", []mirror.Change{gateway.OwnEntry(false, gateway.OwnCaller), deleted}, life, 1, 1},
+		{"as it should be", []mirror.Change{gateway.StoredEntry(false, gateway.OwnCallerAddress)}, life, 0, 0},
+		{"leaving", []mirror.Change{gateway.StoredEntry(true, gateway.OwnCallerAddress)}, life, 0, 1},
+		{"at another address", []mirror.Change{gateway.StoredEntry(false, "10.0.0.1:1")}, life, 0, 1},
+		{"lapsed", []mirror.Change{gateway.StoredEntry(false, gateway.OwnCallerAddress)}, 0, 1, 1},
+		{"taken back", []mirror.Change{gateway.StoredEntry(false, gateway.OwnCallerAddress), deleted}, life, 1, 1},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -149,8 +149,8 @@
 					cancel()
 					timers.Close()
 				})
-				e := &entries{ttl: life, expires: time.Now().Add(tt.lives)}
-				go gateway.KeepEntry(ctx, e, timers, tt.held...)
+				e := &fakeStore{ttl: life, expires: time.Now().Add(tt.lives)}
+				go gateway.MaintainEntry(ctx, e, timers, tt.held...)
 				time.Sleep(20 * time.Second)
 				synctest.Wait()
 				e.mu.Lock()
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -18,12 +18,12 @@
 	// stagesKey holds the stages of all roll-outs, so that the next driver
 	// goes on where the last one was.
 	stagesKey = "rollouts"
-	// collectTime bounds asking a peer for its counts.
-	collectTime = 400 * time.Millisecond
+	// collectTimeout bounds asking a peer for its counts.
+	collectTimeout = 400 * time.Millisecond
 )
 
-// takeOrder puts an operator's order in force, or takes it back.
-func (g *Gateway) takeOrder(c mirror.Change) {
+// applyOrder puts an operator's order in force, or takes it back.
+func (g *Gateway) applyOrder(c mirror.Change) {
 	service := strings.TrimPrefix(c.Key, platform.OrderPrefix)
 	if c.Deleted {
 		g.services.Drop(service)
@@ -38,8 +38,8 @@
 	g.services.Take(order)
 }
 
-// takeStages puts the driver's stages in force.
-func (g *Gateway) takeStages(c mirror.Change) {
+// applyStages puts the driver's stages in force.
+func (g *Gateway) applyStages(c mirror.Change) {
 	if c.Key != stagesKey || c.Deleted {
 		return
 	}
@@ -53,12 +53,12 @@
 // mayDrive lets a gateway compete for the driver's lease while there is
 // something to drive and nobody is known to hold it.
 func (g *Gateway) mayDrive() bool {
-	_, held := g.mirror.Get(lease.Prefix + driverLease)
-	return !held && !g.leaving.Load() && g.rolling()
+	_, held := g.mirror.Get(lease.Prefix + driverLeaseName)
+	return !held && !g.leaving.Load() && g.rolloutActive()
 }
 
-// rolling reports whether some ordered roll-out is not at its end.
-func (g *Gateway) rolling() bool {
+// rolloutActive reports whether some ordered roll-out is not at its end.
+func (g *Gateway) rolloutActive() bool {
 	for _, m := range g.services.Models() {
 		p, known := g.picker.Progress(m.Name)
 		if !known || p.Version != m.Rollout.Version || p.Verdict == rollout.VerdictRunning {
@@ -68,30 +68,30 @@
 	return false
 }
 
-// stages writes the drivers' document.
-type stages struct{ g *Gateway }
+// stageUpdater writes the drivers' document.
+type stageUpdater struct{ g *Gateway }
 
 // Update changes the stages at the store, together with what operators see.
-func (s stages) Update(ctx context.Context, key string, change func([]byte) ([]byte, error)) (document.Item, error) {
-	if !s.g.rolling() {
+func (s stageUpdater) Update(ctx context.Context, key string, change func([]byte) ([]byte, error)) (document.Item, error) {
+	if !s.g.rolloutActive() {
 		return document.Item{}, document.ErrUnchanged
 	}
-	return document.Update(ctx, stagesStore(s), key, change)
+	return document.Update(ctx, stageStore(s), key, change)
 }
 
-// stagesStore reads the stages from the mirror, which costs no call, and
+// stageStore reads the stages from the mirror, which costs no call, and
 // writes them along with the operators' status. A stale read loses the swap
 // and is made again.
-type stagesStore struct{ g *Gateway }
+type stageStore struct{ g *Gateway }
 
 // Get reads the stages from the mirror.
-func (s stagesStore) Get(_ context.Context, key string) ([]byte, int64, error) {
+func (s stageStore) Get(_ context.Context, key string) ([]byte, int64, error) {
 	item, _ := s.g.mirror.Get(key)
 	return item.Value, item.Revision, nil
 }
 
 // Swap writes the stages and the status of each roll-out together.
-func (s stagesStore) Swap(ctx context.Context, key string, data []byte, expected int64) (int64, bool, error) {
+func (s stageStore) Swap(ctx context.Context, key string, data []byte, expected int64) (int64, bool, error) {
 	decoded, err := rollout.DecodeStages(data)
 	if err != nil {
 		return 0, false, err
@@ -107,13 +107,13 @@
 	return s.g.store.SwapAll(ctx, key, expected, puts)
 }
 
-// collector asks all gateways for their counts.
-type collector struct{ g *Gateway }
+// countCollector asks all gateways for their counts.
+type countCollector struct{ g *Gateway }
 
 // Collect returns the counts of this gateway and of those that answer in time,
 // by their IDs.
-func (c collector) Collect(ctx context.Context) map[string]rollout.Counts {
-	ctx, cancel := context.WithTimeout(ctx, collectTime)
+func (c countCollector) Collect(ctx context.Context) map[string]rollout.Counts {
+	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	name, own := c.g.Counts()
 	all := map[string]rollout.Counts{name: own}
@@ -122,7 +122,7 @@
 	// Gateways that leave have streams under way for seconds: were they not
 	// asked, a roll-out could be complete, and the old servers stopped, under
 	// these.
-	for _, m := range c.g.nodes.working() {
+	for _, m := range c.g.membership.allPeers() {
 		calls.Go(func() {
 			node, counts, err := c.g.client.Counts(ctx, m)
 			if err != nil {
--- a/gateway/subscribe.go
+++ b/gateway/subscribe.go
@@ -14,17 +14,17 @@
 // subscribe joins what the store holds to the parts that go by it.
 func (g *Gateway) subscribe() {
 	g.mirror.OnRegained(g.registry.StoreReturned)
-	g.mirror.OnRegained(g.nodes.storeRegained)
-	g.mirror.Subscribe(platform.CatalogKey, g.takeCatalog)
-	g.mirror.Subscribe(platform.ServerPrefix, g.takeServer)
-	g.mirror.Subscribe(platform.OrderPrefix, g.takeOrder)
-	g.mirror.Subscribe(stagesKey, g.takeStages)
-	g.mirror.Subscribe(nodePrefix, g.nodes.take)
-	g.mirror.Subscribe(suspect.Prefix, g.verdicts.Take)
+	g.mirror.OnRegained(g.membership.storeRecovered)
+	g.mirror.Subscribe(platform.CatalogKey, g.applyCatalog)
+	g.mirror.Subscribe(platform.ServerPrefix, g.applyServer)
+	g.mirror.Subscribe(platform.OrderPrefix, g.applyOrder)
+	g.mirror.Subscribe(stagesKey, g.applyStages)
+	g.mirror.Subscribe(gatewayPrefix, g.membership.applyChange)
+	g.mirror.Subscribe(suspect.Prefix, g.verdictSyncer.Take)
 }
 
-// takeCatalog puts a declaration in force. Versions only rise.
-func (g *Gateway) takeCatalog(c mirror.Change) {
+// applyCatalog puts a declaration in force. Versions only rise.
+func (g *Gateway) applyCatalog(c mirror.Change) {
 	if c.Key != platform.CatalogKey {
 		return
 	}
@@ -45,8 +45,8 @@
 	slog.Info("declaration in force", "version", next.Version(), "revision", c.Revision, "bytes", len(c.Value))
 }
 
-// takeServer follows a server's entry.
-func (g *Gateway) takeServer(c mirror.Change) {
+// applyServer follows a server's entry.
+func (g *Gateway) applyServer(c mirror.Change) {
 	id := strings.TrimPrefix(c.Key, platform.ServerPrefix)
 	if c.Deleted {
 		kept := g.registry.Drop(id)
@@ -56,20 +56,20 @@
 	}
 	server, err := platform.DecodeServer(c.Key, c.Value)
 	if err != nil {
-		g.withdrawServer(id, c.Revision, err)
+		g.invalidateServer(id, c.Revision, err)
 		return
 	}
 	news := g.registry.Put(server)
 	if news == registry.NewsRestart {
-		g.restarted(server)
+		g.resetServer(server)
 	}
 	slog.Info("server", "server", id, "born", server.Born, "news", news.String(), "service", server.Service, "address", server.Address,
 		"version", server.Version, "leaving", server.Leaving, "revision", c.Revision)
 }
 
-// withdrawServer takes a server out of use whose entry names none. However often
+// invalidateServer takes a server out of use whose entry names none. However often
 // such entries are written, one line tells of each change of reason.
-func (g *Gateway) withdrawServer(id string, revision int64, err error) {
+func (g *Gateway) invalidateServer(id string, revision int64, err error) {
 	reason := errs.Kind(err)
 	g.metrics.EntryUnusable(reason)
 	if g.registry.Withdraw(id, reason) {
@@ -77,12 +77,12 @@
 	}
 }
 
-// restarted forgets what was known of a server's earlier incarnation: whatever is
+// resetServer forgets what was known of a server's earlier incarnation: whatever is
 // believed of a server (its caches, what waits there, its health) belongs to one of
 // them, and connections that are kept to the earlier one are dead. Requests under way
 // there are left to their connections, which tell better than the entry whether their
 // answers still come.
-func (g *Gateway) restarted(server registry.Server) {
+func (g *Gateway) resetServer(server registry.Server) {
 	g.balancer.Keep(g.registry.Incarnations())
 	g.runners.CloseKept(server.Address)
 }
--- a/logs/logs.go
+++ b/logs/logs.go
@@ -36,16 +36,16 @@
 	capacity int
 	lines    chan []byte
 	// dropped counts lines that no line has told of yet.
-	dropped atomic.Int64
-	once    sync.Once
-	// closed asks the task to end, done says that it has.
-	closed chan struct{}
-	done   chan struct{}
+	dropped   atomic.Int64
+	closeOnce sync.Once
+	// closing asks the task to end, done says that it has.
+	closing chan struct{}
+	done    chan struct{}
 }
 
 // New returns a running writer.
 func New(out io.Writer, options ...Option) *Writer {
-	w := &Writer{out: out, capacity: defaultCapacity, done: make(chan struct{}), closed: make(chan struct{})}
+	w := &Writer{out: out, capacity: defaultCapacity, done: make(chan struct{}), closing: make(chan struct{})}
 	for _, option := range options {
 		option(w)
 	}
@@ -69,7 +69,7 @@
 
 // Close writes out what is queued and ends the writer.
 func (w *Writer) Close() error {
-	w.once.Do(func() { close(w.closed) })
+	w.closeOnce.Do(func() { close(w.closing) })
 	<-w.done
 	return nil
 }
@@ -81,7 +81,7 @@
 		select {
 		case line := <-w.lines:
 			w.write(line)
-		case <-w.closed:
+		case <-w.closing:
 			w.flush()
 			return
 		}
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -12,34 +12,34 @@
 	"github.com/violettally/violettally/logs"
 )
 
-// stuck is an output that takes nothing until it is let go.
-type stuck struct {
-	entered chan struct{}
-	proceed chan struct{}
+// blockedWriter is an output that takes nothing until it is let go.
+type blockedWriter struct {
+	blocked chan struct{}
+	unblock chan struct{}
 	once    sync.Once
 	bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	s.once.Do(func() {
-		close(s.entered)
-		<-s.proceed
+		close(s.blocked)
+		<-s.unblock
 	})
 	return s.Buffer.Write(p)
 }
 
 // TestNeverBlocks: with the output stuck, lines beyond the queue are dropped
 // and counted, and the count is told later.
-func TestNeverBlocks(t *testing.T) {
-	out := &stuck{entered: make(chan struct{}), proceed: make(chan struct{})}
+func TestWriteNeverBlocks(t *testing.T) {
+	out := &blockedWriter{blocked: make(chan struct{}), unblock: make(chan struct{})}
 	w := logs.New(out, logs.WithCapacity(3))
 	fmt.Fprintln(w, "first")
-	<-out.entered
+	<-out.blocked
 	for i := range 10 {
 		fmt.Fprintln(w, "line", i)
 	}
 	must.Eq(t, 7, w.Dropped())
-	close(out.proceed)
+	close(out.unblock)
 	must.NoError(t, w.Close())
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	must.Eq(t, []string{"first", `{"level":"WARN","msg":"log lines dropped","lines":7}`, "line 0", "line 1", "line 2"}, lines)
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -35,36 +35,36 @@
 	registry *prometheus.Registry
 	meter    metric.Meter
 
-	refusals   metric.Int64Counter
-	retries    metric.Int64Counter
-	answers    metric.Int64Counter
-	firstToken metric.Float64Histogram
-	total      metric.Float64Histogram
-	newsAge    metric.Float64Histogram
-	billed     metric.Int64Counter
-	billedCost metric.Int64Counter
-	votes      metric.Int64Counter
-	statuses   metric.Int64Counter
-	platform   metric.Int64Counter
-	peerCalls  metric.Int64Counter
-	peerBytes  metric.Int64Counter
-	breakers   metric.Int64Counter
-	entries    metric.Int64Counter
-	reports    metric.Int64Counter
-	news       metric.Int64Counter
-	suspects   metric.Int64Counter
+	refusals        metric.Int64Counter
+	retries         metric.Int64Counter
+	responses       metric.Int64Counter
+	firstToken      metric.Float64Histogram
+	responseTime    metric.Float64Histogram
+	storeViewAge    metric.Float64Histogram
+	bills           metric.Int64Counter
+	billedCost      metric.Int64Counter
+	claimVerdicts   metric.Int64Counter
+	memberStatuses  metric.Int64Counter
+	platformCalls   metric.Int64Counter
+	peerCalls       metric.Int64Counter
+	peerBytes       metric.Int64Counter
+	breakersOpened  metric.Int64Counter
+	unusableEntries metric.Int64Counter
+	loadReports     metric.Int64Counter
+	mirrorEvents    metric.Int64Counter
+	suspectEvents   metric.Int64Counter
 
 	escalations metric.Int64Counter
 	resumes     metric.Int64Counter
 }
 
-// latencyBounds are the histogram's bounds in seconds; the letter's targets,
+// latencyBuckets are the histogram's bounds in seconds; the letter's targets,
 // 66 ms and 1 s, lie between bounds close to them.
-var latencyBounds = []float64{0.002, 0.005, 0.01, 0.025, 0.05, 0.066, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60}
+var latencyBuckets = []float64{0.002, 0.005, 0.01, 0.025, 0.05, 0.066, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60}
 
-// ageBounds are those of the ages of news in seconds; deployments agree on bounds of
+// ageBuckets are those of the ages of news in seconds; deployments agree on bounds of
 // 2 to 4 s.
-var ageBounds = []float64{0.1, 0.25, 0.5, 0.75, 1, 1.25, 1.5, 2, 3, 4, 6, 10}
+var ageBuckets = []float64{0.1, 0.25, 0.5, 0.75, 1, 1.25, 1.5, 2, 3, 4, 6, 10}
 
 // New returns instruments that all stand at zero.
 func New() (*Metrics, error) {
@@ -78,10 +78,10 @@
 		registry: registry,
 		meter:    sdk.NewMeterProvider(sdk.WithReader(exporter)).Meter("violettally"),
 	}
-	return m, m.instruments()
+	return m, m.createInstruments()
 }
 
-func (m *Metrics) instruments() error {
+func (m *Metrics) createInstruments() error {
 	counters := []struct {
 		into *metric.Int64Counter
 		name string
@@ -89,21 +89,21 @@
 	}{
 		{&m.refusals, "violettally_refusals", "Requests refused, by reason and account."},
 		{&m.retries, "violettally_retries", "Attempts made again, by reason."},
-		{&m.answers, "violettally_answers", "Answers given, by model and version."},
-		{&m.billed, "violettally_bills", "Bills won, by account, model and version."},
+		{&m.responses, "violettally_answers", "Answers given, by model and version."},
+		{&m.bills, "violettally_bills", "Bills won, by account, model and version."},
 		{&m.billedCost, "violettally_billed_cost", "Cost billed, in millionths of the currency unit."},
-		{&m.votes, "violettally_claim_votes", "Replies of claim replicas, by verdict."},
-		{&m.statuses, "violettally_member_status", "Changes of opinion on members, by new status."},
-		{&m.platform, "violettally_platform_calls", "Calls to the platform's key-value service, by operation."},
+		{&m.claimVerdicts, "violettally_claim_votes", "Replies of claim replicas, by verdict."},
+		{&m.memberStatuses, "violettally_member_status", "Changes of opinion on members, by new status."},
+		{&m.platformCalls, "violettally_platform_calls", "Calls to the platform's key-value service, by operation."},
 		{&m.peerCalls, "violettally_peer_calls", "Calls to other nodes, by call."},
 		{&m.peerBytes, "violettally_peer_sent_bytes", "Bytes sent to other nodes before framing, by call."},
-		{&m.reports, "violettally_load_reports", "Load reports asked of backend servers."},
+		{&m.loadReports, "violettally_load_reports", "Load reports asked of backend servers."},
 		{&m.escalations, "violettally_escalations", "Answers dropped for one of a costlier model, by that model."},
 		{&m.resumes, "violettally_resumes", "Streams that went on at another backend server."},
-		{&m.entries, "violettally_entries_unusable", "Entries in the platform's store that name no server or node to use, by reason."},
-		{&m.news, "violettally_news", "What happened to the news of the platform's store, by event."},
-		{&m.suspects, "violettally_suspects", "What happened to the evidence on requests under which servers end, by event."},
-		{&m.breakers, "violettally_breakers_opened", "Backend servers taken out after failures."},
+		{&m.unusableEntries, "violettally_entries_unusable", "Entries in the platform's store that name no server or node to use, by reason."},
+		{&m.mirrorEvents, "violettally_news", "What happened to the news of the platform's store, by event."},
+		{&m.suspectEvents, "violettally_suspects", "What happened to the evidence on requests under which servers end, by event."},
+		{&m.breakersOpened, "violettally_breakers_opened", "Backend servers taken out after failures."},
 	}
 	for _, c := range counters {
 		counter, err := m.meter.Int64Counter(c.name, metric.WithDescription(c.help))
@@ -115,19 +115,19 @@
 	var err error
 	m.firstToken, err = m.meter.Float64Histogram("violettally_first_token_seconds",
 		metric.WithDescription("Time to the first token, from the choice of the model on."),
-		metric.WithExplicitBucketBoundaries(latencyBounds...))
+		metric.WithExplicitBucketBoundaries(latencyBuckets...))
 	if err != nil {
 		return err
 	}
-	m.total, err = m.meter.Float64Histogram("violettally_answer_seconds",
+	m.responseTime, err = m.meter.Float64Histogram("violettally_answer_seconds",
 		metric.WithDescription("Time to the whole answer, from the choice of the model on."),
-		metric.WithExplicitBucketBoundaries(latencyBounds...))
+		metric.WithExplicitBucketBoundaries(latencyBuckets...))
 	if err != nil {
 		return err
 	}
-	m.newsAge, err = m.meter.Float64Histogram("violettally_news_age_seconds",
+	m.storeViewAge, err = m.meter.Float64Histogram("violettally_news_age_seconds",
 		metric.WithDescription("Age of the news of the platform's store by which a request was sent to a server."),
-		metric.WithExplicitBucketBoundaries(ageBounds...))
+		metric.WithExplicitBucketBoundaries(ageBuckets...))
 	return err
 }
 
@@ -161,14 +161,14 @@
 // Answered counts an answer and its times.
 func (m *Metrics) Answered(model, version string, firstToken, total time.Duration) {
 	attributes := []attribute.KeyValue{attribute.String("model", model), attribute.String("version", version)}
-	add(m.answers, 1, attributes...)
-	m.observe(firstToken, total, attributes...)
+	add(m.responses, 1, attributes...)
+	m.recordTimes(firstToken, total, attributes...)
 }
 
-// observe records how long an answer took, until its first piece and in all.
-func (m *Metrics) observe(first, total time.Duration, attributes ...attribute.KeyValue) {
+// recordTimes records how long an answer took, until its first piece and in all.
+func (m *Metrics) recordTimes(first, total time.Duration, attributes ...attribute.KeyValue) {
 	m.firstToken.Record(context.Background(), first.Seconds(), metric.WithAttributes(attributes...))
-	m.total.Record(context.Background(), total.Seconds(), metric.WithAttributes(attributes...))
+	m.responseTime.Record(context.Background(), total.Seconds(), metric.WithAttributes(attributes...))
 }
 
 // Billed counts a bill.
@@ -176,23 +176,23 @@
 	attributes := []attribute.KeyValue{
 		attribute.String("account", b.Account), attribute.String("model", b.Model), attribute.String("version", b.Version),
 	}
-	add(m.billed, 1, attributes...)
+	add(m.bills, 1, attributes...)
 	add(m.billedCost, b.Cost, attributes...)
 }
 
 // ClaimVerdict counts a claim replica's reply.
 func (m *Metrics) ClaimVerdict(v claim.Verdict) {
-	add(m.votes, 1, attribute.String("verdict", v.String()))
+	add(m.claimVerdicts, 1, attribute.String("verdict", v.String()))
 }
 
 // MemberStatus counts a change of opinion on a member.
 func (m *Metrics) MemberStatus(s member.Status) {
-	add(m.statuses, 1, attribute.String("status", s.String()))
+	add(m.memberStatuses, 1, attribute.String("status", s.String()))
 }
 
 // PlatformCall counts a call to the key-value service.
 func (m *Metrics) PlatformCall(operation string) {
-	add(m.platform, 1, attribute.String("operation", operation))
+	add(m.platformCalls, 1, attribute.String("operation", operation))
 }
 
 // PeerCall counts a call to another node.
@@ -202,20 +202,24 @@
 }
 
 // EntryUnusable counts an entry that names no server or node to use.
-func (m *Metrics) EntryUnusable(reason string) { add(m.entries, 1, attribute.String("reason", reason)) }
+func (m *Metrics) EntryUnusable(reason string) {
+	add(m.unusableEntries, 1, attribute.String("reason", reason))
+}
 
 // MirrorEvent counts what happened to the news of the platform's store.
-func (m *Metrics) MirrorEvent(e mirror.Event) { add(m.news, 1, attribute.String("event", e.String())) }
+func (m *Metrics) MirrorEvent(e mirror.Event) {
+	add(m.mirrorEvents, 1, attribute.String("event", e.String()))
+}
 
 // SuspectEvent counts what happened to the evidence on requests under which servers end.
 func (m *Metrics) SuspectEvent(e suspect.Event) {
-	add(m.suspects, 1, attribute.String("event", e.String()))
+	add(m.suspectEvents, 1, attribute.String("event", e.String()))
 }
 
 // BreakerOpened counts a server that was taken out.
 func (m *Metrics) BreakerOpened(server string) {
-	add(m.breakers, 1, attribute.String("server", server))
+	add(m.breakersOpened, 1, attribute.String("server", server))
 }
 
 // LoadReport counts a load report that was asked for.
-func (m *Metrics) LoadReport() { add(m.reports, 1) }
+func (m *Metrics) LoadReport() { add(m.loadReports, 1) }
--- a/metrics/relay.go
+++ b/metrics/relay.go
@@ -35,13 +35,13 @@
 // Sent counts a request that goes to a server, with the age of the news of the
 // platform's store by which the server was chosen.
 func (r RelayCounters) Sent(age time.Duration) {
-	r.m.newsAge.Record(context.Background(), age.Seconds())
+	r.m.storeViewAge.Record(context.Background(), age.Seconds())
 }
 
 // Answered counts an answer and its times. The times are not told apart by
 // status, which would multiply the histograms.
 func (r RelayCounters) Answered(route string, status int, first, total time.Duration) {
 	name := attribute.String("route", route)
-	add(r.m.answers, 1, name, attribute.String("status", strconv.Itoa(status)))
-	r.m.observe(first, total, name)
+	add(r.m.responses, 1, name, attribute.String("status", strconv.Itoa(status)))
+	r.m.recordTimes(first, total, name)
 }
