--- a/logs/logs.go
+++ b/logs/logs.go
@@ -1,8 +1,8 @@
-// Package logs writes log lines without ever holding up who writes them.
+// Package logs provides a log writer that never blocks its callers.
 //
-// Lines go through a bounded queue to one task that writes them out. When the
-// output is slower than the lines come, the newest are dropped, and a line
-// that says how many follows as soon as there is room.
+// Lines go through a bounded queue to one goroutine that writes them out. If the
+// output is too slow and the queue is full, new lines are dropped. The next line
+// that is written is preceded by one with the number of dropped lines.
 //
 // # Usage
 //
@@ -19,31 +19,31 @@
 	"sync/atomic"
 )
 
-// defaultCapacity is the number of lines in the queue: some seconds of a
-// node's requests, a few MB at most.
+// defaultCapacity is the number of lines in the queue. It holds the log of some
+// seconds of requests, and takes a few MB at most.
 const defaultCapacity = 2048
 
-// Option changes a Writer as New makes it.
+// Option configures a Writer.
 type Option func(*Writer)
 
-// WithCapacity sets the number of lines in the queue.
+// WithCapacity sets the capacity of the queue in lines.
 func WithCapacity(n int) Option { return func(w *Writer) { w.capacity = n } }
 
-// Writer is an io.Writer whose Write does not block. Each call is one line.
+// Writer is an io.Writer whose Write does not block. Each call writes one line.
 // It is safe for concurrent use.
 type Writer struct {
 	out      io.Writer
 	capacity int
 	lines    chan []byte
-	// dropped counts lines that no line has told of yet.
+	// dropped counts the dropped lines that have not been reported yet.
 	dropped   atomic.Int64
 	closeOnce sync.Once
-	// closing asks the task to end, done says that it has.
+	// closing is closed to stop run, done when run has returned.
 	closing chan struct{}
 	done    chan struct{}
 }
 
-// New returns a running writer.
+// New returns a writer to out and starts it. Close must be called to flush the queue.
 func New(out io.Writer, options ...Option) *Writer {
 	w := &Writer{out: out, capacity: defaultCapacity, done: make(chan struct{}), closing: make(chan struct{})}
 	for _, option := range options {
@@ -54,7 +54,7 @@
 	return w
 }
 
-// Write queues a line, or drops it if the queue is full. It never fails.
+// Write queues a line, or drops it if the queue is full. It never returns an error.
 func (w *Writer) Write(p []byte) (int, error) {
 	select {
 	case w.lines <- bytes.Clone(p):
@@ -67,14 +67,14 @@
 // Dropped returns how many lines have been dropped and not yet reported.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes out what is queued and ends the writer.
+// Close writes out the queued lines and stops the writer. It never returns an error.
 func (w *Writer) Close() error {
 	w.closeOnce.Do(func() { close(w.closing) })
 	<-w.done
 	return nil
 }
 
-// run is the task that writes lines out until Close.
+// run writes out lines until Close is called.
 func (w *Writer) run() {
 	defer close(w.done)
 	for {
@@ -88,7 +88,7 @@
 	}
 }
 
-// flush writes out what is queued.
+// flush writes out the queued lines.
 func (w *Writer) flush() {
 	for {
 		select {
@@ -100,8 +100,8 @@
 	}
 }
 
-// write writes one line out, after the number of those dropped before it. It
-// has nowhere to report a failure of the output itself.
+// write writes out one line, after a line with the number of dropped ones if there
+// are any. Errors of the output are ignored, since there is nowhere to report them.
 func (w *Writer) write(line []byte) {
 	if n := w.dropped.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(w.out, `{"level":"WARN","msg":"log lines dropped","lines":%d}`+"\n", n)
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -12,7 +12,7 @@
 	"github.com/violettally/violettally/logs"
 )
 
-// blockedWriter is an output that takes nothing until it is let go.
+// blockedWriter is an output whose first Write blocks until unblock is closed.
 type blockedWriter struct {
 	blocked chan struct{}
 	unblock chan struct{}
@@ -28,8 +28,8 @@
 	return s.Buffer.Write(p)
 }
 
-// TestNeverBlocks: with the output stuck, lines beyond the queue are dropped
-// and counted, and the count is told later.
+// TestWriteNeverBlocks checks that while the output is blocked, lines beyond the queue's
+// capacity are dropped, and that their number is written later.
 func TestWriteNeverBlocks(t *testing.T) {
 	out := &blockedWriter{blocked: make(chan struct{}), unblock: make(chan struct{})}
 	w := logs.New(out, logs.WithCapacity(3))
