--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,6 +1,5 @@
-// Package metrics holds the counters and histograms that operators scrape, by
-// OpenTelemetry with a Prometheus exporter. Every refusal and every retry is
-// counted under its reason.
+// Package metrics provides the process's metrics: OpenTelemetry instruments with a
+// Prometheus exporter. Each refusal and each retry is counted by its reason.
 //
 // # Usage
 //
@@ -30,7 +29,7 @@
 	"github.com/violettally/violettally/suspect"
 )
 
-// Metrics is one node's instruments. It is safe for concurrent use.
+// Metrics holds the instruments of one process. It is safe for concurrent use.
 type Metrics struct {
 	registry *prometheus.Registry
 	meter    metric.Meter
@@ -58,15 +57,15 @@
 	resumes     metric.Int64Counter
 }
 
-// latencyBuckets are the histogram's bounds in seconds; the letter's targets,
-// 66 ms and 1 s, lie between bounds close to them.
+// latencyBuckets are the histogram bounds of response times in seconds. The latency
+// targets, 66 ms and 1 s, are bounds.
 var latencyBuckets = []float64{0.002, 0.005, 0.01, 0.025, 0.05, 0.066, 0.1, 0.25, 0.5, 1, 2.5, 5, 10, 30, 60}
 
-// ageBuckets are those of the ages of news in seconds; deployments agree on bounds of
-// 2 to 4 s.
+// ageBuckets are the histogram bounds, in seconds, of the age of the data from the
+// platform's store. Deployments agree on limits of 2 to 4 s.
 var ageBuckets = []float64{0.1, 0.25, 0.5, 0.75, 1, 1.25, 1.5, 2, 3, 4, 6, 10}
 
-// New returns instruments that all stand at zero.
+// New returns new instruments with their own registry.
 func New() (*Metrics, error) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -81,11 +80,12 @@
 	return m, m.createInstruments()
 }
 
+// createInstruments creates all counters and histograms.
 func (m *Metrics) createInstruments() error {
 	counters := []struct {
-		into *metric.Int64Counter
-		name string
-		help string
+		target *metric.Int64Counter
+		name   string
+		help   string
 	}{
 		{&m.refusals, "violettally_refusals", "Requests refused, by reason and account."},
 		{&m.retries, "violettally_retries", "Attempts made again, by reason."},
@@ -110,7 +110,7 @@
 		if err != nil {
 			return err
 		}
-		*c.into = counter
+		*c.target = counter
 	}
 	var err error
 	m.firstToken, err = m.meter.Float64Histogram("violettally_first_token_seconds",
@@ -131,7 +131,7 @@
 	return err
 }
 
-// Gauge registers a value that is read at each scrape.
+// Gauge registers a gauge whose value is read at each scrape.
 func (m *Metrics) Gauge(name, help string, read func() float64) error {
 	_, err := m.meter.Float64ObservableGauge(name, metric.WithDescription(help),
 		metric.WithFloat64Callback(func(_ context.Context, o metric.Float64Observer) error {
@@ -141,7 +141,7 @@
 	return err
 }
 
-// Handler returns what is scraped.
+// Handler returns the HTTP handler for scrapes.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
@@ -150,28 +150,28 @@
 	c.Add(context.Background(), n, metric.WithAttributes(attributes...))
 }
 
-// Refused counts a refusal.
+// Refused counts a refused request.
 func (m *Metrics) Refused(reason dispatch.Reason, account string) {
 	add(m.refusals, 1, attribute.String("reason", reason.String()), attribute.String("account", account))
 }
 
-// Retried counts a retry.
+// Retried counts a retry by its reason.
 func (m *Metrics) Retried(reason string) { add(m.retries, 1, attribute.String("reason", reason)) }
 
-// Answered counts an answer and its times.
+// Answered counts a response, and records the times to its first token and to its end.
 func (m *Metrics) Answered(model, version string, firstToken, total time.Duration) {
 	attributes := []attribute.KeyValue{attribute.String("model", model), attribute.String("version", version)}
 	add(m.responses, 1, attributes...)
 	m.recordTimes(firstToken, total, attributes...)
 }
 
-// recordTimes records how long an answer took, until its first piece and in all.
+// recordTimes records the times to the first part and to the end of a response.
 func (m *Metrics) recordTimes(first, total time.Duration, attributes ...attribute.KeyValue) {
 	m.firstToken.Record(context.Background(), first.Seconds(), metric.WithAttributes(attributes...))
 	m.responseTime.Record(context.Background(), total.Seconds(), metric.WithAttributes(attributes...))
 }
 
-// Billed counts a bill.
+// Billed counts a bill and its cost.
 func (m *Metrics) Billed(b ledger.Bill) {
 	attributes := []attribute.KeyValue{
 		attribute.String("account", b.Account), attribute.String("model", b.Model), attribute.String("version", b.Version),
@@ -180,46 +180,46 @@
 	add(m.billedCost, b.Cost, attributes...)
 }
 
-// ClaimVerdict counts a claim replica's reply.
+// ClaimVerdict counts a reply of a claim replica by its verdict.
 func (m *Metrics) ClaimVerdict(v claim.Verdict) {
 	add(m.claimVerdicts, 1, attribute.String("verdict", v.String()))
 }
 
-// MemberStatus counts a change of opinion on a member.
+// MemberStatus counts a change of a member's status as this node sees it.
 func (m *Metrics) MemberStatus(s member.Status) {
 	add(m.memberStatuses, 1, attribute.String("status", s.String()))
 }
 
-// PlatformCall counts a call to the key-value service.
+// PlatformCall counts a call to the platform's key-value service.
 func (m *Metrics) PlatformCall(operation string) {
 	add(m.platformCalls, 1, attribute.String("operation", operation))
 }
 
-// PeerCall counts a call to another node.
+// PeerCall counts a call to another node and the bytes sent, before framing.
 func (m *Metrics) PeerCall(call string, sent int) {
 	add(m.peerCalls, 1, attribute.String("call", call))
 	add(m.peerBytes, int64(sent), attribute.String("call", call))
 }
 
-// EntryUnusable counts an entry that names no server or node to use.
+// EntryUnusable counts an invalid entry of a server or node in the platform's store.
 func (m *Metrics) EntryUnusable(reason string) {
 	add(m.unusableEntries, 1, attribute.String("reason", reason))
 }
 
-// MirrorEvent counts what happened to the news of the platform's store.
+// MirrorEvent counts an event of the copy of the platform's store.
 func (m *Metrics) MirrorEvent(e mirror.Event) {
 	add(m.mirrorEvents, 1, attribute.String("event", e.String()))
 }
 
-// SuspectEvent counts what happened to the evidence on requests under which servers end.
+// SuspectEvent counts an event of the detection of requests that crash servers.
 func (m *Metrics) SuspectEvent(e suspect.Event) {
 	add(m.suspectEvents, 1, attribute.String("event", e.String()))
 }
 
-// BreakerOpened counts a server that was taken out.
+// BreakerOpened counts a server whose circuit breaker opened.
 func (m *Metrics) BreakerOpened(server string) {
 	add(m.breakersOpened, 1, attribute.String("server", server))
 }
 
-// LoadReport counts a load report that was asked for.
+// LoadReport counts a load report requested from a backend server.
 func (m *Metrics) LoadReport() { add(m.loadReports, 1) }
