--- a/billing/fleet_test.go
+++ b/billing/fleet_test.go
@@ -248,7 +248,7 @@
 			return false
 		}
 	}
-	return p.replica.Settled()
+	return p.replica.Synced()
 }
 
 // awake waits until the process is not frozen.
--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -38,7 +38,7 @@
 func BenchmarkVote(b *testing.B) {
 	v := view.Empty().Change([]view.Member{member("a", "north")}, nil)
 	id := v.Members()[0].ID
-	r := claim.NewReplica(id, fixed{v}, nil, timer.New(), claim.WithMemory(1<<40))
+	r := claim.NewReplica(id, fixed{v}, nil, timer.New(), claim.WithMemoryLimit(1<<40))
 	r.SetView(v)
 	for i := 0; b.Loop(); i++ {
 		r.Claim(claim.Request{Epoch: 1, Replica: id, Entry: entryOf(i)})
@@ -61,7 +61,7 @@
 	for b.Loop() {
 		v := view.Empty().Change([]view.Member{member("a", "north")}, nil)
 		id := v.Members()[0].ID
-		r := claim.NewReplica(id, fixed{v}, nil, timer.New(), claim.WithMemory(1<<40))
+		r := claim.NewReplica(id, fixed{v}, nil, timer.New(), claim.WithMemoryLimit(1<<40))
 		r.SetView(v)
 		var before, after runtime.MemStats
 		runtime.GC()
@@ -85,7 +85,7 @@
 	id := before.Members()[0].ID
 	for b.Loop() {
 		b.StopTimer()
-		r := claim.NewReplica(id, fixed{before}, nil, timer.New(), claim.WithMemory(1<<40))
+		r := claim.NewReplica(id, fixed{before}, nil, timer.New(), claim.WithMemoryLimit(1<<40))
 		r.SetView(before)
 		for i, granted := 0, 0; granted < 25_000; i++ {
 			reply := r.Claim(claim.Request{Epoch: 1, Replica: id, Entry: entryOf(i)})
@@ -96,10 +96,10 @@
 		r.SetView(after)
 		b.StartTimer()
 		start := time.Now()
-		r.Transfer(claim.TransferRequest{Epoch: 2, Asker: after.Members()[1].ID, Owner: id})
+		r.Transfer(claim.TransferRequest{Epoch: 2, Requester: after.Members()[1].ID, Source: id})
 		first := time.Since(start)
 		for _, m := range after.Members()[2:] {
-			r.Transfer(claim.TransferRequest{Epoch: 2, Asker: m.ID, Owner: id})
+			r.Transfer(claim.TransferRequest{Epoch: 2, Requester: m.ID, Source: id})
 		}
 		b.ReportMetric(float64(first.Microseconds()), "us-first")
 	}
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -118,8 +118,8 @@
 	// Value is the pinned version, the bill, or the request itself if it is
 	// to be taken over.
 	Value []byte `cbor:"8,keyasint"`
-	// Answer is the kept answer of work that is done.
-	Answer []byte `cbor:"9,keyasint"`
+	// Response is the kept answer of work that is done.
+	Response []byte `cbor:"9,keyasint"`
 	// Expires ends the claim's life.
 	Expires time.Time `cbor:"10,keyasint"`
 	// Sequence places a bill in its holder's journal.
@@ -128,9 +128,9 @@
 	Reached bool `cbor:"13,keyasint"`
 	// Rival is the other claim of a bill in StateUnknown.
 	Rival *Entry `cbor:"14,keyasint,omitempty"`
-	// Soft claims only help to find an answer. They give way when a replica's
+	// BestEffort claims only help to find an answer. They give way when a replica's
 	// memory is half full.
-	Soft bool `cbor:"12,keyasint"`
+	BestEffort bool `cbor:"12,keyasint"`
 }
 
 // bills returns the claims of a bill that an entry holds: itself and its rival.
@@ -208,9 +208,9 @@
 // TransferRequest asks an earlier replica for the entries that the asker
 // answers for in the present epoch.
 type TransferRequest struct {
-	Epoch int64  `cbor:"1,keyasint"`
-	Asker string `cbor:"2,keyasint"`
-	Owner string `cbor:"3,keyasint"`
+	Epoch     int64  `cbor:"1,keyasint"`
+	Requester string `cbor:"2,keyasint"`
+	Source    string `cbor:"3,keyasint"`
 	// After is the key after which the page starts.
 	After string `cbor:"4,keyasint"`
 }
@@ -219,15 +219,15 @@
 type TransferReply struct {
 	// Ready is false while the owner has not seen the asker's epoch.
 	Ready bool `cbor:"1,keyasint"`
-	// Settled lists the epochs at which the owner held all won claims of its
+	// SyncedEpochs lists the epochs at which the owner held all won claims of its
 	// ranges.
-	Settled []int64 `cbor:"2,keyasint"`
-	// Since is the first epoch whose votes the owner still has. A member that
+	SyncedEpochs []int64 `cbor:"2,keyasint"`
+	// FirstEpoch is the first epoch whose votes the owner still has. A member that
 	// was removed and joined again has forgotten the earlier ones.
-	Since   int64   `cbor:"6,keyasint"`
-	Entries []Entry `cbor:"3,keyasint"`
-	Next    string  `cbor:"4,keyasint"`
-	Gaps    []Gap   `cbor:"5,keyasint"`
+	FirstEpoch int64        `cbor:"6,keyasint"`
+	Entries    []Entry      `cbor:"3,keyasint"`
+	Next       string       `cbor:"4,keyasint"`
+	Losses     []LossRecord `cbor:"5,keyasint"`
 }
 
 // Transport carries the messages between claimers and replicas.
@@ -239,8 +239,8 @@
 	Transfer(ctx context.Context, to view.Member, r TransferRequest) (TransferReply, error)
 }
 
-// Views is the source of the view in force.
-type Views interface {
+// ViewSource is the source of the view in force.
+type ViewSource interface {
 	Current() *view.View
 	Changed() <-chan struct{}
 	// Dead reports whether a member is gone for good.
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -24,7 +24,7 @@
 
 // Claimer makes claims for one node.
 type Claimer struct {
-	views Views
+	views ViewSource
 	peers Transport
 	count func(Verdict)
 	// beside runs what goes on beside the caller.
@@ -39,14 +39,14 @@
 	return func(c *Claimer) { c.count = count }
 }
 
-// WithTasks replaces how tasks are run beside the caller, for tests that need
+// WithTaskRunner replaces how tasks are run beside the caller, for tests that need
 // one order of things.
-func WithTasks(beside func(task func())) ClaimerOption {
+func WithTaskRunner(beside func(task func())) ClaimerOption {
 	return func(c *Claimer) { c.beside = beside }
 }
 
 // NewClaimer returns a claimer.
-func NewClaimer(views Views, peers Transport, options ...ClaimerOption) *Claimer {
+func NewClaimer(views ViewSource, peers Transport, options ...ClaimerOption) *Claimer {
 	c := &Claimer{views: views, peers: peers, count: func(Verdict) {}, beside: func(task func()) { go task() }}
 	for _, option := range options {
 		option(c)
@@ -243,7 +243,7 @@
 // caller, so that whoever asks while one of the others does not answer can
 // still see that the claim was won. Claims that nobody waits for go without.
 func (c *Claimer) fill(rest []view.Member, r Request) {
-	if r.Entry.Soft || r.Entry.Key.Kind == KindBill {
+	if r.Entry.BestEffort || r.Entry.Key.Kind == KindBill {
 		return
 	}
 	for _, m := range rest {
@@ -267,9 +267,9 @@
 	c.release(c.views.Current().Replicas(key.Region, key.String()), key, token, StateDone)
 }
 
-// Abandon clears away a claim that its holder does not know any more. Where a
+// ReleaseStale clears away a claim that its holder does not know any more. Where a
 // replica knows that its work has begun, the claim stays.
-func (c *Claimer) Abandon(key Key, token string) {
+func (c *Claimer) ReleaseStale(key Key, token string) {
 	c.release(c.views.Current().Replicas(key.Region, key.String()), key, token, StateClaimed)
 }
 
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -152,7 +152,7 @@
 }
 
 func (w *world) claim(name string, override bool) claim.Outcome {
-	claimer := claim.NewClaimer(w, w, claim.WithTasks(func(task func()) { task() }))
+	claimer := claim.NewClaimer(w, w, claim.WithTaskRunner(func(task func()) { task() }))
 	e := claim.Entry{Key: claim.Key{Region: "home", Account: "desk", ID: "k"}, Token: name, Holder: claim.Holder{ID: name}, Expires: farFuture}
 	try := claimer.Claim
 	if override {
--- a/claim/replica.go
+++ b/claim/replica.go
@@ -26,8 +26,8 @@
 // ReplicaOption changes a Replica as NewReplica makes it.
 type ReplicaOption func(*Replica)
 
-// WithMemory bounds the bytes that a replica keeps.
-func WithMemory(bytes int64) ReplicaOption { return func(r *Replica) { r.maxBytes = bytes } }
+// WithMemoryLimit bounds the bytes that a replica keeps.
+func WithMemoryLimit(bytes int64) ReplicaOption { return func(r *Replica) { r.maxBytes = bytes } }
 
 // WithFolded names the test for bills that need not be kept any longer.
 func WithFolded(folded func(holder string, sequence int64) bool) ReplicaOption {
@@ -39,7 +39,7 @@
 // Replica is one node's part of the claims: a bounded table in memory.
 type Replica struct {
 	self     string
-	views    Views
+	views    ViewSource
 	peers    Transport
 	timers   *timer.Service
 	maxBytes int64
@@ -54,11 +54,11 @@
 	own reading
 	// hasVoted is set once this replica was a member of a view.
 	hasVoted bool
-	gaps     []Gap
+	gaps     []LossRecord
 }
 
 // NewReplica returns an empty replica of the member self.
-func NewReplica(self string, views Views, peers Transport, timers *timer.Service, options ...ReplicaOption) *Replica {
+func NewReplica(self string, views ViewSource, peers Transport, timers *timer.Service, options ...ReplicaOption) *Replica {
 	r := &Replica{
 		self:     self,
 		views:    views,
@@ -130,7 +130,7 @@
 
 func (r *Replica) full(e *Entry) bool {
 	bound := r.maxBytes
-	if e.Soft {
+	if e.BestEffort {
 		bound /= 2
 	}
 	return r.bytes+size(e) > bound
@@ -172,7 +172,7 @@
 		return
 	}
 	r.bytes -= size(held)
-	held.State, held.Answer = e.State, e.Answer
+	held.State, held.Response = e.State, e.Response
 	if e.State == StateDone {
 		// The request is not taken over any more.
 		held.Value = nil
@@ -261,8 +261,8 @@
 	return orphans
 }
 
-// Len returns the number of entries and the bytes that they take.
-func (r *Replica) Len() (entries int, bytes int64) {
+// Usage returns the number of entries and the bytes that they take.
+func (r *Replica) Usage() (entries int, bytes int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.entries), r.bytes
@@ -334,7 +334,7 @@
 }
 
 func size(e *Entry) int64 {
-	bytes := int64(entryOverhead + len(e.Key.ID) + len(e.Value) + len(e.Answer))
+	bytes := int64(entryOverhead + len(e.Key.ID) + len(e.Value) + len(e.Response))
 	if e.Rival != nil {
 		bytes += size(e.Rival)
 	}
--- a/claim/replica_test.go
+++ b/claim/replica_test.go
@@ -47,14 +47,14 @@
 	must.Eq(t, claim.VerdictGranted, ask(id, 1, "k", "y/1"))
 
 	done := entry("k", "y/1")
-	done.State, done.Answer = claim.StateDone, []byte("answer")
+	done.State, done.Response = claim.StateDone, []byte("answer")
 	r.Advance(done)
 	back := entry("k", "y/1")
 	back.State = claim.StateRunning
 	r.Advance(back)
 	reply := r.Lookup(claim.Request{Entry: entry("k", "")})
 	must.Eq(t, claim.StateDone, reply.Entry.State, must.Sprint("a claim goes back to no earlier state"))
-	must.Eq(t, "answer", string(reply.Entry.Answer))
+	must.Eq(t, "answer", string(reply.Entry.Response))
 	r.Release(entry("k", "").Key, "y/1", claim.StateClaimed)
 	must.Eq(t, claim.VerdictTaken, ask(id, 1, "k", "z/0"), must.Sprint("work that has run is not abandoned"))
 }
@@ -80,11 +80,11 @@
 func TestSoftClaimsGiveWay(t *testing.T) {
 	w := newWorld(t, nil)
 	id := w.current.Members()[0].ID
-	r := claim.NewReplica(id, w, w, timer.New(), claim.WithMemory(10_000))
+	r := claim.NewReplica(id, w, w, timer.New(), claim.WithMemoryLimit(10_000))
 	r.SetView(w.current)
 	claim.Pull(r)
 	ask := func(i int, soft bool) claim.Verdict {
-		e := claim.Entry{Key: claim.Key{Region: "home", Account: "desk", ID: time.Duration(i).String()}, Token: "t", Expires: farFuture, Soft: soft}
+		e := claim.Entry{Key: claim.Key{Region: "home", Account: "desk", ID: time.Duration(i).String()}, Token: "t", Expires: farFuture, BestEffort: soft}
 		return r.Claim(claim.Request{Epoch: 1, Replica: id, Entry: e}).Verdict
 	}
 	last := claim.VerdictGranted
--- a/claim/settle_test.go
+++ b/claim/settle_test.go
@@ -23,7 +23,7 @@
 }
 
 func (w *world) settle(e claim.Entry) (claim.Outcome, error) {
-	return claim.NewClaimer(w, w, claim.WithTasks(func(task func()) { task() })).Settle(w.t.Context(), e)
+	return claim.NewClaimer(w, w, claim.WithTaskRunner(func(task func()) { task() })).Settle(w.t.Context(), e)
 }
 
 // give hands one replica a vote, past the network.
--- a/claim/transfer.go
+++ b/claim/transfer.go
@@ -28,7 +28,7 @@
 // view carries the history for this.
 //
 // Where two of three replicas died at once, claims may be lost. The range
-// gets a [Gap], and claims of ids older than the gap are answered with "lost"
+// gets a [LossRecord], and claims of ids older than the gap are answered with "lost"
 // instead of a vote that may be wrong.
 
 const (
@@ -40,9 +40,9 @@
 	transferTimeout = 2 * time.Second
 )
 
-// Gap says that claims made before At may be lost if two of the replicas of a
+// LossRecord says that claims made before At may be lost if two of the replicas of a
 // key, or all of them, were among the missing members of a view.
-type Gap struct {
+type LossRecord struct {
 	At      time.Time `cbor:"1,keyasint"`
 	View    []byte    `cbor:"2,keyasint"`
 	Missing []string  `cbor:"3,keyasint"`
@@ -50,7 +50,7 @@
 	decoded *view.View
 }
 
-func (g *Gap) covers(region, key string) bool {
+func (g *LossRecord) covers(region, key string) bool {
 	if g.decoded == nil {
 		g.decoded, _ = view.Decode(g.View)
 	}
@@ -69,7 +69,7 @@
 	return missing > 0 && len(replicas)-missing < readQuorum(len(replicas))
 }
 
-func liveGaps(gaps []Gap, now time.Time) []Gap {
+func liveGaps(gaps []LossRecord, now time.Time) []LossRecord {
 	kept := gaps[:0]
 	for _, g := range gaps {
 		if now.Sub(g.At) < gapLife {
@@ -106,8 +106,8 @@
 	r.own.settled = settled[max(0, len(settled)-settledEpochs):]
 }
 
-// Settled reports whether this replica answers for all its ranges.
-func (r *Replica) Settled() bool {
+// Synced reports whether this replica answers for all its ranges.
+func (r *Replica) Synced() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.transfer.settled
@@ -129,17 +129,17 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.transfer
-	if in.Owner != r.self || t.current.Epoch() < in.Epoch {
+	if in.Source != r.self || t.current.Epoch() < in.Epoch {
 		return TransferReply{}
 	}
 	if t.outgoing == nil {
 		t.outgoing = r.outgoing(t)
 	}
-	reply := TransferReply{Ready: true, Settled: r.own.settled, Since: r.own.since}
+	reply := TransferReply{Ready: true, SyncedEpochs: r.own.settled, FirstEpoch: r.own.since}
 	if in.After == "" {
-		reply.Gaps = append(reply.Gaps, r.gaps...)
+		reply.Losses = append(reply.Losses, r.gaps...)
 	}
-	for _, key := range t.outgoing[in.Asker] {
+	for _, key := range t.outgoing[in.Requester] {
 		e := r.entries[key]
 		if key <= in.After || e == nil {
 			continue
@@ -205,9 +205,9 @@
 }
 
 func (r *Replica) readFrom(ctx context.Context, t *transfer, m view.Member) {
-	in := TransferRequest{Epoch: t.current.Epoch(), Asker: r.self, Owner: m.ID}
+	in := TransferRequest{Epoch: t.current.Epoch(), Requester: r.self, Source: m.ID}
 	var entries []Entry
-	var gaps []Gap
+	var gaps []LossRecord
 	for {
 		pageCtx, cancel := context.WithTimeout(ctx, transferTimeout)
 		reply, err := r.peers.Transfer(pageCtx, m, in)
@@ -216,9 +216,9 @@
 			return
 		}
 		entries = append(entries, reply.Entries...)
-		gaps = append(gaps, reply.Gaps...)
+		gaps = append(gaps, reply.Losses...)
 		if reply.Next == "" {
-			r.adopt(t, m.ID, reading{settled: reply.Settled, since: reply.Since}, entries, gaps)
+			r.adopt(t, m.ID, reading{settled: reply.SyncedEpochs, since: reply.FirstEpoch}, entries, gaps)
 			return
 		}
 		in.After = reply.Next
@@ -227,7 +227,7 @@
 
 // adopt takes in what one member had. A claim seen at one replica counts as
 // perhaps won; those of two attempts leave the key unknown.
-func (r *Replica) adopt(t *transfer, from string, got reading, entries []Entry, gaps []Gap) {
+func (r *Replica) adopt(t *transfer, from string, got reading, entries []Entry, gaps []LossRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.transfer != t {
@@ -277,7 +277,7 @@
 	return AttemptOf(a.Token) == AttemptOf(b.Token) && a.State != StateUnknown && b.State != StateUnknown
 }
 
-func (r *Replica) addGap(g Gap) {
+func (r *Replica) addGap(g LossRecord) {
 	for _, known := range r.gaps {
 		if known.At.Equal(g.At) {
 			return
@@ -319,5 +319,5 @@
 		slog.Error("gap not kept", "error", err)
 		return
 	}
-	r.addGap(Gap{At: r.timers.Now(), View: encoded, Missing: l.members})
+	r.addGap(LossRecord{At: r.timers.Now(), View: encoded, Missing: l.members})
 }
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -91,7 +91,7 @@
 	Lookup(ctx context.Context, key claim.Key) (found *claim.Entry, complete bool)
 	Advance(ctx context.Context, e claim.Entry) (took, of int)
 	Release(key claim.Key, token string)
-	Abandon(key claim.Key, token string)
+	ReleaseStale(key claim.Key, token string)
 }
 
 // Holders reaches the nodes that hold claims.
@@ -306,7 +306,7 @@
 	x := d.Answers.Open(exchange, stop)
 	d.run(runCtx, r, x, record, nil)
 	e := d.entry(r, 0, exchange)
-	e.Soft = true
+	e.BestEffort = true
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), claimTime)
 		defer cancel()
--- a/dispatch/find.go
+++ b/dispatch/find.go
@@ -18,8 +18,8 @@
 	switch {
 	case err == nil && found:
 		return x, nil
-	case e.State == claim.StateDone && len(e.Answer) > 0:
-		return decodeAnswer(e.Answer), nil
+	case e.State == claim.StateDone && len(e.Response) > 0:
+		return decodeAnswer(e.Response), nil
 	case err == nil:
 		return nil, refuse(ReasonAnswerExpired, RanYes, 0, "the answer is not kept any more")
 	case e.Patient && !d.Holders.Answers(e.Holder.ID):
--- a/dispatch/join.go
+++ b/dispatch/join.go
@@ -53,7 +53,7 @@
 		switch {
 		case j.abandoned:
 			// Its holder has given it up and never runs it: clear it away.
-			d.Claims.Abandon(outcome.Other.Key, outcome.Other.Token)
+			d.Claims.ReleaseStale(outcome.Other.Key, outcome.Other.Token)
 			override = true
 		case j.override:
 			override = true
@@ -183,8 +183,8 @@
 	switch {
 	case err == nil && found:
 		return joined{exchange: x}
-	case other.State == claim.StateDone && len(other.Answer) > 0:
-		return joined{exchange: decodeAnswer(other.Answer)}
+	case other.State == claim.StateDone && len(other.Response) > 0:
+		return joined{exchange: decodeAnswer(other.Response)}
 	case err == nil && !ran && other.State == claim.StateClaimed:
 		return joined{abandoned: true}
 	case err == nil && other.Repeatable:
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -119,7 +119,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), advanceTime)
 	defer cancel()
 	next := *e
-	next.State, next.Answer, next.Value = state, kept, nil
+	next.State, next.Response, next.Value = state, kept, nil
 	took, of := d.Claims.Advance(ctx, next)
 	return took > of/2
 }
--- a/gateway/nodes.go
+++ b/gateway/nodes.go
@@ -112,7 +112,7 @@
 	n.known[c.Key] = e
 	delete(n.lapsed, c.Key)
 	if c.Key == n.key() && n.lease == 0 {
-		n.earlier = earlierEntry{lease: c.Lease, same: !e.Leaving && n.g.self.At(e.Member)}
+		n.earlier = earlierEntry{lease: c.Lease, same: !e.Leaving && n.g.self.SameLocation(e.Member)}
 	}
 	slog.Info("gateway", "id", e.ID, "caller", e.Caller, "data_hall", e.DataHall, "leaving", e.Leaving, "revision", c.Revision)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -76,7 +76,7 @@
 	client   *peer.Client
 	spreader *spread.Spreader
 	prober   *member.Prober
-	keeper   *view.Keeper
+	keeper   *view.Manager
 	replica  *claim.Replica
 	claimer  *claim.Claimer
 	journal  *ledger.Journal
@@ -153,8 +153,8 @@
 		member.WithCounter(n.metrics.Status),
 	)
 	n.spreader.SetMembers(seeds{n.prober, n.vms})
-	n.keeper = view.NewKeeper(spread.View, n.self, n.spreader, n.prober, n.vms, n.timers)
-	n.spreader.Subscribe(spread.View, n.keeper.Take)
+	n.keeper = view.NewManager(spread.View, n.self, n.spreader, n.prober, n.vms, n.timers)
+	n.spreader.Subscribe(spread.View, n.keeper.Apply)
 	n.spreader.Subscribe(spread.Config, n.takeConfig)
 	n.keeper.Subscribe(n.prober.SetView)
 }
@@ -260,8 +260,8 @@
 		{"violettally_config_revision", "Revision of the configuration in force.", func() float64 { return float64(n.Config().Revision()) }},
 		{"violettally_view_epoch", "Epoch of the view in force.", func() float64 { return float64(n.keeper.Current().Epoch()) }},
 		{"violettally_members_answering", "Members that answer, without this one.", func() float64 { return float64(len(n.prober.Alive())) }},
-		{"violettally_claims", "Claims that this node remembers.", func() float64 { entries, _ := n.replica.Len(); return float64(entries) }},
-		{"violettally_claim_bytes", "Bytes of the claims that this node remembers.", func() float64 { _, bytes := n.replica.Len(); return float64(bytes) }},
+		{"violettally_claims", "Claims that this node remembers.", func() float64 { entries, _ := n.replica.Usage(); return float64(entries) }},
+		{"violettally_claim_bytes", "Bytes of the claims that this node remembers.", func() float64 { _, bytes := n.replica.Usage(); return float64(bytes) }},
 		{"violettally_bills_pending", "Bills that wait for their fold.", func() float64 { return float64(n.journal.Pending()) }},
 		{"violettally_admission_running", "Requests that this node has let in to pools.", func() float64 { running, _ := n.backends.load(); return float64(running) }},
 		{"violettally_admission_waiting", "Requests that wait for a pool.", func() float64 { _, waiting := n.backends.load(); return float64(waiting) }},
--- a/node/operators.go
+++ b/node/operators.go
@@ -26,7 +26,7 @@
 		return "no configuration is in force"
 	case !n.keeper.Current().Has(n.self.ID):
 		return "not in the view"
-	case !n.replica.Settled():
+	case !n.replica.Synced():
 		return "claims are being taken over"
 	case !n.spreader.Current():
 		return "cut off from the platform and most of the view"
--- a/node/peers.go
+++ b/node/peers.go
@@ -54,7 +54,7 @@
 
 // onDuty reports whether this node is the first of its region that answers.
 // What such a node does is safe when two believe to be it.
-func (n *Node) onDuty() bool { return n.prober.RegionRank() == 0 && n.replica.Settled() }
+func (n *Node) onDuty() bool { return n.prober.RegionRank() == 0 && n.replica.Synced() }
 
 // driverCandidates is how many nodes compete for the driver's lease.
 const driverCandidates = 3
@@ -148,7 +148,7 @@
 
 // members is who belongs to the system, and who of them answers.
 type members struct {
-	*view.Keeper
+	*view.Manager
 	*member.Prober
 }
 
--- a/view/keeper.go
+++ b/view/keeper.go
@@ -10,13 +10,13 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// Shared changes the view at the platform and puts it in force.
-type Shared interface {
+// DocumentStore changes the view at the platform and puts it in force.
+type DocumentStore interface {
 	Update(ctx context.Context, name string, change func(old []byte) ([]byte, error)) (document.Item, error)
 }
 
-// Opinions tells what the probes found.
-type Opinions interface {
+// FailureDetector tells what the probes found.
+type FailureDetector interface {
 	// FaultySince returns since when a member is confirmed not to answer.
 	FaultySince(id string) (time.Time, bool)
 	// Alive returns the peers that answer.
@@ -49,13 +49,13 @@
 	proposers = 2
 )
 
-// Keeper holds the view in force, brings this node into it and proposes the
+// Manager holds the view in force, brings this node into it and proposes the
 // removal of members that are gone.
-type Keeper struct {
+type Manager struct {
 	name     string
 	self     Member
-	shared   Shared
-	opinions Opinions
+	shared   DocumentStore
+	opinions FailureDetector
 	vms      VMList
 	timers   *timer.Service
 
@@ -66,10 +66,10 @@
 	leaving     bool
 }
 
-// NewKeeper returns a keeper that holds the empty view. The name is that of
+// NewManager returns a keeper that holds the empty view. The name is that of
 // the shared document.
-func NewKeeper(name string, self Member, shared Shared, opinions Opinions, vms VMList, timers *timer.Service) *Keeper {
-	return &Keeper{
+func NewManager(name string, self Member, shared DocumentStore, opinions FailureDetector, vms VMList, timers *timer.Service) *Manager {
+	return &Manager{
 		name:     name,
 		self:     self,
 		shared:   shared,
@@ -83,24 +83,24 @@
 
 // Subscribe calls changed with each later view, one call at a time. It must
 // be called before the first Take.
-func (k *Keeper) Subscribe(changed func(*View)) { k.subscribers = append(k.subscribers, changed) }
+func (k *Manager) Subscribe(changed func(*View)) { k.subscribers = append(k.subscribers, changed) }
 
 // Current returns the view in force.
-func (k *Keeper) Current() *View {
+func (k *Manager) Current() *View {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	return k.current
 }
 
 // Changed returns a channel that is closed when the view next changes.
-func (k *Keeper) Changed() <-chan struct{} {
+func (k *Manager) Changed() <-chan struct{} {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	return k.changed
 }
 
-// Take puts a stored view in force if its epoch is higher.
-func (k *Keeper) Take(item document.Item) {
+// Apply puts a stored view in force if its epoch is higher.
+func (k *Manager) Apply(item document.Item) {
 	v, err := Decode(item.Data)
 	if err != nil {
 		slog.Error("stored view is malformed", "error", err)
@@ -123,7 +123,7 @@
 
 // Dead reports whether a member is gone for good: its VM has left the
 // platform's list or runs a later incarnation.
-func (k *Keeper) Dead(m Member) bool {
+func (k *Manager) Dead(m Member) bool {
 	for _, other := range k.Current().Members() {
 		if other.VM == m.VM && other.ID != m.ID && other.Joined >= m.Joined {
 			return true
@@ -135,7 +135,7 @@
 }
 
 // Run keeps this node in the view until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Manager) Run(ctx context.Context) {
 	ticks := k.timers.Subscribe(keepInterval)
 	defer ticks.Stop()
 	for {
@@ -148,7 +148,7 @@
 	}
 }
 
-func (k *Keeper) keep(ctx context.Context) {
+func (k *Manager) keep(ctx context.Context) {
 	if !k.Current().Has(k.self.ID) && !k.isLeaving() && k.reachable(ctx) {
 		k.change(ctx, "join", []Member{k.joining()}, nil)
 	}
@@ -157,7 +157,7 @@
 	}
 }
 
-func (k *Keeper) joining() Member {
+func (k *Manager) joining() Member {
 	m := k.self
 	m.Joined = k.timers.Now().Unix()
 	return m
@@ -165,7 +165,7 @@
 
 // reachable asks the peers whether they reach this node. One that can only
 // speak and not be spoken to would be removed again and again.
-func (k *Keeper) reachable(ctx context.Context) bool {
+func (k *Manager) reachable(ctx context.Context) bool {
 	alive := k.opinions.Alive()
 	if len(alive) == 0 {
 		return true
@@ -181,7 +181,7 @@
 // gone returns the members that have to leave the view. A node that hears
 // only a minority may be the one that is cut off, so it goes by the VM list
 // alone.
-func (k *Keeper) gone() []string {
+func (k *Manager) gone() []string {
 	var gone []string
 	now := k.timers.Now()
 	hears := k.opinions.Hears()
@@ -198,9 +198,9 @@
 }
 
 // proposes reports whether this node is one of the few that propose removals.
-func (k *Keeper) proposes() bool { return k.opinions.RegionRank() < proposers }
+func (k *Manager) proposes() bool { return k.opinions.RegionRank() < proposers }
 
-func (k *Keeper) change(ctx context.Context, why string, add []Member, remove []string) {
+func (k *Manager) change(ctx context.Context, why string, add []Member, remove []string) {
 	_, err := k.shared.Update(ctx, k.name, func(old []byte) ([]byte, error) {
 		present, err := Decode(old)
 		if err != nil {
@@ -218,14 +218,14 @@
 }
 
 // Leave takes this node out of the view and keeps it out.
-func (k *Keeper) Leave(ctx context.Context) {
+func (k *Manager) Leave(ctx context.Context) {
 	k.mu.Lock()
 	k.leaving = true
 	k.mu.Unlock()
 	k.change(ctx, "leave", nil, []string{k.self.ID})
 }
 
-func (k *Keeper) isLeaving() bool {
+func (k *Manager) isLeaving() bool {
 	k.mu.RLock()
 	defer k.mu.RUnlock()
 	return k.leaving
--- a/view/view.go
+++ b/view/view.go
@@ -52,9 +52,9 @@
 // MemberID returns the ID of one incarnation of a VM's process.
 func MemberID(vm, incarnation string) string { return vm + "#" + incarnation }
 
-// At reports whether another process, of this VM or not, is reached and found
+// SameLocation reports whether another process, of this VM or not, is reached and found
 // where this one is.
-func (m Member) At(other Member) bool {
+func (m Member) SameLocation(other Member) bool {
 	return m.VM == other.VM && m.Region == other.Region && m.DataHall == other.DataHall &&
 		m.Caller == other.Caller && m.Peer == other.Peer
 }
