--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -12,8 +12,8 @@
 	"github.com/violettally/violettally/view"
 )
 
-// bigView is one region at the letter's size: 160 nodes in three data halls.
-func bigView() *view.View {
+// largeView is one region at the letter's size: 160 nodes in three data halls.
+func largeView() *view.View {
 	var members []view.Member
 	for i := range 160 {
 		members = append(members, member(fmt.Sprintf("north-entry-%03d", i), fmt.Sprintf("hall-%d", i%3)))
@@ -22,30 +22,30 @@
 }
 
 func BenchmarkReplicas(b *testing.B) {
-	v := bigView()
+	v := largeView()
 	for i := 0; b.Loop(); i++ {
 		v.Replicas("home", fmt.Sprint("home/desk/request/", i))
 	}
 }
 
-// fixed is a view that does not change.
-type fixed struct{ v *view.View }
+// staticView is a view that does not change.
+type staticView struct{ v *view.View }
 
-func (f fixed) Current() *view.View      { return f.v }
-func (f fixed) Changed() <-chan struct{} { return nil }
-func (f fixed) Dead(view.Member) bool    { return false }
+func (f staticView) Current() *view.View      { return f.v }
+func (f staticView) Changed() <-chan struct{} { return nil }
+func (f staticView) Dead(view.Member) bool    { return false }
 
 func BenchmarkVote(b *testing.B) {
 	v := view.Empty().Change([]view.Member{member("a", "north")}, nil)
 	id := v.Members()[0].ID
-	r := claim.NewReplica(id, fixed{v}, nil, timer.New(), claim.WithMemoryLimit(1<<40))
+	r := claim.NewReplica(id, staticView{v}, nil, timer.New(), claim.WithMemoryLimit(1<<40))
 	r.SetView(v)
 	for i := 0; b.Loop(); i++ {
-		r.Claim(claim.Request{Epoch: 1, Replica: id, Entry: entryOf(i)})
+		r.Claim(claim.Request{Epoch: 1, Replica: id, Entry: testEntry(i)})
 	}
 }
 
-func entryOf(i int) claim.Entry {
+func testEntry(i int) claim.Entry {
 	return claim.Entry{
 		Key:     claim.Key{Region: "home", Account: "dispatch-desk", ID: fmt.Sprintf("01a236ac-b9db-773d-a9a6-%012d", i)},
 		Token:   fmt.Sprintf("01a236ac-b9db-773d-a9a6-%012d/0", i),
@@ -61,13 +61,13 @@
 	for b.Loop() {
 		v := view.Empty().Change([]view.Member{member("a", "north")}, nil)
 		id := v.Members()[0].ID
-		r := claim.NewReplica(id, fixed{v}, nil, timer.New(), claim.WithMemoryLimit(1<<40))
+		r := claim.NewReplica(id, staticView{v}, nil, timer.New(), claim.WithMemoryLimit(1<<40))
 		r.SetView(v)
 		var before, after runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&before)
 		for i := range entries {
-			r.Claim(claim.Request{Epoch: 1, Replica: id, Entry: entryOf(i)})
+			r.Claim(claim.Request{Epoch: 1, Replica: id, Entry: testEntry(i)})
 		}
 		runtime.GC()
 		runtime.ReadMemStats(&after)
@@ -80,15 +80,15 @@
 // the letter's size: 160 nodes, 25,000 claims on each.
 func BenchmarkTransfer(b *testing.B) {
 	slog.SetLogLoggerLevel(slog.LevelError)
-	before := bigView()
+	before := largeView()
 	after := before.Change(nil, []string{before.Members()[7].ID})
 	id := before.Members()[0].ID
 	for b.Loop() {
 		b.StopTimer()
-		r := claim.NewReplica(id, fixed{before}, nil, timer.New(), claim.WithMemoryLimit(1<<40))
+		r := claim.NewReplica(id, staticView{before}, nil, timer.New(), claim.WithMemoryLimit(1<<40))
 		r.SetView(before)
 		for i, granted := 0, 0; granted < 25_000; i++ {
-			reply := r.Claim(claim.Request{Epoch: 1, Replica: id, Entry: entryOf(i)})
+			reply := r.Claim(claim.Request{Epoch: 1, Replica: id, Entry: testEntry(i)})
 			if reply.Verdict == claim.VerdictGranted {
 				granted++
 			}
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -145,9 +145,9 @@
 	}
 }
 
-// rivals returns the entry for a bill that several attempts have claimed: the
+// mergeBillClaims returns the entry for a bill that several attempts have claimed: the
 // first two by name, each in its last round, of which either may have won.
-func rivals(claims []*Entry) Entry {
+func mergeBillClaims(claims []*Entry) Entry {
 	last := make(map[string]Entry)
 	for _, c := range claims {
 		attempt := AttemptOf(c.Token)
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -15,20 +15,20 @@
 	// voteTimeout bounds one message to one replica; data halls of a region
 	// are milliseconds apart.
 	voteTimeout = 300 * time.Millisecond
-	// voteRounds is how often a claim is tried while the view changes.
-	voteRounds = 4
-	// releaseTries is how often a release is sent to a replica that does not
+	// maxRounds is how often a claim is tried while the view changes.
+	maxRounds = 4
+	// maxReleaseTries is how often a release is sent to a replica that does not
 	// answer.
-	releaseTries = 3
+	maxReleaseTries = 3
 )
 
 // Claimer makes claims for one node.
 type Claimer struct {
-	views ViewSource
-	peers Transport
-	count func(Verdict)
-	// beside runs what goes on beside the caller.
-	beside func(task func())
+	views        ViewSource
+	peers        Transport
+	countVerdict func(Verdict)
+	// runTask runs what goes on beside the caller.
+	runTask func(task func())
 }
 
 // ClaimerOption changes a Claimer as NewClaimer makes it.
@@ -36,18 +36,18 @@
 
 // WithVerdictCounter counts the replicas' answers.
 func WithVerdictCounter(count func(Verdict)) ClaimerOption {
-	return func(c *Claimer) { c.count = count }
+	return func(c *Claimer) { c.countVerdict = count }
 }
 
 // WithTaskRunner replaces how tasks are run beside the caller, for tests that need
 // one order of things.
 func WithTaskRunner(beside func(task func())) ClaimerOption {
-	return func(c *Claimer) { c.beside = beside }
+	return func(c *Claimer) { c.runTask = beside }
 }
 
 // NewClaimer returns a claimer.
 func NewClaimer(views ViewSource, peers Transport, options ...ClaimerOption) *Claimer {
-	c := &Claimer{views: views, peers: peers, count: func(Verdict) {}, beside: func(task func()) { go task() }}
+	c := &Claimer{views: views, peers: peers, countVerdict: func(Verdict) {}, runTask: func(task func()) { go task() }}
 	for _, option := range options {
 		option(c)
 	}
@@ -74,17 +74,17 @@
 // races meet at the first. The token of e must be new on all nodes; each round
 // claims under a token of its own, made from it by [RoundToken].
 func (c *Claimer) Claim(ctx context.Context, e Entry) (Outcome, error) {
-	return c.rounds(ctx, e, 0, false)
+	return c.tryRounds(ctx, e, 0, false)
 }
 
 // Override tries to win a key although a replica holds a claim of somebody
 // who does not answer. It fails to win if that claim was won. After a Claim, it
 // may be called with the same token.
 func (c *Claimer) Override(ctx context.Context, e Entry) (Outcome, error) {
-	return c.rounds(ctx, e, voteRounds, true)
+	return c.tryRounds(ctx, e, maxRounds, true)
 }
 
-func (c *Claimer) rounds(ctx context.Context, e Entry, first int, override bool) (Outcome, error) {
+func (c *Claimer) tryRounds(ctx context.Context, e Entry, first int, override bool) (Outcome, error) {
 	base := e.Token
 	n := first
 	return c.retry(ctx, func() (Outcome, bool, error) {
@@ -98,7 +98,7 @@
 // at different epochs, or a range was being taken over; either passes soon.
 func (c *Claimer) retry(ctx context.Context, round func() (_ Outcome, again bool, _ error)) (Outcome, error) {
 	var err error
-	for range voteRounds {
+	for range maxRounds {
 		changed := c.views.Changed()
 		var outcome Outcome
 		var again bool
@@ -154,11 +154,11 @@
 // votes counts one round.
 type votes struct {
 	granted int
-	// empty counts the replicas that had no claim of the key.
-	empty      int
+	// unclaimed counts the replicas that had no claim of the key.
+	unclaimed  int
 	taken      map[string]int
 	entries    map[string]*Entry
-	again      bool
+	retryable  bool
 	full       bool
 	lostBefore time.Time
 	reached    bool
@@ -176,17 +176,17 @@
 	switch reply.Verdict {
 	case VerdictGranted:
 		v.granted++
-		v.empty++
+		v.unclaimed++
 	case VerdictTaken:
 		v.taken[reply.Entry.Token]++
 		if known := v.entries[reply.Entry.Token]; known == nil || known.State < reply.Entry.State {
 			v.entries[reply.Entry.Token] = reply.Entry
 		}
 	case VerdictEpoch, VerdictNotReady:
-		v.again = true
+		v.retryable = true
 	case VerdictFull:
 		v.full = true
-		v.empty++
+		v.unclaimed++
 	}
 }
 
@@ -213,10 +213,10 @@
 	v := &votes{taken: make(map[string]int), entries: make(map[string]*Entry)}
 	for _, m := range replicas {
 		v.asked = append(v.asked, m)
-		reply, err := c.ask(ctx, m, Request{Epoch: current.Epoch(), Replica: m.ID, Entry: e})
+		reply, err := c.requestVote(ctx, m, Request{Epoch: current.Epoch(), Replica: m.ID, Entry: e})
 		v.count(reply, err)
 		if v.granted >= need {
-			c.fill(replicas[len(v.asked):], Request{Epoch: current.Epoch(), Entry: e})
+			c.propagateWin(replicas[len(v.asked):], Request{Epoch: current.Epoch(), Entry: e})
 			return Outcome{Won: true, Token: e.Token, LostBefore: v.lostBefore, Reached: v.reached}, false, nil
 		}
 		other, n := v.leading()
@@ -229,35 +229,35 @@
 	if other, n := v.leading(); other != nil {
 		return Outcome{Other: other, OtherWon: n >= need, LostBefore: v.lostBefore}, false, nil
 	}
-	switch known := v.empty >= readQuorum(len(replicas)); {
+	switch known := v.unclaimed >= readQuorum(len(replicas)); {
 	case known && v.full:
 		return Outcome{}, false, errs.New(Full, "claim", "the replicas of %s have no memory left", e.Key)
 	case known:
-		return Outcome{}, v.again, errs.New(Split, "claim", "%d of %d votes for %s", v.granted, need, e.Key)
+		return Outcome{}, v.retryable, errs.New(Split, "claim", "%d of %d votes for %s", v.granted, need, e.Key)
 	default:
-		return Outcome{}, v.again, errs.New(Unreachable, "claim", "%d of %d replicas of %s answered", v.empty, len(replicas), e.Key)
+		return Outcome{}, v.retryable, errs.New(Unreachable, "claim", "%d of %d replicas of %s answered", v.unclaimed, len(replicas), e.Key)
 	}
 }
 
-// fill lets the replicas that were not needed for a win know of it, beside the
+// propagateWin lets the replicas that were not needed for a win know of it, beside the
 // caller, so that whoever asks while one of the others does not answer can
 // still see that the claim was won. Claims that nobody waits for go without.
-func (c *Claimer) fill(rest []view.Member, r Request) {
+func (c *Claimer) propagateWin(rest []view.Member, r Request) {
 	if r.Entry.BestEffort || r.Entry.Key.Kind == KindBill {
 		return
 	}
 	for _, m := range rest {
 		r.Replica = m.ID
-		c.beside(func() { _, _ = c.ask(context.Background(), m, r) })
+		c.runTask(func() { _, _ = c.requestVote(context.Background(), m, r) })
 	}
 }
 
-func (c *Claimer) ask(ctx context.Context, m view.Member, r Request) (Reply, error) {
+func (c *Claimer) requestVote(ctx context.Context, m view.Member, r Request) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, voteTimeout)
 	defer cancel()
 	reply, err := c.peers.Claim(ctx, m, r)
 	if err == nil {
-		c.count(reply.Verdict)
+		c.countVerdict(reply.Verdict)
 	}
 	return reply, err
 }
@@ -278,8 +278,8 @@
 // the holder finds out.
 func (c *Claimer) release(from []view.Member, key Key, token string, upTo State) {
 	for _, m := range from {
-		c.beside(func() {
-			for range releaseTries {
+		c.runTask(func() {
+			for range maxReleaseTries {
 				ctx, cancel := context.WithTimeout(context.Background(), voteTimeout)
 				err := c.peers.Release(ctx, m, key, token, upTo)
 				cancel()
@@ -320,7 +320,7 @@
 	v := &votes{taken: make(map[string]int), entries: make(map[string]*Entry)}
 	empty := 0
 	for _, m := range replicas {
-		reply, err := c.lookup(ctx, m, Request{Epoch: current.Epoch(), Replica: m.ID, Entry: Entry{Key: key}})
+		reply, err := c.lookupAt(ctx, m, Request{Epoch: current.Epoch(), Replica: m.ID, Entry: Entry{Key: key}})
 		v.count(reply, err)
 		if err == nil && reply.Verdict == VerdictGranted {
 			empty++
@@ -333,7 +333,7 @@
 	return other, other != nil || (len(replicas) > 0 && empty >= quorum(len(replicas)))
 }
 
-func (c *Claimer) lookup(ctx context.Context, m view.Member, r Request) (Reply, error) {
+func (c *Claimer) lookupAt(ctx context.Context, m view.Member, r Request) (Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, voteTimeout)
 	defer cancel()
 	return c.peers.Lookup(ctx, m, r)
--- a/claim/coverage.go
+++ b/claim/coverage.go
@@ -12,36 +12,36 @@
 	current *view.View
 	// earlier views, latest first, as far as the history reaches. It is
 	// whole if it reaches back to the first member.
-	earlier []*view.View
-	whole   bool
-	// answered holds what each member that was read can vouch for.
-	answered map[string]reading
+	earlier         []*view.View
+	historyComplete bool
+	// read holds what each member that was read can vouch for.
+	read     map[string]coverage
 	dead     map[string]bool
-	settled  bool
+	synced   bool
 	outgoing map[string][]string
 }
 
-// reading is what a member that was read can vouch for: the epochs that it had
+// coverage is what a member that was read can vouch for: the epochs that it had
 // settled at, and the first one whose votes it still has.
-type reading struct {
-	settled []int64
-	since   int64
+type coverage struct {
+	syncedEpochs []int64
+	firstEpoch   int64
 }
 
-func (r reading) settledAt(epoch int64) bool { return slices.Contains(r.settled, epoch) }
+func (r coverage) syncedAt(epoch int64) bool { return slices.Contains(r.syncedEpochs, epoch) }
 
 // newTransfer starts taking over for current. This node's own table counts as
 // read.
-func newTransfer(self string, current *view.View, own reading) *transfer {
+func newTransfer(self string, current *view.View, own coverage) *transfer {
 	t := &transfer{
-		self:     self,
-		current:  current,
-		answered: map[string]reading{self: own},
-		dead:     make(map[string]bool),
+		self:    self,
+		current: current,
+		read:    map[string]coverage{self: own},
+		dead:    make(map[string]bool),
 	}
 	for _, before := range current.Earlier() {
 		if len(before.Members()) == 0 {
-			t.whole = true
+			t.historyComplete = true
 			break
 		}
 		t.earlier = append(t.earlier, before)
@@ -51,12 +51,12 @@
 
 // ready reports whether enough replicas of a key's earlier epochs were read.
 func (t *transfer) ready(region, key string, replicas []view.Member) bool {
-	if t.settled {
+	if t.synced {
 		return true
 	}
 	for _, v := range t.earlier {
 		before := v.Replicas(region, key)
-		read, needed, settled := t.tally(v, before)
+		read, needed, settled := t.countReads(v, before)
 		if !sameMembers(before, replicas) && read < needed {
 			return false
 		}
@@ -64,20 +64,20 @@
 			return true
 		}
 	}
-	return t.whole
+	return t.historyComplete
 }
 
-// tally counts the replicas of an earlier epoch that were read, how many have
+// countReads counts the replicas of an earlier epoch that were read, how many have
 // to be, and whether one of those read had settled at it.
-func (t *transfer) tally(v *view.View, before []view.Member) (read, needed int, settled bool) {
+func (t *transfer) countReads(v *view.View, before []view.Member) (read, needed int, settled bool) {
 	alive := 0
 	for _, m := range before {
-		got, answered := t.answered[m.ID]
+		got, answered := t.read[m.ID]
 		switch {
-		case answered && got.since <= v.Epoch():
+		case answered && got.firstEpoch <= v.Epoch():
 			read++
 			alive++
-			settled = settled || got.settledAt(v.Epoch())
+			settled = settled || got.syncedAt(v.Epoch())
 		case !answered && !t.dead[m.ID]:
 			alive++
 		}
@@ -85,33 +85,33 @@
 	return read, min(readQuorum(len(before)), alive), settled
 }
 
-// loss names members of one epoch that died without having been read.
-type loss struct {
+// lostMembers names members of one epoch that died without having been read.
+type lostMembers struct {
 	view    *view.View
 	members []string
 }
 
-// complete reports whether every key is ready, judged by the members alone,
+// allReady reports whether every key is ready, judged by the members alone,
 // and what was lost.
-func (t *transfer) complete() (losses []loss, ok bool) {
+func (t *transfer) allReady() (losses []lostMembers, ok bool) {
 	for _, v := range t.earlier {
-		unread := t.survey(v)
-		mayMiss := unread.spread(v) > tolerable(v)
-		if unread.waiting > 0 && mayMiss {
+		unread := t.progress(v)
+		mayMiss := unread.maxUnreadReplicas(v) > toleratedUnread(v)
+		if unread.pending > 0 && mayMiss {
 			return nil, false
 		}
 		if len(unread.dead) > 0 && mayMiss {
-			losses = append(losses, loss{view: v, members: unread.dead})
+			losses = append(losses, lostMembers{view: v, members: unread.dead})
 		}
-		if unread.unsettled == 0 {
+		if unread.unsynced == 0 {
 			return losses, true
 		}
 	}
-	if !t.whole && len(t.earlier) > 0 {
+	if !t.historyComplete && len(t.earlier) > 0 {
 		// The history ends before anybody had settled: count the oldest
 		// members as lost, which is never wrong.
 		oldest := t.earlier[len(t.earlier)-1]
-		losses = append(losses, loss{view: oldest, members: memberIDs(oldest)})
+		losses = append(losses, lostMembers{view: oldest, members: memberIDs(oldest)})
 	}
 	return losses, true
 }
@@ -124,56 +124,56 @@
 	return ids
 }
 
-// surveyed sums up how far the members of one epoch were read.
-type surveyed struct {
+// readProgress sums up how far the members of one epoch were read.
+type readProgress struct {
 	dead []string
 	// unread counts members that were not read, dead ones included; halls are
 	// theirs.
-	unread int
-	halls  map[string]bool
-	// waiting counts unread members that are not dead.
-	waiting int
-	// unsettled counts living members that had not settled at the epoch.
-	unsettled int
+	unread      int
+	unreadHalls map[string]bool
+	// pending counts unread members that are not dead.
+	pending int
+	// unsynced counts living members that had not settled at the epoch.
+	unsynced int
 }
 
-// spread returns how many replicas of one key may be unread at the most. With
+// maxUnreadReplicas returns how many replicas of one key may be unread at the most. With
 // enough data halls the replicas of a key lie in different ones.
-func (s surveyed) spread(v *view.View) int {
-	if halls(v) >= view.ReplicaCount {
-		return len(s.halls)
+func (s readProgress) maxUnreadReplicas(v *view.View) int {
+	if countDataHalls(v) >= view.ReplicaCount {
+		return len(s.unreadHalls)
 	}
 	return s.unread
 }
 
-// tolerable returns how many replicas of a key may stay unread.
-func tolerable(v *view.View) int {
+// toleratedUnread returns how many replicas of a key may stay unread.
+func toleratedUnread(v *view.View) int {
 	replicas := min(view.ReplicaCount, len(v.Members()))
 	return replicas - readQuorum(replicas)
 }
 
-func (t *transfer) survey(v *view.View) surveyed {
-	s := surveyed{halls: make(map[string]bool)}
+func (t *transfer) progress(v *view.View) readProgress {
+	s := readProgress{unreadHalls: make(map[string]bool)}
 	for _, m := range v.Members() {
-		got, answered := t.answered[m.ID]
-		if answered && got.since <= v.Epoch() {
-			if !got.settledAt(v.Epoch()) {
-				s.unsettled++
+		got, answered := t.read[m.ID]
+		if answered && got.firstEpoch <= v.Epoch() {
+			if !got.syncedAt(v.Epoch()) {
+				s.unsynced++
 			}
 			continue
 		}
 		s.unread++
-		s.halls[m.DataHall] = true
+		s.unreadHalls[m.DataHall] = true
 		if answered || t.dead[m.ID] {
 			s.dead = append(s.dead, m.ID)
 		} else {
-			s.waiting++
+			s.pending++
 		}
 	}
 	return s
 }
 
-func halls(v *view.View) int {
+func countDataHalls(v *view.View) int {
 	seen := make(map[string]bool)
 	for _, m := range v.Members() {
 		seen[m.DataHall] = true
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -21,23 +21,23 @@
 // and holds each against the one promise that the others rest on, that at most
 // one claimer wins a key.
 
-// outcome is what the network does with one message.
-type outcome int
+// delivery is what the network does with one message.
+type delivery int
 
 const (
-	delivered outcome = iota
+	delivered delivery = iota
 	requestLost
 	replyLost
-	doubled
-	// late messages are delivered after everything else.
-	late
-	outcomes
+	duplicated
+	// delayed messages are delivered after everything else.
+	delayed
+	deliveryCount
 )
 
 var errLost = errors.New("message lost")
 
-// world is three replicas, one that replaces another, and the network.
-type world struct {
+// cluster is three replicas, one that replaces another, and the network.
+type cluster struct {
 	t        *testing.T
 	current  *view.View
 	changed  chan struct{}
@@ -45,25 +45,25 @@
 	dead     map[string]bool
 	// script gives the outcome of each claim message in turn; messages beyond
 	// it are delivered.
-	script []outcome
-	// before holds what happens before the nth message.
-	before  map[int][]func()
-	sent    int
-	delayed []func()
+	script []delivery
+	// beforeMessage holds what happens before the nth message.
+	beforeMessage map[int][]func()
+	sent          int
+	delayed       []func()
 }
 
 func member(name, hall string) view.Member {
 	return view.Member{ID: view.MemberID(name, "1"), VM: name, Region: "home", DataHall: hall, Peer: name}
 }
 
-func newWorld(t *testing.T, script []outcome) *world {
-	w := &world{
-		t:        t,
-		changed:  make(chan struct{}),
-		replicas: make(map[string]*claim.Replica),
-		dead:     make(map[string]bool),
-		script:   script,
-		before:   make(map[int][]func()),
+func newCluster(t *testing.T, script []delivery) *cluster {
+	w := &cluster{
+		t:             t,
+		changed:       make(chan struct{}),
+		replicas:      make(map[string]*claim.Replica),
+		dead:          make(map[string]bool),
+		script:        script,
+		beforeMessage: make(map[int][]func()),
 	}
 	timers := timer.New()
 	t.Cleanup(timers.Close)
@@ -75,7 +75,7 @@
 	return w
 }
 
-func (w *world) setView(v *view.View) {
+func (w *cluster) setView(v *view.View) {
 	w.current = v
 	for _, r := range w.replicas {
 		r.SetView(v)
@@ -87,21 +87,21 @@
 	}
 }
 
-func (w *world) Current() *view.View      { return w.current }
-func (w *world) Changed() <-chan struct{} { return closed }
-func (w *world) Dead(m view.Member) bool  { return w.dead[m.ID] }
+func (w *cluster) Current() *view.View      { return w.current }
+func (w *cluster) Changed() <-chan struct{} { return closedChan }
+func (w *cluster) Dead(m view.Member) bool  { return w.dead[m.ID] }
 
-var closed = func() chan struct{} {
+var closedChan = func() chan struct{} {
 	c := make(chan struct{})
 	close(c)
 	return c
 }()
 
 // Claim is one message of the model.
-func (w *world) Claim(_ context.Context, to view.Member, r claim.Request) (claim.Reply, error) {
+func (w *cluster) Claim(_ context.Context, to view.Member, r claim.Request) (claim.Reply, error) {
 	at := w.sent
 	w.sent++
-	for _, happen := range w.before[at] {
+	for _, happen := range w.beforeMessage[at] {
 		happen()
 	}
 	what := delivered
@@ -118,11 +118,11 @@
 	case replyLost:
 		replica.Claim(r)
 		return claim.Reply{}, errLost
-	case doubled:
+	case duplicated:
 		reply := replica.Claim(r)
 		replica.Claim(r)
 		return reply, nil
-	case late:
+	case delayed:
 		w.delayed = append(w.delayed, func() { replica.Claim(r) })
 		return claim.Reply{}, errLost
 	default:
@@ -130,28 +130,28 @@
 	}
 }
 
-func (w *world) Lookup(_ context.Context, to view.Member, r claim.Request) (claim.Reply, error) {
+func (w *cluster) Lookup(_ context.Context, to view.Member, r claim.Request) (claim.Reply, error) {
 	if w.dead[to.ID] {
 		return claim.Reply{}, errLost
 	}
 	return w.replicas[to.ID].Lookup(r), nil
 }
 
-func (w *world) Advance(context.Context, view.Member, claim.Entry) error { return nil }
+func (w *cluster) Advance(context.Context, view.Member, claim.Entry) error { return nil }
 
 // Release never arrives: the worst that can happen to it.
-func (w *world) Release(context.Context, view.Member, claim.Key, string, claim.State) error {
+func (w *cluster) Release(context.Context, view.Member, claim.Key, string, claim.State) error {
 	return errLost
 }
 
-func (w *world) Transfer(_ context.Context, to view.Member, r claim.TransferRequest) (claim.TransferReply, error) {
+func (w *cluster) Transfer(_ context.Context, to view.Member, r claim.TransferRequest) (claim.TransferReply, error) {
 	if w.dead[to.ID] {
 		return claim.TransferReply{}, errLost
 	}
 	return w.replicas[to.ID].Transfer(r), nil
 }
 
-func (w *world) claim(name string, override bool) claim.Outcome {
+func (w *cluster) claim(name string, override bool) claim.Outcome {
 	claimer := claim.NewClaimer(w, w, claim.WithTaskRunner(func(task func()) { task() }))
 	e := claim.Entry{Key: claim.Key{Region: "home", Account: "desk", ID: "k"}, Token: name, Holder: claim.Holder{ID: name}, Expires: farFuture}
 	try := claimer.Claim
@@ -166,15 +166,15 @@
 }
 
 // replaceMember changes the view so that a VM gives way to d.
-func (w *world) replaceMember(name, hall string) {
+func (w *cluster) replaceMember(name, hall string) {
 	id := view.MemberID(name, "1")
 	w.dead[id] = true
 	w.setView(w.current.Change([]view.Member{member("d", hall)}, []string{id}))
 }
 
-// history is one way for things to happen.
-type history struct {
-	script []outcome
+// scenario is one way for things to happen.
+type scenario struct {
+	script []delivery
 	// replaced names the member that d takes the place of, before message
 	// changeAt; "" for none.
 	replaced string
@@ -187,15 +187,15 @@
 	override bool
 }
 
-func (h history) run(t *testing.T) []claim.Outcome {
-	w := newWorld(t, h.script)
+func (h scenario) run(t *testing.T) []claim.Outcome {
+	w := newCluster(t, h.script)
 	if h.replaced != "" {
 		hall := map[string]string{"a": "north", "b": "middle", "c": "south"}[h.replaced]
-		w.before[h.changeAt] = append(w.before[h.changeAt], func() { w.replaceMember(h.replaced, hall) })
+		w.beforeMessage[h.changeAt] = append(w.beforeMessage[h.changeAt], func() { w.replaceMember(h.replaced, hall) })
 	}
 	var second claim.Outcome
 	if h.nested {
-		w.before[h.nestAt] = append(w.before[h.nestAt], func() { second = w.claim("second", h.override) })
+		w.beforeMessage[h.nestAt] = append(w.beforeMessage[h.nestAt], func() { second = w.claim("second", h.override) })
 	}
 	first := w.claim("first", false)
 	if !h.nested {
@@ -210,7 +210,7 @@
 func TestAtMostOneWins(t *testing.T) {
 	slog.SetLogLoggerLevel(slog.LevelError)
 	tried, none := 0, 0
-	try := func(h history) {
+	try := func(h scenario) {
 		outcomes := h.run(t)
 		wins := 0
 		for _, o := range outcomes {
@@ -225,17 +225,17 @@
 			none++
 		}
 		tried++
-		checkOthers(t, h.script, outcomes...)
+		checkReportedWinners(t, h.script, outcomes...)
 	}
 	for _, replaced := range []string{"", "a", "b", "c"} {
 		for _, override := range []bool{false, true} {
 			for changeAt := range 5 {
-				eachScript(4, func(script []outcome) {
-					try(history{script: script, replaced: replaced, changeAt: changeAt, override: override})
+				eachScript(4, func(script []delivery) {
+					try(scenario{script: script, replaced: replaced, changeAt: changeAt, override: override})
 				})
 				for nestAt := range 3 {
-					eachScript(3, func(script []outcome) {
-						try(history{script: script, replaced: replaced, changeAt: changeAt, override: override, nested: true, nestAt: nestAt})
+					eachScript(3, func(script []delivery) {
+						try(scenario{script: script, replaced: replaced, changeAt: changeAt, override: override, nested: true, nestAt: nestAt})
 					})
 				}
 			}
@@ -246,7 +246,7 @@
 }
 
 // checkOthers: who is told that another has won, is told the truth.
-func checkOthers(t *testing.T, script []outcome, outcomes ...claim.Outcome) {
+func checkReportedWinners(t *testing.T, script []delivery, outcomes ...claim.Outcome) {
 	t.Helper()
 	won := ""
 	for i, o := range outcomes {
@@ -261,15 +261,15 @@
 	}
 }
 
-func eachScript(length int, run func([]outcome)) {
-	script := make([]outcome, length)
+func eachScript(length int, run func([]delivery)) {
+	script := make([]delivery, length)
 	var fill func(at int)
 	fill = func(at int) {
 		if at == length {
-			run(append([]outcome(nil), script...))
+			run(append([]delivery(nil), script...))
 			return
 		}
-		for o := range outcomes {
+		for o := range deliveryCount {
 			script[at] = o
 			fill(at + 1)
 		}
@@ -280,7 +280,7 @@
 // TestTwoReplicasLost loses two of three replicas at once: their range may
 // have lost claims, and the next claimer is told since when.
 func TestTwoReplicasLost(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newCluster(t, nil)
 	must.True(t, w.claim("first", false).Won)
 	for _, name := range []string{"a", "b"} {
 		w.dead[view.MemberID(name, "1")] = true
@@ -297,7 +297,7 @@
 func TestDataHallLost(t *testing.T) {
 	for _, name := range []string{"a", "b", "c"} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newCluster(t, nil)
 			must.True(t, w.claim("first", false).Won)
 			id := view.MemberID(name, "1")
 			w.dead[id] = true
--- a/claim/replica.go
+++ b/claim/replica.go
@@ -15,10 +15,10 @@
 	sweepInterval = time.Second
 	// pullInterval is how soon a read of an earlier replica is tried again.
 	pullInterval = 100 * time.Millisecond
-	// releasedLife is how long a released token is remembered, so that its
+	// releasedTTL is how long a released token is remembered, so that its
 	// claim is not granted when it arrives late. It outlives every timeout
 	// of a claim message.
-	releasedLife = time.Minute
+	releasedTTL = time.Minute
 	// entryOverhead estimates the memory of an entry beside its payload.
 	entryOverhead = 512
 )
@@ -34,7 +34,7 @@
 	return func(r *Replica) { r.folded = folded }
 }
 
-const defaultMemory = 48 << 20
+const defaultMemoryLimit = 48 << 20
 
 // Replica is one node's part of the claims: a bounded table in memory.
 type Replica struct {
@@ -50,11 +50,11 @@
 	bytes    int64
 	released map[string]time.Time
 	transfer *transfer
-	// own is what this replica's table can vouch for.
-	own reading
-	// hasVoted is set once this replica was a member of a view.
-	hasVoted bool
-	gaps     []LossRecord
+	// coverage is what this replica's table can vouch for.
+	coverage coverage
+	// wasMember is set once this replica was a member of a view.
+	wasMember bool
+	losses    []LossRecord
 }
 
 // NewReplica returns an empty replica of the member self.
@@ -64,11 +64,11 @@
 		views:    views,
 		peers:    peers,
 		timers:   timers,
-		maxBytes: defaultMemory,
+		maxBytes: defaultMemoryLimit,
 		folded:   func(string, int64) bool { return true },
 		entries:  make(map[string]*Entry),
 		released: make(map[string]time.Time),
-		transfer: newTransfer(self, view.Empty(), reading{}),
+		transfer: newTransfer(self, view.Empty(), coverage{}),
 	}
 	for _, option := range options {
 		option(r)
@@ -96,7 +96,7 @@
 		return reply
 	}
 	reply.LostBefore = r.lostBefore(in.Entry.Key.Region, key)
-	held := r.live(key)
+	held := r.unexpired(key)
 	if held != nil && !replaceable(held, &in.Entry) {
 		if held.Token != in.Entry.Token || held.State == StateUnknown {
 			reply.Verdict, reply.Entry = VerdictTaken, clone(held)
@@ -113,7 +113,7 @@
 		reply.Verdict = VerdictNotReady
 		return reply
 	}
-	if r.full(&in.Entry) {
+	if r.exceedsMemory(&in.Entry) {
 		reply.Verdict = VerdictFull
 		return reply
 	}
@@ -128,12 +128,12 @@
 	return held.State == StateFailed || held.State == by.State && Supersedes(by.Token, held.Token)
 }
 
-func (r *Replica) full(e *Entry) bool {
+func (r *Replica) exceedsMemory(e *Entry) bool {
 	bound := r.maxBytes
 	if e.BestEffort {
 		bound /= 2
 	}
-	return r.bytes+size(e) > bound
+	return r.bytes+entrySize(e) > bound
 }
 
 // Lookup returns the entry that has a key, if any, without a vote.
@@ -145,7 +145,7 @@
 		Epoch:      r.transfer.current.Epoch(),
 		LostBefore: r.lostBefore(in.Entry.Key.Region, key),
 	}
-	if held := r.live(key); held != nil {
+	if held := r.unexpired(key); held != nil {
 		reply.Verdict, reply.Entry = VerdictTaken, clone(held)
 		return reply
 	}
@@ -161,7 +161,7 @@
 func (r *Replica) Advance(e Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	held := r.live(e.Key.String())
+	held := r.unexpired(e.Key.String())
 	if held == nil || held.Token != e.Token || held.State > e.State {
 		return
 	}
@@ -171,13 +171,13 @@
 	if held.State == e.State {
 		return
 	}
-	r.bytes -= size(held)
+	r.bytes -= entrySize(held)
 	held.State, held.Response = e.State, e.Response
 	if e.State == StateDone {
 		// The request is not taken over any more.
 		held.Value = nil
 	}
-	r.bytes += size(held)
+	r.bytes += entrySize(held)
 }
 
 // Release removes the claim of one attempt and refuses it from now on, unless
@@ -195,7 +195,7 @@
 	if mine && held.State > upTo {
 		return
 	}
-	r.released[token] = r.timers.Now().Add(releasedLife)
+	r.released[token] = r.timers.Now().Add(releasedTTL)
 	if mine {
 		r.drop(name)
 	}
@@ -204,7 +204,7 @@
 // releaseRival leaves a bill of two claims to one of them, once the other is
 // given up.
 func (r *Replica) releaseRival(name string, held *Entry, token string) {
-	r.released[token] = r.timers.Now().Add(releasedLife)
+	r.released[token] = r.timers.Now().Add(releasedTTL)
 	left := *held.Rival
 	switch AttemptOf(token) {
 	case AttemptOf(held.Token):
@@ -294,7 +294,7 @@
 	defer r.mu.Unlock()
 	now := r.timers.Now()
 	for key, e := range r.entries {
-		if now.After(e.Expires) && !r.needed(e) {
+		if now.After(e.Expires) && !r.hasUnfoldedBill(e) {
 			r.drop(key)
 		}
 	}
@@ -303,18 +303,18 @@
 			delete(r.released, token)
 		}
 	}
-	r.gaps = liveGaps(r.gaps, now)
+	r.losses = unexpiredLosses(r.losses, now)
 }
 
-// needed keeps a bill past its life until it stands in the ledger.
-func (r *Replica) needed(e *Entry) bool {
+// hasUnfoldedBill keeps a bill past its life until it stands in the ledger.
+func (r *Replica) hasUnfoldedBill(e *Entry) bool {
 	return slices.ContainsFunc(e.bills(), func(b *Entry) bool { return !r.folded(b.Holder.ID, b.Sequence) })
 }
 
-// live returns an entry whose life has not ended.
-func (r *Replica) live(key string) *Entry {
+// unexpired returns an entry whose life has not ended.
+func (r *Replica) unexpired(key string) *Entry {
 	e := r.entries[key]
-	if e == nil || (r.timers.Now().After(e.Expires) && !r.needed(e)) {
+	if e == nil || (r.timers.Now().After(e.Expires) && !r.hasUnfoldedBill(e)) {
 		return nil
 	}
 	return e
@@ -325,18 +325,18 @@
 		r.drop(key)
 	}
 	r.entries[key] = &e
-	r.bytes += size(&e)
+	r.bytes += entrySize(&e)
 }
 
 func (r *Replica) drop(key string) {
-	r.bytes -= size(r.entries[key])
+	r.bytes -= entrySize(r.entries[key])
 	delete(r.entries, key)
 }
 
-func size(e *Entry) int64 {
+func entrySize(e *Entry) int64 {
 	bytes := int64(entryOverhead + len(e.Key.ID) + len(e.Value) + len(e.Response))
 	if e.Rival != nil {
-		bytes += size(e.Rival)
+		bytes += entrySize(e.Rival)
 	}
 	return bytes
 }
--- a/claim/replica_test.go
+++ b/claim/replica_test.go
@@ -14,7 +14,7 @@
 
 // TestVotes lists what a replica answers, step by step.
 func TestVotes(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newCluster(t, nil)
 	id := w.current.Members()[0].ID
 	r := w.replicas[id]
 	entry := func(key, token string) claim.Entry {
@@ -62,7 +62,7 @@
 // TestFailedWork lets a key be claimed again after work that gave no answer,
 // and tells the next claimer that it may have run; also after a transfer.
 func TestFailedWork(t *testing.T) {
-	w := newWorld(t, nil)
+	w := newCluster(t, nil)
 	failed := claim.Entry{Key: claim.Key{Region: "home", Account: "desk", ID: "k"}, Token: "first/0", State: claim.StateFailed}
 	must.True(t, w.claim("first", false).Won)
 	for _, r := range w.replicas {
@@ -75,10 +75,10 @@
 	must.False(t, w.claim("third", true).Won)
 }
 
-// TestSoftClaimsGiveWay fills a replica with soft claims and finds room for
+// TestBestEffortMemoryLimit fills a replica with soft claims and finds room for
 // one that is not.
-func TestSoftClaimsGiveWay(t *testing.T) {
-	w := newWorld(t, nil)
+func TestBestEffortMemoryLimit(t *testing.T) {
+	w := newCluster(t, nil)
 	id := w.current.Members()[0].ID
 	r := claim.NewReplica(id, w, w, timer.New(), claim.WithMemoryLimit(10_000))
 	r.SetView(w.current)
--- a/claim/settle.go
+++ b/claim/settle.go
@@ -23,8 +23,8 @@
 	return c.retry(ctx, func() (Outcome, bool, error) { return c.settle(ctx, e) })
 }
 
-// ballot counts the replicas' answers to a claim that is being settled.
-type ballot struct {
+// settleTally counts the replicas' answers to a claim that is being settled.
+type settleTally struct {
 	// own counts the replicas that hold this attempt, of whatever round.
 	own int
 	// rivals counts the replicas that hold another attempt.
@@ -33,34 +33,34 @@
 	// unknown counts the replicas that do not know which of two attempts has
 	// won.
 	unknown int
-	// answered counts the replicas that told whose claim they hold.
-	answered int
+	// reported counts the replicas that told whose claim they hold.
+	reported int
 	votes    votes
-	// said tells what each replica answered.
-	said []string
+	// replies tells what each replica answered.
+	replies []string
 }
 
-func newBallot() *ballot {
-	return &ballot{
+func newSettleTally() *settleTally {
+	return &settleTally{
 		rivals:  make(map[string]int),
 		entries: make(map[string]*Entry),
 		votes:   votes{taken: make(map[string]int), entries: make(map[string]*Entry)},
 	}
 }
 
-func (b *ballot) count(attempt string, from view.Member, reply Reply, err error) {
+func (b *settleTally) count(attempt string, from view.Member, reply Reply, err error) {
 	b.votes.count(reply, err)
 	if err != nil {
-		b.said = append(b.said, from.ID+" did not answer")
+		b.replies = append(b.replies, from.ID+" did not answer")
 		return
 	}
-	b.said = append(b.said, from.ID+" "+reply.Verdict.String())
+	b.replies = append(b.replies, from.ID+" "+reply.Verdict.String())
 	switch reply.Verdict {
 	case VerdictGranted:
-		b.answered++
+		b.reported++
 		b.own++
 	case VerdictTaken:
-		b.answered++
+		b.reported++
 		holder := AttemptOf(reply.Entry.Token)
 		b.entries[holder] = reply.Entry
 		if rival := reply.Entry.Rival; rival != nil {
@@ -78,7 +78,7 @@
 }
 
 // winner returns the attempt that has a quorum.
-func (b *ballot) winner(attempt string, need int) (string, bool) {
+func (b *settleTally) winner(attempt string, need int) (string, bool) {
 	if b.own >= need {
 		return attempt, true
 	}
@@ -91,7 +91,7 @@
 }
 
 // rival returns the first by name of the other attempts that were seen.
-func (b *ballot) rival(attempt string) *Entry {
+func (b *settleTally) rival(attempt string) *Entry {
 	for _, name := range slices.Sorted(maps.Keys(b.entries)) {
 		if name != attempt {
 			return b.entries[name]
@@ -100,7 +100,7 @@
 	return nil
 }
 
-func (b *ballot) outcome(token, winner string) Outcome {
+func (b *settleTally) outcome(token, winner string) Outcome {
 	if winner == AttemptOf(token) {
 		return Outcome{Won: true, Token: token, LostBefore: b.votes.lostBefore, Reached: b.votes.reached}
 	}
@@ -115,9 +115,9 @@
 	}
 	need := quorum(len(replicas))
 	attempt := AttemptOf(e.Token)
-	b := newBallot()
+	b := newSettleTally()
 	for _, m := range replicas {
-		reply, err := c.ask(ctx, m, Request{Epoch: current.Epoch(), Replica: m.ID, Entry: e})
+		reply, err := c.requestVote(ctx, m, Request{Epoch: current.Epoch(), Replica: m.ID, Entry: e})
 		b.count(attempt, m, reply, err)
 		if winner, ok := b.winner(attempt, need); ok {
 			return b.outcome(e.Token, winner), false, nil
@@ -127,14 +127,14 @@
 	switch {
 	case rival.Other == nil:
 	case b.unknown >= need:
-		return rival, false, errs.New(Undecided, "settle", "%d of %d replicas do not know who has won %s: %s", b.unknown, len(replicas), e.Key, b.said)
-	case b.answered == len(replicas):
+		return rival, false, errs.New(Undecided, "settle", "%d of %d replicas do not know who has won %s: %s", b.unknown, len(replicas), e.Key, b.replies)
+	case b.reported == len(replicas):
 		// A replica that did not answer may hold a vote whose reply was lost,
 		// so that this claim may have a quorum already.
-		return rival, false, errs.New(Split, "settle", "%d of %d votes for %s, others for another: %s", b.own, need, e.Key, b.said)
+		return rival, false, errs.New(Split, "settle", "%d of %d votes for %s, others for another: %s", b.own, need, e.Key, b.replies)
 	}
 	if b.votes.full {
-		return Outcome{}, b.votes.again, errs.New(Full, "settle", "the replicas of %s have no memory left", e.Key)
+		return Outcome{}, b.votes.retryable, errs.New(Full, "settle", "the replicas of %s have no memory left", e.Key)
 	}
-	return Outcome{}, b.votes.again, errs.New(Unreachable, "settle", "%d of %d votes for %s: %s", b.own, need, e.Key, b.said)
+	return Outcome{}, b.votes.retryable, errs.New(Unreachable, "settle", "%d of %d votes for %s: %s", b.own, need, e.Key, b.replies)
 }
--- a/claim/settle_test.go
+++ b/claim/settle_test.go
@@ -11,8 +11,8 @@
 	"github.com/violettally/violettally/view"
 )
 
-// settling is a bill's claim under way, by one claimer.
-func settling(attempt, holder string) claim.Entry {
+// billClaim is a bill's claim under way, by one claimer.
+func billClaim(attempt, holder string) claim.Entry {
 	return claim.Entry{
 		Key:     claim.Key{Region: "home", Account: "desk", Kind: claim.KindBill, ID: "k"},
 		Token:   claim.RoundToken(attempt, 0),
@@ -22,12 +22,12 @@
 	}
 }
 
-func (w *world) settle(e claim.Entry) (claim.Outcome, error) {
+func (w *cluster) settle(e claim.Entry) (claim.Outcome, error) {
 	return claim.NewClaimer(w, w, claim.WithTaskRunner(func(task func()) { task() })).Settle(w.t.Context(), e)
 }
 
-// give hands one replica a vote, past the network.
-func (w *world) give(name string, e claim.Entry) {
+// grantAt hands one replica a vote, past the network.
+func (w *cluster) grantAt(name string, e claim.Entry) {
 	id := view.MemberID(name, "1")
 	w.replicas[id].Claim(claim.Request{Epoch: w.current.Epoch(), Replica: id, Entry: e})
 }
@@ -36,7 +36,7 @@
 // comes of it.
 func TestSettle(t *testing.T) {
 	slog.SetLogLoggerLevel(slog.LevelError)
-	own, other := settling("own", "a"), settling("other", "b")
+	own, other := billClaim("own", "a"), billClaim("other", "b")
 	later := own
 	later.Token = claim.NextToken(own.Token)
 	tests := []struct {
@@ -54,13 +54,13 @@
 		{"another that has won", map[string]claim.Entry{"a": other, "b": other}, nil, false, true, nil},
 		{"split, one replica silent", map[string]claim.Entry{"a": own, "b": other}, []string{"c"}, false, false, claim.Unreachable},
 		{"two replicas silent", nil, []string{"b", "c"}, false, false, claim.Unreachable},
-		{"all hold another's, each one's", map[string]claim.Entry{"a": own, "b": other, "c": settling("third", "c")}, nil, false, false, claim.Split},
+		{"all hold another's, each one's", map[string]claim.Entry{"a": own, "b": other, "c": billClaim("third", "c")}, nil, false, false, claim.Split},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			w := newWorld(t, nil)
+			w := newCluster(t, nil)
 			for name, e := range tt.held {
-				w.give(name, e)
+				w.grantAt(name, e)
 			}
 			for _, name := range tt.dead {
 				w.dead[view.MemberID(name, "1")] = true
@@ -85,10 +85,10 @@
 // released the other one is won, and the released one stays lost.
 func TestSettleRivals(t *testing.T) {
 	slog.SetLogLoggerLevel(slog.LevelError)
-	own, other := settling("own", "x"), settling("other", "y")
-	w := newWorld(t, nil)
-	w.give("b", own)
-	w.give("c", other)
+	own, other := billClaim("own", "x"), billClaim("other", "y")
+	w := newCluster(t, nil)
+	w.grantAt("b", own)
+	w.grantAt("c", other)
 	w.replaceMember("a", "north")
 	for _, e := range []claim.Entry{own, other} {
 		outcome, err := w.settle(e)
--- a/claim/transfer.go
+++ b/claim/transfer.go
@@ -34,8 +34,8 @@
 const (
 	// pageSize is the number of entries in one page of a transfer.
 	pageSize = 256
-	// gapLife covers the longest life of a claim.
-	gapLife = 24 * time.Hour
+	// lossRetention covers the longest life of a claim.
+	lossRetention = 24 * time.Hour
 	// transferTimeout bounds one page.
 	transferTimeout = 2 * time.Second
 )
@@ -50,7 +50,7 @@
 	decoded *view.View
 }
 
-func (g *LossRecord) covers(region, key string) bool {
+func (g *LossRecord) mayAffect(region, key string) bool {
 	if g.decoded == nil {
 		g.decoded, _ = view.Decode(g.View)
 	}
@@ -69,18 +69,18 @@
 	return missing > 0 && len(replicas)-missing < readQuorum(len(replicas))
 }
 
-func liveGaps(gaps []LossRecord, now time.Time) []LossRecord {
+func unexpiredLosses(gaps []LossRecord, now time.Time) []LossRecord {
 	kept := gaps[:0]
 	for _, g := range gaps {
-		if now.Sub(g.At) < gapLife {
+		if now.Sub(g.At) < lossRetention {
 			kept = append(kept, g)
 		}
 	}
 	return kept
 }
 
-// settledEpochs bounds how many epochs a replica remembers having settled at.
-const settledEpochs = 64
+// maxSyncedEpochs bounds how many epochs a replica remembers having settled at.
+const maxSyncedEpochs = 64
 
 // SetView starts the taking over for a new epoch. A member that was removed
 // keeps its claims for those who take them over. If it joins again, it forgets
@@ -88,37 +88,37 @@
 func (r *Replica) SetView(v *view.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if v.Has(r.self) && !r.transfer.current.Has(r.self) && r.hasVoted {
+	if v.Has(r.self) && !r.transfer.current.Has(r.self) && r.wasMember {
 		clear(r.entries)
 		r.bytes = 0
-		r.own = reading{since: v.Epoch()}
+		r.coverage = coverage{firstEpoch: v.Epoch()}
 	}
-	r.hasVoted = r.hasVoted || v.Has(r.self)
-	r.transfer = newTransfer(r.self, v, r.own)
+	r.wasMember = r.wasMember || v.Has(r.self)
+	r.transfer = newTransfer(r.self, v, r.coverage)
 	if len(r.transfer.earlier) == 0 && v.Has(r.self) {
-		r.markSettled(r.transfer)
+		r.markSynced(r.transfer)
 	}
 }
 
-func (r *Replica) markSettled(t *transfer) {
-	t.settled = true
-	settled := append(slices.Clone(r.own.settled), t.current.Epoch())
-	r.own.settled = settled[max(0, len(settled)-settledEpochs):]
+func (r *Replica) markSynced(t *transfer) {
+	t.synced = true
+	settled := append(slices.Clone(r.coverage.syncedEpochs), t.current.Epoch())
+	r.coverage.syncedEpochs = settled[max(0, len(settled)-maxSyncedEpochs):]
 }
 
 // Synced reports whether this replica answers for all its ranges.
 func (r *Replica) Synced() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.transfer.settled
+	return r.transfer.synced
 }
 
 // lostBefore returns the time before which claims for a key may be lost.
 func (r *Replica) lostBefore(region, key string) time.Time {
 	var latest time.Time
-	for i := range r.gaps {
-		if r.gaps[i].At.After(latest) && r.gaps[i].covers(region, key) {
-			latest = r.gaps[i].At
+	for i := range r.losses {
+		if r.losses[i].At.After(latest) && r.losses[i].mayAffect(region, key) {
+			latest = r.losses[i].At
 		}
 	}
 	return latest
@@ -135,9 +135,9 @@
 	if t.outgoing == nil {
 		t.outgoing = r.outgoing(t)
 	}
-	reply := TransferReply{Ready: true, SyncedEpochs: r.own.settled, FirstEpoch: r.own.since}
+	reply := TransferReply{Ready: true, SyncedEpochs: r.coverage.syncedEpochs, FirstEpoch: r.coverage.firstEpoch}
 	if in.After == "" {
-		reply.Losses = append(reply.Losses, r.gaps...)
+		reply.Losses = append(reply.Losses, r.losses...)
 	}
 	for _, key := range t.outgoing[in.Requester] {
 		e := r.entries[key]
@@ -175,7 +175,7 @@
 func (r *Replica) pull(ctx context.Context) {
 	r.mu.Lock()
 	t := r.transfer
-	done := t.settled || !t.current.Has(r.self)
+	done := t.synced || !t.current.Has(r.self)
 	unread := r.unread(t)
 	r.mu.Unlock()
 	if done {
@@ -186,7 +186,7 @@
 		reads.Go(func() { r.readFrom(ctx, t, m) })
 	}
 	reads.Wait()
-	r.settle(t, unread)
+	r.finishTransfer(t, unread)
 }
 
 func (r *Replica) unread(t *transfer) []view.Member {
@@ -194,7 +194,7 @@
 	seen := make(map[string]bool)
 	for _, v := range t.earlier {
 		for _, m := range v.Members() {
-			_, answered := t.answered[m.ID]
+			_, answered := t.read[m.ID]
 			if !answered && !seen[m.ID] {
 				seen[m.ID] = true
 				unread = append(unread, m)
@@ -218,31 +218,31 @@
 		entries = append(entries, reply.Entries...)
 		gaps = append(gaps, reply.Losses...)
 		if reply.Next == "" {
-			r.adopt(t, m.ID, reading{settled: reply.SyncedEpochs, since: reply.FirstEpoch}, entries, gaps)
+			r.merge(t, m.ID, coverage{syncedEpochs: reply.SyncedEpochs, firstEpoch: reply.FirstEpoch}, entries, gaps)
 			return
 		}
 		in.After = reply.Next
 	}
 }
 
-// adopt takes in what one member had. A claim seen at one replica counts as
+// merge takes in what one member had. A claim seen at one replica counts as
 // perhaps won; those of two attempts leave the key unknown.
-func (r *Replica) adopt(t *transfer, from string, got reading, entries []Entry, gaps []LossRecord) {
+func (r *Replica) merge(t *transfer, from string, got coverage, entries []Entry, gaps []LossRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.transfer != t {
 		return
 	}
 	for _, e := range entries {
-		r.adoptEntry(e)
+		r.mergeEntry(e)
 	}
 	for _, g := range gaps {
-		r.addGap(g)
+		r.addLoss(g)
 	}
-	t.answered[from] = got
+	t.read[from] = got
 }
 
-func (r *Replica) adoptEntry(e Entry) {
+func (r *Replica) mergeEntry(e Entry) {
 	key := e.Key.String()
 	held := r.entries[key]
 	switch {
@@ -265,7 +265,7 @@
 			r.put(key, e)
 		}
 	case e.Key.Kind == KindBill:
-		r.put(key, rivals(append(held.bills(), e.bills()...)))
+		r.put(key, mergeBillClaims(append(held.bills(), e.bills()...)))
 	default:
 		held.State = StateUnknown
 	}
@@ -277,17 +277,17 @@
 	return AttemptOf(a.Token) == AttemptOf(b.Token) && a.State != StateUnknown && b.State != StateUnknown
 }
 
-func (r *Replica) addGap(g LossRecord) {
-	for _, known := range r.gaps {
+func (r *Replica) addLoss(g LossRecord) {
+	for _, known := range r.losses {
 		if known.At.Equal(g.At) {
 			return
 		}
 	}
-	r.gaps = append(r.gaps, g)
+	r.losses = append(r.losses, g)
 }
 
-// settle ends the taking over if every key is ready.
-func (r *Replica) settle(t *transfer, unread []view.Member) {
+// finishTransfer ends the taking over if every key is ready.
+func (r *Replica) finishTransfer(t *transfer, unread []view.Member) {
 	dead := make(map[string]bool)
 	for _, m := range unread {
 		dead[m.ID] = r.views.Dead(m)
@@ -300,24 +300,24 @@
 	for id, isDead := range dead {
 		t.dead[id] = isDead
 	}
-	losses, ok := t.complete()
+	losses, ok := t.allReady()
 	if !ok {
 		return
 	}
 	for _, l := range losses {
-		r.noteGap(l)
+		r.recordLoss(l)
 	}
-	r.markSettled(t)
-	slog.Info("claims settled", "epoch", t.current.Epoch(), "read", len(t.answered), "losses", len(losses))
+	r.markSynced(t)
+	slog.Info("claims settled", "epoch", t.current.Epoch(), "read", len(t.read), "losses", len(losses))
 }
 
-// noteGap remembers which members died unread. Whether a key is concerned is
+// recordLoss remembers which members died unread. Whether a key is concerned is
 // found out when it is claimed.
-func (r *Replica) noteGap(l loss) {
+func (r *Replica) recordLoss(l lostMembers) {
 	encoded, err := l.view.Encode()
 	if err != nil {
 		slog.Error("gap not kept", "error", err)
 		return
 	}
-	r.addGap(LossRecord{At: r.timers.Now(), View: encoded, Missing: l.members})
+	r.addLoss(LossRecord{At: r.timers.Now(), View: encoded, Missing: l.members})
 }
--- a/claim/rounds_test.go
+++ b/claim/transfer_test.go
@@ -12,7 +12,7 @@
 	"github.com/violettally/violettally/view"
 )
 
-// TestEarlierRoundCarriedOver is a bill that nobody entered. While a claimer is
+// TestTransferKeepsLaterRound is a bill that nobody entered. While a claimer is
 // at its second round, a replica that has granted it still reads the others for
 // the new view, and gets the same attempt's first round from one of them. It
 // took the two for claims of two claimers and marked the key unknown. The next
@@ -22,12 +22,12 @@
 // In a run with a data hall killed and replaced (two changes of the view in
 // 0.1 s) the request's decision said "billed elsewhere" though no other node
 // had run it, and its node's journal held 61 bills for 62 sequences.
-func TestEarlierRoundCarriedOver(t *testing.T) {
+func TestTransferKeepsLaterRound(t *testing.T) {
 	slog.SetLogLoggerLevel(slog.LevelError)
-	w := newWorld(t, nil)
+	w := newCluster(t, nil)
 	before := w.current
 	after := before.Change([]view.Member{member("d", "north")}, nil)
-	key := unmoved(before, after)
+	key := unchangedKey(before, after)
 	round := func(n int) claim.Entry {
 		return claim.Entry{Key: key, Token: claim.RoundToken("x", n), Holder: claim.Holder{ID: "x"}, State: claim.StateDone, Expires: farFuture}
 	}
@@ -49,8 +49,8 @@
 	must.Eq(t, claim.StateDone, held.State, must.Sprint("rounds of one attempt are not rival claims"))
 }
 
-// unmoved returns the key of a bill that has the same replicas in both views.
-func unmoved(before, after *view.View) claim.Key {
+// unchangedKey returns the key of a bill that has the same replicas in both views.
+func unchangedKey(before, after *view.View) claim.Key {
 	for n := 0; ; n++ {
 		key := claim.Key{Region: "home", Account: "desk", Kind: claim.KindBill, ID: strconv.Itoa(n)}
 		if slices.Equal(before.Replicas(key.Region, key.String()), after.Replicas(key.Region, key.String())) {
--- a/view/keeper.go
+++ b/view/manager.go
@@ -38,15 +38,15 @@
 }
 
 const (
-	keepInterval = time.Second
+	reconcileInterval = time.Second
 	// evictAfter is how long a confirmed member that is still on the VM list
 	// keeps its place. It covers short freezes.
 	evictAfter = 10 * time.Second
-	// listLag is the age below which a member may be missing from the VM list
+	// vmListLag is the age below which a member may be missing from the VM list
 	// only because the list lags.
-	listLag = 60 * time.Second
-	// proposers is how many members of a region may propose removals.
-	proposers = 2
+	vmListLag = 60 * time.Second
+	// maxProposers is how many members of a region may propose removals.
+	maxProposers = 2
 )
 
 // Manager holds the view in force, brings this node into it and proposes the
@@ -54,8 +54,8 @@
 type Manager struct {
 	name     string
 	self     Member
-	shared   DocumentStore
-	opinions FailureDetector
+	store    DocumentStore
+	detector FailureDetector
 	vms      VMList
 	timers   *timer.Service
 
@@ -72,8 +72,8 @@
 	return &Manager{
 		name:     name,
 		self:     self,
-		shared:   shared,
-		opinions: opinions,
+		store:    shared,
+		detector: opinions,
 		vms:      vms,
 		timers:   timers,
 		current:  Empty(),
@@ -131,15 +131,15 @@
 	}
 	listed, ok := k.vms.Listed(m.VM)
 	age := k.timers.Now().Sub(time.Unix(m.Joined, 0))
-	return ok && !listed && age > listLag
+	return ok && !listed && age > vmListLag
 }
 
 // Run keeps this node in the view until the context ends.
 func (k *Manager) Run(ctx context.Context) {
-	ticks := k.timers.Subscribe(keepInterval)
+	ticks := k.timers.Subscribe(reconcileInterval)
 	defer ticks.Stop()
 	for {
-		k.keep(ctx)
+		k.reconcile(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -148,16 +148,16 @@
 	}
 }
 
-func (k *Manager) keep(ctx context.Context) {
+func (k *Manager) reconcile(ctx context.Context) {
 	if !k.Current().Has(k.self.ID) && !k.isLeaving() && k.reachable(ctx) {
-		k.change(ctx, "join", []Member{k.joining()}, nil)
+		k.update(ctx, "join", []Member{k.selfJoining()}, nil)
 	}
-	if gone := k.gone(); len(gone) > 0 && k.proposes() {
-		k.change(ctx, "remove", nil, gone)
+	if gone := k.membersToRemove(); len(gone) > 0 && k.mayPropose() {
+		k.update(ctx, "remove", nil, gone)
 	}
 }
 
-func (k *Manager) joining() Member {
+func (k *Manager) selfJoining() Member {
 	m := k.self
 	m.Joined = k.timers.Now().Unix()
 	return m
@@ -166,27 +166,27 @@
 // reachable asks the peers whether they reach this node. One that can only
 // speak and not be spoken to would be removed again and again.
 func (k *Manager) reachable(ctx context.Context) bool {
-	alive := k.opinions.Alive()
+	alive := k.detector.Alive()
 	if len(alive) == 0 {
 		return true
 	}
 	for _, m := range alive {
-		if k.opinions.Reaches(ctx, m) {
+		if k.detector.Reaches(ctx, m) {
 			return true
 		}
 	}
 	return false
 }
 
-// gone returns the members that have to leave the view. A node that hears
+// membersToRemove returns the members that have to leave the view. A node that hears
 // only a minority may be the one that is cut off, so it goes by the VM list
 // alone.
-func (k *Manager) gone() []string {
+func (k *Manager) membersToRemove() []string {
 	var gone []string
 	now := k.timers.Now()
-	hears := k.opinions.Hears()
+	hears := k.detector.Hears()
 	for _, m := range k.Current().Members() {
-		since, faulty := k.opinions.FaultySince(m.ID)
+		since, faulty := k.detector.FaultySince(m.ID)
 		if !faulty {
 			continue
 		}
@@ -197,11 +197,11 @@
 	return gone
 }
 
-// proposes reports whether this node is one of the few that propose removals.
-func (k *Manager) proposes() bool { return k.opinions.RegionRank() < proposers }
+// mayPropose reports whether this node is one of the few that propose removals.
+func (k *Manager) mayPropose() bool { return k.detector.RegionRank() < maxProposers }
 
-func (k *Manager) change(ctx context.Context, why string, add []Member, remove []string) {
-	_, err := k.shared.Update(ctx, k.name, func(old []byte) ([]byte, error) {
+func (k *Manager) update(ctx context.Context, why string, add []Member, remove []string) {
+	_, err := k.store.Update(ctx, k.name, func(old []byte) ([]byte, error) {
 		present, err := Decode(old)
 		if err != nil {
 			return nil, err
@@ -222,7 +222,7 @@
 	k.mu.Lock()
 	k.leaving = true
 	k.mu.Unlock()
-	k.change(ctx, "leave", nil, []string{k.self.ID})
+	k.update(ctx, "leave", nil, []string{k.self.ID})
 }
 
 func (k *Manager) isLeaving() bool {
--- a/view/view.go
+++ b/view/view.go
@@ -68,13 +68,13 @@
 
 // stored is the stored form of a view.
 type stored struct {
-	Epoch   int64    `json:"epoch"`
-	Members []Member `json:"members"`
-	History []change `json:"history"`
+	Epoch   int64         `json:"epoch"`
+	Members []Member      `json:"members"`
+	History []epochChange `json:"history"`
 }
 
-// change tells how the list of one epoch came from the one before.
-type change struct {
+// epochChange tells how the list of one epoch came from the one before.
+type epochChange struct {
 	Epoch   int64    `json:"epoch"`
 	Added   []string `json:"added"`
 	Removed []Member `json:"removed"`
@@ -140,7 +140,7 @@
 // its VM. It returns nil if nothing would change.
 func (v *View) Change(add []Member, remove []string) *View {
 	next := stored{Epoch: v.Epoch() + 1}
-	step := change{Epoch: next.Epoch}
+	step := epochChange{Epoch: next.Epoch}
 	for _, m := range v.stored.Members {
 		replaced := slices.ContainsFunc(add, func(a Member) bool { return a.VM == m.VM && a.ID != m.ID })
 		if replaced || slices.Contains(remove, m.ID) {
@@ -221,14 +221,14 @@
 	keyHash := rendezvous.Hash(key)
 	// first holds the best member of each of the best data halls, rest the
 	// best of those that are not the first of their hall.
-	var first, rest top
+	var first, rest topCandidates
 	for i := range v.stored.Members {
 		m := &v.stored.Members[i]
 		if m.Region != region || (filter != nil && !filter(m.ID)) {
 			continue
 		}
 		c := candidate{index: i, score: rendezvous.Score(keyHash, v.hashes[i])}
-		if first.full(n) && rest.full(n) && c.score <= first.least() && c.score <= rest.least() {
+		if first.full(n) && rest.full(n) && c.score <= first.lowestScore() && c.score <= rest.lowestScore() {
 			continue
 		}
 		if same := first.find(func(o candidate) bool { return v.stored.Members[o.index].DataHall == m.DataHall }); same >= 0 {
@@ -252,17 +252,17 @@
 	return members
 }
 
-// top is a short list of candidates, best first.
-type top []candidate
+// topCandidates is a short list of candidates, best first.
+type topCandidates []candidate
 
-func (t top) full(n int) bool { return len(t) >= n }
+func (t topCandidates) full(n int) bool { return len(t) >= n }
 
-func (t top) least() uint64 { return t[len(t)-1].score }
+func (t topCandidates) lowestScore() uint64 { return t[len(t)-1].score }
 
-func (t top) find(matches func(candidate) bool) int { return slices.IndexFunc(t, matches) }
+func (t topCandidates) find(matches func(candidate) bool) int { return slices.IndexFunc(t, matches) }
 
 // add keeps the n best and returns the one that fell out, if any.
-func (t *top) add(c candidate, n int) (dropped candidate, ok bool) {
+func (t *topCandidates) add(c candidate, n int) (dropped candidate, ok bool) {
 	at := len(*t)
 	for at > 0 && (*t)[at-1].score < c.score {
 		at--
