--- a/claim/bench_test.go
+++ b/claim/bench_test.go
@@ -12,7 +12,7 @@
 	"github.com/violettally/violettally/view"
 )
 
-// largeView is one region at the letter's size: 160 nodes in three data halls.
+// largeView is one region of 160 nodes in three data halls.
 func largeView() *view.View {
 	var members []view.Member
 	for i := range 160 {
@@ -28,7 +28,7 @@
 	}
 }
 
-// staticView is a view that does not change.
+// staticView is a ViewSource whose view does not change.
 type staticView struct{ v *view.View }
 
 func (f staticView) Current() *view.View      { return f.v }
@@ -54,7 +54,7 @@
 	}
 }
 
-// BenchmarkEntryMemory reports the bytes that one remembered claim takes.
+// BenchmarkEntryMemory reports the heap bytes that one stored claim takes.
 func BenchmarkEntryMemory(b *testing.B) {
 	slog.SetLogLoggerLevel(slog.LevelError)
 	const entries = 50_000
@@ -76,8 +76,8 @@
 	}
 }
 
-// BenchmarkTransfer takes over the ranges that one member's leave moves, at
-// the letter's size: 160 nodes, 25,000 claims on each.
+// BenchmarkTransfer transfers the ranges that move when one member of 160 leaves,
+// with 25,000 claims at the replica that is read.
 func BenchmarkTransfer(b *testing.B) {
 	slog.SetLogLoggerLevel(slog.LevelError)
 	before := largeView()
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -1,19 +1,19 @@
-// Package claim is the write-once memory of a few nodes: "this key belongs to
-// X". It carries four promises: a call that may not be repeated runs at most
-// once, a session keeps its version, a request is billed once, and an answer
-// is found by whoever asks for it.
+// Package claim keeps write-once claims, each saying "this key belongs to X",
+// at a few nodes. Four guarantees rest on it: a call that may not be repeated
+// runs at most once, a session keeps its version, a request is billed once,
+// and any node can find the response to a request.
 //
-// The view names three replicas for a key, in three data halls. A claim is
-// written once at each; a claim made at two of three is won, and at most one
-// can win. There is no leader and nothing to elect: a split vote means that
-// nobody runs, and the refusal "not run" is true. A claimer that did not win
-// releases what it holds by its attempt's token, under which it then never
-// runs.
+// The view names three replicas for a key, in three data halls. Each replica
+// writes a claim once. A claim granted by two of three replicas is won, and at
+// most one claim of a key can be won. There is no leader and no election: if
+// the votes are split, nobody runs, and the refusal "not run" is true. A
+// claimer that did not win releases its votes under its attempt's token and
+// never runs under that token.
 //
-// Claims are held in memory for a bounded life, empty at every start, and the
-// view is agreed at the platform; docs/DESIGN.md argues why this is no
-// replicated store. What happens at a change of the view stands in
-// transfer.go.
+// Claims are held in memory for a bounded time, and a node starts without
+// any; the view is agreed at the platform. docs/DESIGN.md explains why this is
+// not a replicated store. transfer.go describes what happens when the view
+// changes.
 //
 // # Usage
 //
@@ -21,7 +21,7 @@
 //	switch {
 //	case err != nil: // not won, released: "not run" is true
 //	case outcome.Won: // run, and nobody else does
-//	default: // outcome.Other has it; join its holder
+//	default: // outcome.Other holds the key; join its holder
 //	}
 package claim
 
@@ -41,13 +41,13 @@
 var (
 	namespace = errs.Namespace("claim")
 
-	// Unreachable says that too few replicas answered to know whether the key
+	// Unreachable says that too few replicas replied to know whether the key
 	// has been claimed before. The attempt itself is released and never runs.
 	Unreachable = namespace.NewType("unreachable")
-	// Split says that the votes were split; enough replicas answered to know
+	// Split says that the votes were split; enough replicas replied to know
 	// that nobody has won the key.
 	Split = namespace.NewType("split")
-	// Full says that too few replicas had memory left; enough answered to know
+	// Full says that too few replicas had memory left; enough replied to know
 	// that nobody has won the key.
 	Full = namespace.NewType("full")
 	// Undecided says that a quorum of the replicas does not know which of two
@@ -55,7 +55,7 @@
 	Undecided = namespace.NewType("undecided")
 )
 
-// Kind separates the uses of a key.
+// Kind is what a key is claimed for.
 type Kind int
 
 // The kinds of claims.
@@ -68,21 +68,21 @@
 // State is how far the work under a claim has come.
 type State int
 
-// The states, in their order.
+// The states, in the order in which a claim passes through them.
 const (
 	StateClaimed State = iota
 	StateRunning
-	// StateFailed marks work that may have run and gave no answer. Others may
-	// claim the key again, and learn that it was reached before.
+	// StateFailed marks work that may have run and gave no response. Others
+	// may claim the key again and are told that an earlier attempt may have run.
 	StateFailed
 	StateDone
-	// StateUnknown marks a key for which two different claims survived a
-	// change of the view: either may have won.
+	// StateUnknown marks a key for which claims of two attempts were found
+	// after a change of the view: either may have won.
 	StateUnknown
 )
 
 // Key names what is claimed. The region is that of the client account, so
-// that parted regions cannot both win.
+// that two regions cut off from each other cannot both win.
 type Key struct {
 	Region  string `cbor:"1,keyasint"`
 	Account string `cbor:"2,keyasint"`
@@ -91,7 +91,7 @@
 }
 
 // String returns the form of the key that is hashed. Accounts have no '/' in
-// their names, so no key of one account can read as another's.
+// their names, so keys of two accounts cannot have the same form.
 func (k Key) String() string {
 	return strings.Join([]string{k.Region, k.Account, k.Kind.String(), k.ID}, "/")
 }
@@ -102,38 +102,40 @@
 	Peer string `cbor:"2,keyasint"`
 }
 
-// Entry is one claim. Its fields are exported for the codec.
+// Entry is one claim. Its fields are exported for the CBOR codec.
 type Entry struct {
 	Key Key `cbor:"1,keyasint"`
-	// Token is the attempt's own; no two attempts have the same.
+	// Token identifies the attempt and its round; no two attempts share one.
 	Token  string `cbor:"2,keyasint"`
 	Holder Holder `cbor:"3,keyasint"`
 	State  State  `cbor:"4,keyasint"`
-	// Repeatable work may be taken over when its holder is gone.
+	// Repeatable says that the work may be taken over when its holder is gone.
 	Repeatable bool `cbor:"5,keyasint"`
-	// Patient work is taken over without waiting for its caller to ask.
+	// Patient says that the work is taken over without waiting for its client
+	// to ask again.
 	Patient bool `cbor:"6,keyasint"`
-	// Body digests the request, so that an id used for two requests shows.
+	// Body is a digest of the request; it reveals an id used for two requests.
 	Body uint64 `cbor:"7,keyasint"`
 	// Value is the pinned version, the bill, or the request itself if it is
 	// to be taken over.
 	Value []byte `cbor:"8,keyasint"`
-	// Response is the kept answer of work that is done.
+	// Response is the stored response of work that is done.
 	Response []byte `cbor:"9,keyasint"`
-	// Expires ends the claim's life.
+	// Expires is when the claim may be dropped.
 	Expires time.Time `cbor:"10,keyasint"`
-	// Sequence places a bill in its holder's journal.
+	// Sequence is the position of a bill in its holder's journal.
 	Sequence int64 `cbor:"11,keyasint"`
 	// Reached says that an earlier attempt under the key may have run.
 	Reached bool `cbor:"13,keyasint"`
-	// Rival is the other claim of a bill in StateUnknown.
+	// Rival is the other attempt's claim of a bill in StateUnknown.
 	Rival *Entry `cbor:"14,keyasint,omitempty"`
-	// BestEffort claims only help to find an answer. They give way when a replica's
-	// memory is half full.
+	// BestEffort says that the claim only helps to find a response. A replica
+	// whose memory is half full refuses such claims.
 	BestEffort bool `cbor:"12,keyasint"`
 }
 
-// bills returns the claims of a bill that an entry holds: itself and its rival.
+// bills returns the claims of a bill that an entry stands for: itself and its
+// rival.
 func (e *Entry) bills() []*Entry {
 	switch {
 	case e.Key.Kind != KindBill:
@@ -145,8 +147,9 @@
 	}
 }
 
-// mergeBillClaims returns the entry for a bill that several attempts have claimed: the
-// first two by name, each in its last round, of which either may have won.
+// mergeBillClaims returns one entry for a bill that several attempts have
+// claimed. It keeps the first two attempts by name, each in its last round;
+// either may have won.
 func mergeBillClaims(claims []*Entry) Entry {
 	last := make(map[string]Entry)
 	for _, c := range claims {
@@ -166,33 +169,35 @@
 	return first
 }
 
-// Verdict is a replica's answer to a claim.
+// Verdict is the result of a claim at one replica.
 type Verdict int
 
 // The verdicts. Only VerdictGranted is a vote.
 const (
 	VerdictGranted Verdict = iota
-	// VerdictTaken comes with the entry that has the key.
+	// VerdictTaken says that another claim holds the key; the reply has its
+	// entry.
 	VerdictTaken
 	// VerdictEpoch says that claimer and replica are at different epochs.
 	VerdictEpoch
-	// VerdictNotReady says that the replica still takes over the key's range.
+	// VerdictNotReady says that the replica has not yet taken over the key's
+	// range, or that the claim was released before it arrived.
 	VerdictNotReady
 	// VerdictFull says that the replica's memory is full.
 	VerdictFull
-	// VerdictNotMine says that another incarnation was asked.
+	// VerdictNotMine says that the request was meant for another incarnation.
 	VerdictNotMine
 )
 
-// Request asks one replica for its vote. Advance moves an own claim on, and
-// Lookup only reads.
+// Request asks one replica for its vote on a claim, or only for what it holds
+// (see [Transport]).
 type Request struct {
 	Epoch   int64  `cbor:"1,keyasint"`
 	Replica string `cbor:"2,keyasint"`
 	Entry   Entry  `cbor:"3,keyasint"`
 }
 
-// Reply is a replica's answer.
+// Reply is a replica's reply to a Request.
 type Reply struct {
 	Verdict Verdict `cbor:"1,keyasint"`
 	Epoch   int64   `cbor:"2,keyasint"`
@@ -200,37 +205,39 @@
 	// LostBefore is the time before which claims for the key may have been
 	// lost; zero if none were.
 	LostBefore time.Time `cbor:"4,keyasint,omitempty"`
-	// Reached comes with a vote for a key that an earlier attempt may have run
-	// under.
+	// Reached says that an earlier attempt under the key may have run.
 	Reached bool `cbor:"5,keyasint,omitempty"`
 }
 
-// TransferRequest asks an earlier replica for the entries that the asker
-// answers for in the present epoch.
+// TransferRequest asks a replica of an earlier epoch for the entries of which
+// the requester is a replica in the current epoch.
 type TransferRequest struct {
 	Epoch     int64  `cbor:"1,keyasint"`
 	Requester string `cbor:"2,keyasint"`
 	Source    string `cbor:"3,keyasint"`
-	// After is the key after which the page starts.
+	// After is the key after which the page starts; empty for the first page.
 	After string `cbor:"4,keyasint"`
 }
 
 // TransferReply is one page of entries.
 type TransferReply struct {
-	// Ready is false while the owner has not seen the asker's epoch.
+	// Ready is false while the source has not seen the requester's epoch.
 	Ready bool `cbor:"1,keyasint"`
-	// SyncedEpochs lists the epochs at which the owner held all won claims of its
-	// ranges.
+	// SyncedEpochs lists the epochs at which the source held all won claims of
+	// its ranges.
 	SyncedEpochs []int64 `cbor:"2,keyasint"`
-	// FirstEpoch is the first epoch whose votes the owner still has. A member that
-	// was removed and joined again has forgotten the earlier ones.
+	// FirstEpoch is the first epoch whose votes the source still has. A member
+	// that was removed and joined again has dropped the earlier ones.
 	FirstEpoch int64        `cbor:"6,keyasint"`
 	Entries    []Entry      `cbor:"3,keyasint"`
 	Next       string       `cbor:"4,keyasint"`
 	Losses     []LossRecord `cbor:"5,keyasint"`
 }
 
-// Transport carries the messages between claimers and replicas.
+// Transport carries the messages from claimers to replicas and between
+// replicas. Claim asks for a vote, Lookup only reads, Advance moves a granted
+// claim to a later state, Release gives it up unless its work has come further
+// than upTo, and Transfer reads one page of entries.
 type Transport interface {
 	Claim(ctx context.Context, to view.Member, r Request) (Reply, error)
 	Lookup(ctx context.Context, to view.Member, r Request) (Reply, error)
@@ -243,13 +250,13 @@
 type ViewSource interface {
 	Current() *view.View
 	Changed() <-chan struct{}
-	// Dead reports whether a member is gone for good.
+	// Dead reports whether a member has left for good.
 	Dead(m view.Member) bool
 }
 
-// quorum returns how many of n replicas make a claim won.
+// quorum returns how many of n replicas have to grant a claim for it to win.
 func quorum(n int) int { return n/2 + 1 }
 
-// readQuorum returns how many of n replicas have to be read to meet every
-// quorum of votes.
+// readQuorum returns how many of n replicas have to be read so that the read
+// overlaps every quorum of votes.
 func readQuorum(n int) int { return n - quorum(n) + 1 }
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// voteTimeout bounds one message to one replica; data halls of a region
+	// voteTimeout bounds one message to one replica. The data halls of a region
 	// are milliseconds apart.
 	voteTimeout = 300 * time.Millisecond
 	// maxRounds is how often a claim is tried while the view changes.
 	maxRounds = 4
 	// maxReleaseTries is how often a release is sent to a replica that does not
-	// answer.
+	// reply.
 	maxReleaseTries = 3
 )
 
@@ -27,25 +27,26 @@
 	views        ViewSource
 	peers        Transport
 	countVerdict func(Verdict)
-	// runTask runs what goes on beside the caller.
+	// runTask runs a task concurrently with the caller.
 	runTask func(task func())
 }
 
-// ClaimerOption changes a Claimer as NewClaimer makes it.
+// ClaimerOption configures a Claimer in NewClaimer.
 type ClaimerOption func(*Claimer)
 
-// WithVerdictCounter counts the replicas' answers.
+// WithVerdictCounter has count called with the verdict of each vote.
 func WithVerdictCounter(count func(Verdict)) ClaimerOption {
 	return func(c *Claimer) { c.countVerdict = count }
 }
 
-// WithTaskRunner replaces how tasks are run beside the caller, for tests that need
-// one order of things.
-func WithTaskRunner(beside func(task func())) ClaimerOption {
-	return func(c *Claimer) { c.runTask = beside }
+// WithTaskRunner replaces how background tasks are run, a goroutine each by
+// default. Tests use it to run them in a fixed order.
+func WithTaskRunner(run func(task func())) ClaimerOption {
+	return func(c *Claimer) { c.runTask = run }
 }
 
-// NewClaimer returns a claimer.
+// NewClaimer returns a claimer that takes replicas from views and reaches them
+// through peers.
 func NewClaimer(views ViewSource, peers Transport, options ...ClaimerOption) *Claimer {
 	c := &Claimer{views: views, peers: peers, countVerdict: func(Verdict) {}, runTask: func(task func()) { go task() }}
 	for _, option := range options {
@@ -54,32 +55,35 @@
 	return c
 }
 
-// Outcome of a claim that did not fail.
+// Outcome is the result of a claim that did not fail.
 type Outcome struct {
 	// Won says that the claim is this caller's, under Token.
 	Won   bool
 	Token string
-	// Other is the entry that has the key, if not won. OtherWon says that
-	// enough replicas were seen to hold it to know that it has won; without,
-	// it may still be given up.
+	// Other is the entry that holds the key, if not won. OtherWon says that a
+	// quorum was seen to hold it, so it has won; otherwise it may still be
+	// released.
 	Other    *Entry
 	OtherWon bool
-	// LostBefore is the time before which claims for the key may be lost.
+	// LostBefore is the time before which claims for the key may have been
+	// lost; zero if none were.
 	LostBefore time.Time
 	// Reached says that an earlier attempt under the key may have run.
 	Reached bool
 }
 
 // Claim tries to win a key. It asks the replicas in the view's order, so that
-// races meet at the first. The token of e must be new on all nodes; each round
-// claims under a token of its own, made from it by [RoundToken].
+// concurrent claimers meet at the first one. The token of e must be unique
+// among all nodes; each round claims under its own token, made from it by
+// [RoundToken]. The error is of type [Unreachable], [Split] or [Full]; the
+// attempt is then released.
 func (c *Claimer) Claim(ctx context.Context, e Entry) (Outcome, error) {
 	return c.tryRounds(ctx, e, 0, false)
 }
 
-// Override tries to win a key although a replica holds a claim of somebody
-// who does not answer. It fails to win if that claim was won. After a Claim, it
-// may be called with the same token.
+// Override tries to win a key although a replica holds another attempt's claim
+// whose holder does not respond. It does not win if that claim was won. After a
+// Claim, it may be called with the same token.
 func (c *Claimer) Override(ctx context.Context, e Entry) (Outcome, error) {
 	return c.tryRounds(ctx, e, maxRounds, true)
 }
@@ -94,19 +98,19 @@
 	})
 }
 
-// retry asks for the votes again while that may help: claimer and replicas were
-// at different epochs, or a range was being taken over; either passes soon.
-func (c *Claimer) retry(ctx context.Context, round func() (_ Outcome, again bool, _ error)) (Outcome, error) {
+// retry repeats a round while that may help: claimer and replicas were at
+// different epochs, or a range was being taken over. Both pass soon.
+func (c *Claimer) retry(ctx context.Context, round func() (_ Outcome, retryable bool, _ error)) (Outcome, error) {
 	var err error
 	for range maxRounds {
 		changed := c.views.Changed()
 		var outcome Outcome
-		var again bool
-		outcome, again, err = round()
+		var retryable bool
+		outcome, retryable, err = round()
 		if err == nil {
 			return outcome, nil
 		}
-		if !again {
+		if !retryable {
 			return outcome, err
 		}
 		timer := time.NewTimer(voteTimeout)
@@ -125,14 +129,14 @@
 // RoundToken returns the token of the nth round of an attempt.
 func RoundToken(attempt string, n int) string { return attempt + "/" + strconv.Itoa(n) }
 
-// NextToken returns the token of the round after another.
+// NextToken returns the token of the round after the given one.
 func NextToken(token string) string {
 	attempt, round := splitToken(token)
 	return RoundToken(attempt, round+1)
 }
 
-// Supersedes reports whether a token is of a later round of the same attempt
-// than another. The claimer has given the earlier round up.
+// Supersedes reports whether token is of a later round of the same attempt
+// than other. The claimer has given up the earlier round.
 func Supersedes(token, other string) bool {
 	attempt, round := splitToken(token)
 	otherAttempt, otherRound := splitToken(other)
@@ -151,11 +155,12 @@
 	return attempt
 }
 
-// votes counts one round.
+// votes counts the replies of one round.
 type votes struct {
 	granted int
-	// unclaimed counts the replicas that had no claim of the key.
-	unclaimed  int
+	// unclaimed counts the replicas that held no other claim of the key.
+	unclaimed int
+	// taken counts the replicas that hold each other claim, by its token.
 	taken      map[string]int
 	entries    map[string]*Entry
 	retryable  bool
@@ -190,7 +195,7 @@
 	}
 }
 
-// leading returns the foreign claim with the most votes.
+// leading returns the other claim with the most votes, and their number.
 func (v *votes) leading() (*Entry, int) {
 	var best *Entry
 	most := 0
@@ -202,8 +207,8 @@
 	return best, most
 }
 
-// round asks for the votes of one epoch.
-func (c *Claimer) round(ctx context.Context, e Entry, override bool) (_ Outcome, again bool, _ error) {
+// round asks the replicas of the current epoch for their votes.
+func (c *Claimer) round(ctx context.Context, e Entry, override bool) (_ Outcome, retryable bool, _ error) {
 	current := c.views.Current()
 	replicas := current.Replicas(e.Key.Region, e.Key.String())
 	if len(replicas) == 0 {
@@ -239,9 +244,10 @@
 	}
 }
 
-// propagateWin lets the replicas that were not needed for a win know of it, beside the
-// caller, so that whoever asks while one of the others does not answer can
-// still see that the claim was won. Claims that nobody waits for go without.
+// propagateWin sends a won claim in the background to the replicas that were
+// not needed for the win. A later reader can then see that it was won even
+// while one of the others does not reply. Best-effort claims and bills, for
+// which nobody waits, are not propagated.
 func (c *Claimer) propagateWin(rest []view.Member, r Request) {
 	if r.Entry.BestEffort || r.Entry.Key.Kind == KindBill {
 		return
@@ -262,20 +268,20 @@
 	return reply, err
 }
 
-// Release gives up an own claim that was won and whose work did not run.
+// Release gives up this caller's claim that was won and whose work did not run.
 func (c *Claimer) Release(key Key, token string) {
 	c.release(c.views.Current().Replicas(key.Region, key.String()), key, token, StateDone)
 }
 
-// ReleaseStale clears away a claim that its holder does not know any more. Where a
-// replica knows that its work has begun, the claim stays.
+// ReleaseStale removes a claim that its holder no longer knows. A replica that
+// knows that the work has begun keeps the claim.
 func (c *Claimer) ReleaseStale(key Key, token string) {
 	c.release(c.views.Current().Replicas(key.Region, key.String()), key, token, StateClaimed)
 }
 
-// release goes on after the caller has its answer. A replica that misses it
-// holds a claim whose token its holder no longer knows, which whoever asks
-// the holder finds out.
+// release runs in the background. A replica that does not get the message keeps
+// a claim whose token its holder no longer knows; others find that out when
+// they ask the holder.
 func (c *Claimer) release(from []view.Member, key Key, token string, upTo State) {
 	for _, m := range from {
 		c.runTask(func() {
@@ -293,8 +299,8 @@
 }
 
 // Advance tells the replicas how far the work under a claim has come. It
-// returns how many took it and how many there are.
-func (c *Claimer) Advance(ctx context.Context, e Entry) (took, of int) {
+// returns how many acknowledged it and how many there are.
+func (c *Claimer) Advance(ctx context.Context, e Entry) (acked, total int) {
 	replicas := c.views.Current().Replicas(e.Key.Region, e.Key.String())
 	done := make(chan bool, len(replicas))
 	for _, m := range replicas {
@@ -306,31 +312,31 @@
 	}
 	for range replicas {
 		if <-done {
-			took++
+			acked++
 		}
 	}
-	return took, len(replicas)
+	return acked, len(replicas)
 }
 
 // Lookup reads a key without claiming it. Complete says that enough replicas
-// answered to be sure that an absent key was not won.
+// replied to be sure that a key not found was not won.
 func (c *Claimer) Lookup(ctx context.Context, key Key) (found *Entry, complete bool) {
 	current := c.views.Current()
 	replicas := current.Replicas(key.Region, key.String())
 	v := &votes{taken: make(map[string]int), entries: make(map[string]*Entry)}
-	empty := 0
+	unclaimed := 0
 	for _, m := range replicas {
 		reply, err := c.lookupAt(ctx, m, Request{Epoch: current.Epoch(), Replica: m.ID, Entry: Entry{Key: key}})
 		v.count(reply, err)
 		if err == nil && reply.Verdict == VerdictGranted {
-			empty++
+			unclaimed++
 		}
 		if other, n := v.leading(); other != nil && n >= quorum(len(replicas)) {
 			return other, true
 		}
 	}
 	other, _ := v.leading()
-	return other, other != nil || (len(replicas) > 0 && empty >= quorum(len(replicas)))
+	return other, other != nil || (len(replicas) > 0 && unclaimed >= quorum(len(replicas)))
 }
 
 func (c *Claimer) lookupAt(ctx context.Context, m view.Member, r Request) (Reply, error) {
--- a/claim/coverage.go
+++ b/claim/coverage.go
@@ -6,32 +6,37 @@
 	"github.com/violettally/violettally/view"
 )
 
-// transfer is the taking over of ranges at one epoch.
+// transfer is the state of taking over key ranges at one epoch.
 type transfer struct {
 	self    string
 	current *view.View
-	// earlier views, latest first, as far as the history reaches. It is
-	// whole if it reaches back to the first member.
+	// earlier holds the views of earlier epochs, latest first, as far as the
+	// history reaches. historyComplete says that it reaches back to the first
+	// member.
 	earlier         []*view.View
 	historyComplete bool
-	// read holds what each member that was read can vouch for.
-	read     map[string]coverage
-	dead     map[string]bool
-	synced   bool
+	// read holds the coverage of each member that was read, by its ID.
+	read map[string]coverage
+	// dead says which unread members have left for good.
+	dead map[string]bool
+	// synced says that this member holds all won claims of its ranges.
+	synced bool
+	// outgoing holds the sorted keys that each other member takes over.
 	outgoing map[string][]string
 }
 
-// coverage is what a member that was read can vouch for: the epochs that it had
-// settled at, and the first one whose votes it still has.
+// coverage says for which epochs a member's table is complete: those at which
+// it held all won claims of its ranges, and the first one whose votes it still
+// has.
 type coverage struct {
 	syncedEpochs []int64
 	firstEpoch   int64
 }
 
-func (r coverage) syncedAt(epoch int64) bool { return slices.Contains(r.syncedEpochs, epoch) }
+func (c coverage) syncedAt(epoch int64) bool { return slices.Contains(c.syncedEpochs, epoch) }
 
-// newTransfer starts taking over for current. This node's own table counts as
-// read.
+// newTransfer starts taking over ranges for the current view. This node's own
+// table counts as read.
 func newTransfer(self string, current *view.View, own coverage) *transfer {
 	t := &transfer{
 		self:    self,
@@ -56,60 +61,60 @@
 	}
 	for _, v := range t.earlier {
 		before := v.Replicas(region, key)
-		read, needed, settled := t.countReads(v, before)
+		read, needed, synced := t.countReads(v, before)
 		if !sameMembers(before, replicas) && read < needed {
 			return false
 		}
-		if settled {
+		if synced {
 			return true
 		}
 	}
 	return t.historyComplete
 }
 
-// countReads counts the replicas of an earlier epoch that were read, how many have
-// to be, and whether one of those read had settled at it.
-func (t *transfer) countReads(v *view.View, before []view.Member) (read, needed int, settled bool) {
+// countReads returns how many replicas of an earlier epoch were read, how many
+// have to be, and whether one of those read was synced at that epoch.
+func (t *transfer) countReads(v *view.View, before []view.Member) (read, needed int, synced bool) {
 	alive := 0
 	for _, m := range before {
-		got, answered := t.read[m.ID]
+		got, replied := t.read[m.ID]
 		switch {
-		case answered && got.firstEpoch <= v.Epoch():
+		case replied && got.firstEpoch <= v.Epoch():
 			read++
 			alive++
-			settled = settled || got.syncedAt(v.Epoch())
-		case !answered && !t.dead[m.ID]:
+			synced = synced || got.syncedAt(v.Epoch())
+		case !replied && !t.dead[m.ID]:
 			alive++
 		}
 	}
-	return read, min(readQuorum(len(before)), alive), settled
+	return read, min(readQuorum(len(before)), alive), synced
 }
 
-// lostMembers names members of one epoch that died without having been read.
+// lostMembers names the members of one epoch that left before they were read.
 type lostMembers struct {
 	view    *view.View
 	members []string
 }
 
-// allReady reports whether every key is ready, judged by the members alone,
-// and what was lost.
+// allReady reports whether every key is ready, judged by the members alone
+// without going through the keys, and which members were lost.
 func (t *transfer) allReady() (losses []lostMembers, ok bool) {
 	for _, v := range t.earlier {
-		unread := t.progress(v)
-		mayMiss := unread.maxUnreadReplicas(v) > toleratedUnread(v)
-		if unread.pending > 0 && mayMiss {
+		progress := t.progress(v)
+		mayMiss := progress.maxUnreadReplicas(v) > toleratedUnread(v)
+		if progress.pending > 0 && mayMiss {
 			return nil, false
 		}
-		if len(unread.dead) > 0 && mayMiss {
-			losses = append(losses, lostMembers{view: v, members: unread.dead})
+		if len(progress.dead) > 0 && mayMiss {
+			losses = append(losses, lostMembers{view: v, members: progress.dead})
 		}
-		if unread.unsynced == 0 {
+		if progress.unsynced == 0 {
 			return losses, true
 		}
 	}
 	if !t.historyComplete && len(t.earlier) > 0 {
-		// The history ends before anybody had settled: count the oldest
-		// members as lost, which is never wrong.
+		// The history does not reach an epoch at which all were synced. Count
+		// the oldest members as lost, which is always safe.
 		oldest := t.earlier[len(t.earlier)-1]
 		losses = append(losses, lostMembers{view: oldest, members: memberIDs(oldest)})
 	}
@@ -124,53 +129,54 @@
 	return ids
 }
 
-// readProgress sums up how far the members of one epoch were read.
+// readProgress says how many members of one epoch were read.
 type readProgress struct {
 	dead []string
-	// unread counts members that were not read, dead ones included; halls are
-	// theirs.
+	// unread counts members that were not read, dead ones included, and
+	// unreadHalls holds their data halls.
 	unread      int
 	unreadHalls map[string]bool
 	// pending counts unread members that are not dead.
 	pending int
-	// unsynced counts living members that had not settled at the epoch.
+	// unsynced counts members that were read and were not synced at the epoch.
 	unsynced int
 }
 
-// maxUnreadReplicas returns how many replicas of one key may be unread at the most. With
-// enough data halls the replicas of a key lie in different ones.
-func (s readProgress) maxUnreadReplicas(v *view.View) int {
+// maxUnreadReplicas returns how many replicas of one key may be unread at most.
+// With enough data halls, the replicas of a key lie in different ones.
+func (p readProgress) maxUnreadReplicas(v *view.View) int {
 	if countDataHalls(v) >= view.ReplicaCount {
-		return len(s.unreadHalls)
+		return len(p.unreadHalls)
 	}
-	return s.unread
+	return p.unread
 }
 
-// toleratedUnread returns how many replicas of a key may stay unread.
+// toleratedUnread returns how many replicas of a key may stay unread without
+// missing a won claim.
 func toleratedUnread(v *view.View) int {
 	replicas := min(view.ReplicaCount, len(v.Members()))
 	return replicas - readQuorum(replicas)
 }
 
 func (t *transfer) progress(v *view.View) readProgress {
-	s := readProgress{unreadHalls: make(map[string]bool)}
+	p := readProgress{unreadHalls: make(map[string]bool)}
 	for _, m := range v.Members() {
-		got, answered := t.read[m.ID]
-		if answered && got.firstEpoch <= v.Epoch() {
+		got, replied := t.read[m.ID]
+		if replied && got.firstEpoch <= v.Epoch() {
 			if !got.syncedAt(v.Epoch()) {
-				s.unsynced++
+				p.unsynced++
 			}
 			continue
 		}
-		s.unread++
-		s.unreadHalls[m.DataHall] = true
-		if answered || t.dead[m.ID] {
-			s.dead = append(s.dead, m.ID)
+		p.unread++
+		p.unreadHalls[m.DataHall] = true
+		if replied || t.dead[m.ID] {
+			p.dead = append(p.dead, m.ID)
 		} else {
-			s.pending++
+			p.pending++
 		}
 	}
-	return s
+	return p
 }
 
 func countDataHalls(v *view.View) int {
--- a/claim/export_test.go
+++ b/claim/export_test.go
@@ -2,5 +2,5 @@
 
 import "context"
 
-// Pull lets a test take over ranges at once, without the replica's own task.
+// Pull takes over ranges once and at once, without [Replica.Run].
 func Pull(r *Replica) { r.pull(context.Background()) }
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -14,12 +14,12 @@
 	"github.com/violettally/violettally/view"
 )
 
-// The model runs three claimers against three replicas in three data halls,
-// one after the other or one inside another's round, with one change of the
-// view at any message, and lets the network lose, double or delay messages. It
-// is exhaustive: it tries every combination of outcomes of the first messages,
-// and holds each against the one promise that the others rest on, that at most
-// one claimer wins a key.
+// The model runs three claimers against three replicas in three data halls, one
+// after the other or one within another's round. The view changes once, at any
+// message, and the network loses, duplicates or delays messages. The model is
+// exhaustive: it tries every combination of deliveries of the first messages
+// and checks each for the guarantee that the others rest on, that at most one
+// claimer wins a key.
 
 // delivery is what the network does with one message.
 type delivery int
@@ -29,24 +29,24 @@
 	requestLost
 	replyLost
 	duplicated
-	// delayed messages are delivered after everything else.
+	// delayed messages are delivered after all others.
 	delayed
 	deliveryCount
 )
 
 var errLost = errors.New("message lost")
 
-// cluster is three replicas, one that replaces another, and the network.
+// cluster is three replicas, a fourth that replaces one of them, and the network.
 type cluster struct {
 	t        *testing.T
 	current  *view.View
 	changed  chan struct{}
 	replicas map[string]*claim.Replica
 	dead     map[string]bool
-	// script gives the outcome of each claim message in turn; messages beyond
+	// script gives the delivery of each claim message in turn; messages beyond
 	// it are delivered.
 	script []delivery
-	// beforeMessage holds what happens before the nth message.
+	// beforeMessage holds the events before the nth message.
 	beforeMessage map[int][]func()
 	sent          int
 	delayed       []func()
@@ -57,7 +57,7 @@
 }
 
 func newCluster(t *testing.T, script []delivery) *cluster {
-	w := &cluster{
+	c := &cluster{
 		t:             t,
 		changed:       make(chan struct{}),
 		replicas:      make(map[string]*claim.Replica),
@@ -69,27 +69,27 @@
 	t.Cleanup(timers.Close)
 	for _, name := range []string{"a", "b", "c", "d"} {
 		id := view.MemberID(name, "1")
-		w.replicas[id] = claim.NewReplica(id, w, w, timers)
+		c.replicas[id] = claim.NewReplica(id, c, c, timers)
 	}
-	w.setView(view.Empty().Change([]view.Member{member("a", "north"), member("b", "middle"), member("c", "south")}, nil))
-	return w
+	c.setView(view.Empty().Change([]view.Member{member("a", "north"), member("b", "middle"), member("c", "south")}, nil))
+	return c
 }
 
-func (w *cluster) setView(v *view.View) {
-	w.current = v
-	for _, r := range w.replicas {
+func (c *cluster) setView(v *view.View) {
+	c.current = v
+	for _, r := range c.replicas {
 		r.SetView(v)
 	}
-	for id, r := range w.replicas {
-		if !w.dead[id] {
+	for id, r := range c.replicas {
+		if !c.dead[id] {
 			claim.Pull(r)
 		}
 	}
 }
 
-func (w *cluster) Current() *view.View      { return w.current }
-func (w *cluster) Changed() <-chan struct{} { return closedChan }
-func (w *cluster) Dead(m view.Member) bool  { return w.dead[m.ID] }
+func (c *cluster) Current() *view.View      { return c.current }
+func (c *cluster) Changed() <-chan struct{} { return closedChan }
+func (c *cluster) Dead(m view.Member) bool  { return c.dead[m.ID] }
 
 var closedChan = func() chan struct{} {
 	c := make(chan struct{})
@@ -97,22 +97,22 @@
 	return c
 }()
 
-// Claim is one message of the model.
-func (w *cluster) Claim(_ context.Context, to view.Member, r claim.Request) (claim.Reply, error) {
-	at := w.sent
-	w.sent++
-	for _, happen := range w.beforeMessage[at] {
-		happen()
+// Claim delivers one claim message as the script says.
+func (c *cluster) Claim(_ context.Context, to view.Member, r claim.Request) (claim.Reply, error) {
+	at := c.sent
+	c.sent++
+	for _, event := range c.beforeMessage[at] {
+		event()
 	}
-	what := delivered
-	if at < len(w.script) {
-		what = w.script[at]
+	how := delivered
+	if at < len(c.script) {
+		how = c.script[at]
 	}
-	if w.dead[to.ID] {
+	if c.dead[to.ID] {
 		return claim.Reply{}, errLost
 	}
-	replica := w.replicas[to.ID]
-	switch what {
+	replica := c.replicas[to.ID]
+	switch how {
 	case requestLost:
 		return claim.Reply{}, errLost
 	case replyLost:
@@ -123,95 +123,96 @@
 		replica.Claim(r)
 		return reply, nil
 	case delayed:
-		w.delayed = append(w.delayed, func() { replica.Claim(r) })
+		c.delayed = append(c.delayed, func() { replica.Claim(r) })
 		return claim.Reply{}, errLost
 	default:
 		return replica.Claim(r), nil
 	}
 }
 
-func (w *cluster) Lookup(_ context.Context, to view.Member, r claim.Request) (claim.Reply, error) {
-	if w.dead[to.ID] {
+func (c *cluster) Lookup(_ context.Context, to view.Member, r claim.Request) (claim.Reply, error) {
+	if c.dead[to.ID] {
 		return claim.Reply{}, errLost
 	}
-	return w.replicas[to.ID].Lookup(r), nil
+	return c.replicas[to.ID].Lookup(r), nil
 }
 
-func (w *cluster) Advance(context.Context, view.Member, claim.Entry) error { return nil }
+func (c *cluster) Advance(context.Context, view.Member, claim.Entry) error { return nil }
 
-// Release never arrives: the worst that can happen to it.
-func (w *cluster) Release(context.Context, view.Member, claim.Key, string, claim.State) error {
+// Release never arrives, which is the worst case.
+func (c *cluster) Release(context.Context, view.Member, claim.Key, string, claim.State) error {
 	return errLost
 }
 
-func (w *cluster) Transfer(_ context.Context, to view.Member, r claim.TransferRequest) (claim.TransferReply, error) {
-	if w.dead[to.ID] {
+func (c *cluster) Transfer(_ context.Context, to view.Member, r claim.TransferRequest) (claim.TransferReply, error) {
+	if c.dead[to.ID] {
 		return claim.TransferReply{}, errLost
 	}
-	return w.replicas[to.ID].Transfer(r), nil
+	return c.replicas[to.ID].Transfer(r), nil
 }
 
-func (w *cluster) claim(name string, override bool) claim.Outcome {
-	claimer := claim.NewClaimer(w, w, claim.WithTaskRunner(func(task func()) { task() }))
+func (c *cluster) claim(name string, override bool) claim.Outcome {
+	claimer := claim.NewClaimer(c, c, claim.WithTaskRunner(func(task func()) { task() }))
 	e := claim.Entry{Key: claim.Key{Region: "home", Account: "desk", ID: "k"}, Token: name, Holder: claim.Holder{ID: name}, Expires: farFuture}
 	try := claimer.Claim
 	if override {
 		try = claimer.Override
 	}
-	outcome, err := try(w.t.Context(), e)
+	outcome, err := try(c.t.Context(), e)
 	if err != nil {
 		return claim.Outcome{}
 	}
 	return outcome
 }
 
-// replaceMember changes the view so that a VM gives way to d.
-func (w *cluster) replaceMember(name, hall string) {
+// replaceMember changes the view so that VM d replaces another one.
+func (c *cluster) replaceMember(name, hall string) {
 	id := view.MemberID(name, "1")
-	w.dead[id] = true
-	w.setView(w.current.Change([]view.Member{member("d", hall)}, []string{id}))
+	c.dead[id] = true
+	c.setView(c.current.Change([]view.Member{member("d", hall)}, []string{id}))
 }
 
-// scenario is one way for things to happen.
+// scenario is one combination of deliveries, view change and order of claimers.
 type scenario struct {
 	script []delivery
-	// replaced names the member that d takes the place of, before message
-	// changeAt; "" for none.
+	// replaced names the VM that d replaces before message changeAt; "" for
+	// none.
 	replaced string
 	changeAt int
-	// nested puts the second claimer inside the first's round, before the
+	// nested runs the second claimer within the first one's round, before
 	// message nestAt.
 	nested bool
 	nestAt int
-	// override lets the second claimer go past a claim that was not won.
+	// override lets the second claimer override a claim that was not won.
 	override bool
 }
 
-func (h scenario) run(t *testing.T) []claim.Outcome {
-	w := newCluster(t, h.script)
-	if h.replaced != "" {
-		hall := map[string]string{"a": "north", "b": "middle", "c": "south"}[h.replaced]
-		w.beforeMessage[h.changeAt] = append(w.beforeMessage[h.changeAt], func() { w.replaceMember(h.replaced, hall) })
+func (s scenario) run(t *testing.T) []claim.Outcome {
+	c := newCluster(t, s.script)
+	if s.replaced != "" {
+		hall := map[string]string{"a": "north", "b": "middle", "c": "south"}[s.replaced]
+		c.beforeMessage[s.changeAt] = append(c.beforeMessage[s.changeAt], func() { c.replaceMember(s.replaced, hall) })
 	}
 	var second claim.Outcome
-	if h.nested {
-		w.beforeMessage[h.nestAt] = append(w.beforeMessage[h.nestAt], func() { second = w.claim("second", h.override) })
+	if s.nested {
+		c.beforeMessage[s.nestAt] = append(c.beforeMessage[s.nestAt], func() { second = c.claim("second", s.override) })
 	}
-	first := w.claim("first", false)
-	if !h.nested {
-		second = w.claim("second", h.override)
+	first := c.claim("first", false)
+	if !s.nested {
+		second = c.claim("second", s.override)
 	}
-	for _, deliver := range w.delayed {
+	for _, deliver := range c.delayed {
 		deliver()
 	}
-	return []claim.Outcome{first, second, w.claim("third", true)}
+	return []claim.Outcome{first, second, c.claim("third", true)}
 }
 
+// TestAtMostOneWins runs the model.
 func TestAtMostOneWins(t *testing.T) {
 	slog.SetLogLoggerLevel(slog.LevelError)
 	tried, none := 0, 0
-	try := func(h scenario) {
-		outcomes := h.run(t)
+	try := func(s scenario) {
+		outcomes := s.run(t)
 		wins := 0
 		for _, o := range outcomes {
 			if o.Won {
@@ -219,13 +220,13 @@
 			}
 		}
 		if wins > 1 {
-			t.Fatalf("%d claimers won: %+v", wins, h)
+			t.Fatalf("%d claimers won: %+v", wins, s)
 		}
 		if wins == 0 {
 			none++
 		}
 		tried++
-		checkReportedWinners(t, h.script, outcomes...)
+		checkReportedWinners(t, s.script, outcomes...)
 	}
 	for _, replaced := range []string{"", "a", "b", "c"} {
 		for _, override := range []bool{false, true} {
@@ -241,11 +242,12 @@
 			}
 		}
 	}
-	t.Logf("%d histories, nobody won in %d", tried, none)
+	t.Logf("%d scenarios, nobody won in %d", tried, none)
 	must.Greater(t, 10_000, tried)
 }
 
-// checkOthers: who is told that another has won, is told the truth.
+// checkReportedWinners fails if a claimer was told of another winner than the
+// actual one.
 func checkReportedWinners(t *testing.T, script []delivery, outcomes ...claim.Outcome) {
 	t.Helper()
 	won := ""
@@ -256,7 +258,7 @@
 	}
 	for _, o := range outcomes {
 		if o.Other != nil && o.OtherWon && won != "" && o.Other.Holder.ID != won && o.Other.State != claim.StateUnknown {
-			t.Fatalf("%s won, and somebody was told that %s has; script %v", won, o.Other.Holder.ID, script)
+			t.Fatalf("%s won, but a claimer was told that %s has; script %v", won, o.Other.Holder.ID, script)
 		}
 	}
 }
@@ -277,32 +279,32 @@
 	fill(0)
 }
 
-// TestTwoReplicasLost loses two of three replicas at once: their range may
-// have lost claims, and the next claimer is told since when.
+// TestTwoReplicasLost loses two of three replicas at once. Claims of their range
+// may be lost, and the next claimer has to learn from before which time.
 func TestTwoReplicasLost(t *testing.T) {
-	w := newCluster(t, nil)
-	must.True(t, w.claim("first", false).Won)
+	c := newCluster(t, nil)
+	must.True(t, c.claim("first", false).Won)
 	for _, name := range []string{"a", "b"} {
-		w.dead[view.MemberID(name, "1")] = true
+		c.dead[view.MemberID(name, "1")] = true
 	}
-	w.setView(w.current.Change([]view.Member{member("d", "north")}, []string{view.MemberID("a", "1"), view.MemberID("b", "1")}))
-	outcome := w.claim("second", false)
+	c.setView(c.current.Change([]view.Member{member("d", "north")}, []string{view.MemberID("a", "1"), view.MemberID("b", "1")}))
+	outcome := c.claim("second", false)
 	if outcome.Won {
-		must.False(t, outcome.LostBefore.IsZero(), must.Sprint("won without a word of the loss"))
+		must.False(t, outcome.LostBefore.IsZero(), must.Sprint("won without LostBefore"))
 	}
 }
 
-// TestDataHallLost loses one data hall: nothing is lost, and what was won
-// stays won.
+// TestDataHallLost loses one data hall: no claim is lost, and a won claim stays
+// won.
 func TestDataHallLost(t *testing.T) {
 	for _, name := range []string{"a", "b", "c"} {
 		t.Run(name, func(t *testing.T) {
-			w := newCluster(t, nil)
-			must.True(t, w.claim("first", false).Won)
+			c := newCluster(t, nil)
+			must.True(t, c.claim("first", false).Won)
 			id := view.MemberID(name, "1")
-			w.dead[id] = true
-			w.setView(w.current.Change(nil, []string{id}))
-			outcome := w.claim("second", true)
+			c.dead[id] = true
+			c.setView(c.current.Change(nil, []string{id}))
+			outcome := c.claim("second", true)
 			must.False(t, outcome.Won)
 			must.NotNil(t, outcome.Other, must.Sprint(fmt.Sprint(outcome)))
 			must.Eq(t, "first", outcome.Other.Holder.ID)
--- a/claim/replica.go
+++ b/claim/replica.go
@@ -15,28 +15,29 @@
 	sweepInterval = time.Second
 	// pullInterval is how soon a read of an earlier replica is tried again.
 	pullInterval = 100 * time.Millisecond
-	// releasedTTL is how long a released token is remembered, so that its
-	// claim is not granted when it arrives late. It outlives every timeout
-	// of a claim message.
+	// releasedTTL is how long a released token is kept, so that its claim is
+	// not granted when it arrives late. It is longer than every timeout of a
+	// claim message.
 	releasedTTL = time.Minute
-	// entryOverhead estimates the memory of an entry beside its payload.
+	// entryOverhead estimates the bytes of an entry besides its payload.
 	entryOverhead = 512
 )
 
-// ReplicaOption changes a Replica as NewReplica makes it.
+// ReplicaOption configures a Replica in NewReplica.
 type ReplicaOption func(*Replica)
 
-// WithMemoryLimit bounds the bytes that a replica keeps.
+// WithMemoryLimit bounds the bytes that a replica's entries take, estimated.
 func WithMemoryLimit(bytes int64) ReplicaOption { return func(r *Replica) { r.maxBytes = bytes } }
 
-// WithFolded names the test for bills that need not be kept any longer.
+// WithFolded sets the test for bills that are in the ledger and need not be kept
+// any longer.
 func WithFolded(folded func(holder string, sequence int64) bool) ReplicaOption {
 	return func(r *Replica) { r.folded = folded }
 }
 
 const defaultMemoryLimit = 48 << 20
 
-// Replica is one node's part of the claims: a bounded table in memory.
+// Replica holds one node's part of the claims, a bounded table in memory.
 type Replica struct {
 	self     string
 	views    ViewSource
@@ -50,14 +51,14 @@
 	bytes    int64
 	released map[string]time.Time
 	transfer *transfer
-	// coverage is what this replica's table can vouch for.
+	// coverage says for which epochs this replica's table is complete.
 	coverage coverage
 	// wasMember is set once this replica was a member of a view.
 	wasMember bool
 	losses    []LossRecord
 }
 
-// NewReplica returns an empty replica of the member self.
+// NewReplica returns an empty replica of the member with the ID self.
 func NewReplica(self string, views ViewSource, peers Transport, timers *timer.Service, options ...ReplicaOption) *Replica {
 	r := &Replica{
 		self:     self,
@@ -76,7 +77,7 @@
 	return r
 }
 
-// Claim gives or refuses this replica's vote.
+// Claim grants or refuses this replica's vote.
 func (r *Replica) Claim(in Request) Reply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,8 +109,8 @@
 		in.Entry.Reached = held.Reached || held.State == StateFailed
 	}
 	reply.Reached = in.Entry.Reached
-	if _, gone := r.released[in.Entry.Token]; gone {
-		// The claimer has given this attempt up; the message is late.
+	if _, released := r.released[in.Entry.Token]; released {
+		// The claimer has given up this attempt; the message is late.
 		reply.Verdict = VerdictNotReady
 		return reply
 	}
@@ -121,22 +122,22 @@
 	return reply
 }
 
-// replaceable reports whether a new claim may take the place of the one held:
-// what failed is over, and an attempt gives up its earlier rounds. A key for
-// which two claims survived stays taken, also for one of the two.
+// replaceable reports whether a new claim may replace the one held: failed work
+// is over, and an attempt gives up its earlier rounds. A key in StateUnknown
+// stays taken, even for the attempts that claimed it.
 func replaceable(held, by *Entry) bool {
 	return held.State == StateFailed || held.State == by.State && Supersedes(by.Token, held.Token)
 }
 
 func (r *Replica) exceedsMemory(e *Entry) bool {
-	bound := r.maxBytes
+	limit := r.maxBytes
 	if e.BestEffort {
-		bound /= 2
+		limit /= 2
 	}
-	return r.bytes+entrySize(e) > bound
+	return r.bytes+entrySize(e) > limit
 }
 
-// Lookup returns the entry that has a key, if any, without a vote.
+// Lookup returns the entry that holds a key, if any, and grants no vote.
 func (r *Replica) Lookup(in Request) Reply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,8 +157,8 @@
 	return reply
 }
 
-// Advance moves a claim on that this replica has granted or taken over, or
-// prolongs its life. A claim never goes back to an earlier state.
+// Advance moves a claim that this replica has granted or taken over to a later
+// state, or extends its expiry. A claim never returns to an earlier state.
 func (r *Replica) Advance(e Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,14 +175,14 @@
 	r.bytes -= entrySize(held)
 	held.State, held.Response = e.State, e.Response
 	if e.State == StateDone {
-		// The request is not taken over any more.
+		// The request is no longer needed for a takeover.
 		held.Value = nil
 	}
 	r.bytes += entrySize(held)
 }
 
-// Release removes the claim of one attempt and refuses it from now on, unless
-// its work has come further than upTo.
+// Release removes the claim of one attempt and refuses it if it arrives late,
+// unless its work has come further than upTo.
 func (r *Replica) Release(key Key, token string, upTo State) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -191,33 +192,33 @@
 		r.releaseRival(name, held, token)
 		return
 	}
-	mine := held != nil && held.Token == token
-	if mine && held.State > upTo {
+	matches := held != nil && held.Token == token
+	if matches && held.State > upTo {
 		return
 	}
 	r.released[token] = r.timers.Now().Add(releasedTTL)
-	if mine {
+	if matches {
 		r.drop(name)
 	}
 }
 
-// releaseRival leaves a bill of two claims to one of them, once the other is
-// given up.
+// releaseRival removes one of the two claims of a bill, so that the other one
+// holds it.
 func (r *Replica) releaseRival(name string, held *Entry, token string) {
 	r.released[token] = r.timers.Now().Add(releasedTTL)
-	left := *held.Rival
+	remaining := *held.Rival
 	switch AttemptOf(token) {
 	case AttemptOf(held.Token):
 	case AttemptOf(held.Rival.Token):
-		left = *held
-		left.State, left.Rival = StateDone, nil
+		remaining = *held
+		remaining.State, remaining.Rival = StateDone, nil
 	default:
 		return
 	}
-	r.put(name, left)
+	r.put(name, remaining)
 }
 
-// Bills returns the bills of one holder beyond a sequence, in their order.
+// Bills returns the bills of one holder after a sequence number, in order.
 func (r *Replica) Bills(holder string, after int64) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -233,7 +234,8 @@
 	return bills
 }
 
-// BillHolders returns the journals of the bills that this replica remembers.
+// BillHolders returns the holders of the bills in this replica's table, each the
+// name of a journal.
 func (r *Replica) BillHolders() map[string]bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -246,29 +248,29 @@
 	return holders
 }
 
-// Orphans returns the patient work that this replica remembers and whose
-// holder does not answer.
-func (r *Replica) Orphans(answers func(holder string) bool) []Entry {
+// Orphans returns the claims of unfinished patient work whose holder does not
+// respond.
+func (r *Replica) Orphans(responds func(holder string) bool) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var orphans []Entry
 	now := r.timers.Now()
 	for _, e := range r.entries {
-		if e.Patient && e.State < StateFailed && now.Before(e.Expires) && !answers(e.Holder.ID) {
+		if e.Patient && e.State < StateFailed && now.Before(e.Expires) && !responds(e.Holder.ID) {
 			orphans = append(orphans, *clone(e))
 		}
 	}
 	return orphans
 }
 
-// Usage returns the number of entries and the bytes that they take.
+// Usage returns the number of entries and the bytes that they take, estimated.
 func (r *Replica) Usage() (entries int, bytes int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.entries), r.bytes
 }
 
-// Run sweeps out expired entries and takes over ranges after a change of the
+// Run removes expired entries and takes over key ranges after a change of the
 // view, until the context ends.
 func (r *Replica) Run(ctx context.Context) {
 	sweeps := r.timers.Subscribe(sweepInterval)
@@ -306,12 +308,14 @@
 	r.losses = unexpiredLosses(r.losses, now)
 }
 
-// hasUnfoldedBill keeps a bill past its life until it stands in the ledger.
+// hasUnfoldedBill reports whether an entry is of a bill that is not yet in the
+// ledger. Such an entry is kept past its expiry.
 func (r *Replica) hasUnfoldedBill(e *Entry) bool {
 	return slices.ContainsFunc(e.bills(), func(b *Entry) bool { return !r.folded(b.Holder.ID, b.Sequence) })
 }
 
-// unexpired returns an entry whose life has not ended.
+// unexpired returns the entry of a key, or nil if there is none or it has
+// expired.
 func (r *Replica) unexpired(key string) *Entry {
 	e := r.entries[key]
 	if e == nil || (r.timers.Now().After(e.Expires) && !r.hasUnfoldedBill(e)) {
--- a/claim/replica_test.go
+++ b/claim/replica_test.go
@@ -12,11 +12,12 @@
 
 var farFuture = time.Now().Add(time.Hour)
 
-// TestVotes lists what a replica answers, step by step.
+// TestVotes checks a replica's verdicts step by step, and that releases and later
+// states are kept.
 func TestVotes(t *testing.T) {
-	w := newCluster(t, nil)
-	id := w.current.Members()[0].ID
-	r := w.replicas[id]
+	c := newCluster(t, nil)
+	id := c.current.Members()[0].ID
+	r := c.replicas[id]
 	entry := func(key, token string) claim.Entry {
 		return claim.Entry{Key: claim.Key{Region: "home", Account: "desk", ID: key}, Token: token, Expires: farFuture}
 	}
@@ -29,10 +30,10 @@
 		want claim.Verdict
 	}{
 		{"first claim", ask(id, 1, "k", "x/0"), claim.VerdictGranted},
-		{"the same again", ask(id, 1, "k", "x/0"), claim.VerdictGranted},
+		{"the same claim again", ask(id, 1, "k", "x/0"), claim.VerdictGranted},
 		{"a later round of the same attempt", ask(id, 1, "k", "x/1"), claim.VerdictGranted},
-		{"the earlier round, late", ask(id, 1, "k", "x/0"), claim.VerdictTaken},
-		{"another's claim", ask(id, 1, "k", "y/0"), claim.VerdictTaken},
+		{"the earlier round, delayed", ask(id, 1, "k", "x/0"), claim.VerdictTaken},
+		{"a claim of another attempt", ask(id, 1, "k", "y/0"), claim.VerdictTaken},
 		{"an earlier epoch", ask(id, 0, "k2", "x/0"), claim.VerdictEpoch},
 		{"a later epoch", ask(id, 2, "k2", "x/0"), claim.VerdictEpoch},
 		{"an earlier incarnation", ask("a#0", 1, "k2", "x/0"), claim.VerdictNotMine},
@@ -49,42 +50,42 @@
 	done := entry("k", "y/1")
 	done.State, done.Response = claim.StateDone, []byte("answer")
 	r.Advance(done)
-	back := entry("k", "y/1")
-	back.State = claim.StateRunning
-	r.Advance(back)
+	earlier := entry("k", "y/1")
+	earlier.State = claim.StateRunning
+	r.Advance(earlier)
 	reply := r.Lookup(claim.Request{Entry: entry("k", "")})
-	must.Eq(t, claim.StateDone, reply.Entry.State, must.Sprint("a claim goes back to no earlier state"))
+	must.Eq(t, claim.StateDone, reply.Entry.State, must.Sprint("a claim must not return to an earlier state"))
 	must.Eq(t, "answer", string(reply.Entry.Response))
 	r.Release(entry("k", "").Key, "y/1", claim.StateClaimed)
-	must.Eq(t, claim.VerdictTaken, ask(id, 1, "k", "z/0"), must.Sprint("work that has run is not abandoned"))
+	must.Eq(t, claim.VerdictTaken, ask(id, 1, "k", "z/0"), must.Sprint("a claim whose work has run must not be released"))
 }
 
-// TestFailedWork lets a key be claimed again after work that gave no answer,
-// and tells the next claimer that it may have run; also after a transfer.
+// TestFailedWork checks that a key can be claimed again after its work failed, and
+// that the next claimer learns that the work may have run, also after a transfer.
 func TestFailedWork(t *testing.T) {
-	w := newCluster(t, nil)
+	c := newCluster(t, nil)
 	failed := claim.Entry{Key: claim.Key{Region: "home", Account: "desk", ID: "k"}, Token: "first/0", State: claim.StateFailed}
-	must.True(t, w.claim("first", false).Won)
-	for _, r := range w.replicas {
+	must.True(t, c.claim("first", false).Won)
+	for _, r := range c.replicas {
 		r.Advance(failed)
 	}
-	w.replaceMember("a", "north")
-	second := w.claim("second", false)
+	c.replaceMember("a", "north")
+	second := c.claim("second", false)
 	must.True(t, second.Won)
 	must.True(t, second.Reached)
-	must.False(t, w.claim("third", true).Won)
+	must.False(t, c.claim("third", true).Won)
 }
 
-// TestBestEffortMemoryLimit fills a replica with soft claims and finds room for
-// one that is not.
+// TestBestEffortMemoryLimit fills a replica with best-effort claims until it
+// refuses one, and checks that it still grants another claim.
 func TestBestEffortMemoryLimit(t *testing.T) {
-	w := newCluster(t, nil)
-	id := w.current.Members()[0].ID
-	r := claim.NewReplica(id, w, w, timer.New(), claim.WithMemoryLimit(10_000))
-	r.SetView(w.current)
+	c := newCluster(t, nil)
+	id := c.current.Members()[0].ID
+	r := claim.NewReplica(id, c, c, timer.New(), claim.WithMemoryLimit(10_000))
+	r.SetView(c.current)
 	claim.Pull(r)
-	ask := func(i int, soft bool) claim.Verdict {
-		e := claim.Entry{Key: claim.Key{Region: "home", Account: "desk", ID: time.Duration(i).String()}, Token: "t", Expires: farFuture, BestEffort: soft}
+	ask := func(i int, bestEffort bool) claim.Verdict {
+		e := claim.Entry{Key: claim.Key{Region: "home", Account: "desk", ID: time.Duration(i).String()}, Token: "t", Expires: farFuture, BestEffort: bestEffort}
 		return r.Claim(claim.Request{Epoch: 1, Replica: id, Entry: e}).Verdict
 	}
 	last := claim.VerdictGranted
--- a/claim/settle.go
+++ b/claim/settle.go
@@ -9,34 +9,35 @@
 	"github.com/violettally/violettally/view"
 )
 
-// Settle tries to find out whether a claim is won, and to win it if that is
-// open. It passes over others that have not won, as Override does, but gives
-// nothing up by itself: votes stay where they are while replicas do not answer,
-// so that whoever asks them later can settle the claim in its holder's place,
-// with the same entry and the same outcome.
+// Settle finds out whether a claim is won, and tries to win it if that is not
+// decided yet. Like Override, it ignores other claims that have not won, but it
+// releases nothing: votes stay while replicas do not reply, so that another
+// node can settle the claim later in its holder's place, with the same entry
+// and the same outcome.
 //
-// The error [Split] says that all replicas have told and nobody has a quorum,
-// [Undecided] that a quorum does not know which of two attempts has won. Both
-// come with an Outcome that names the rival. They pass when one of the two is
-// released.
+// The error [Split] says that all replicas have reported and no attempt has a
+// quorum, [Undecided] that a quorum does not know which of two attempts has won.
+// Both come with an Outcome that names the rival and pass when one of the two
+// is released. [Full] and [Unreachable] come without one.
 func (c *Claimer) Settle(ctx context.Context, e Entry) (Outcome, error) {
 	return c.retry(ctx, func() (Outcome, bool, error) { return c.settle(ctx, e) })
 }
 
-// settleTally counts the replicas' answers to a claim that is being settled.
+// settleTally counts the replicas' replies for a claim that is being settled.
 type settleTally struct {
-	// own counts the replicas that hold this attempt, of whatever round.
+	// own counts the replicas that hold this attempt, in any round.
 	own int
-	// rivals counts the replicas that hold another attempt.
-	rivals  map[string]int
+	// rivals counts the replicas that hold another attempt, by its name.
+	rivals map[string]int
+	// entries holds the claims that were seen, by attempt.
 	entries map[string]*Entry
 	// unknown counts the replicas that do not know which of two attempts has
 	// won.
 	unknown int
-	// reported counts the replicas that told whose claim they hold.
+	// reported counts the replicas that told which claim they hold.
 	reported int
 	votes    votes
-	// replies tells what each replica answered.
+	// replies describes each replica's reply, for error texts.
 	replies []string
 }
 
@@ -48,41 +49,41 @@
 	}
 }
 
-func (b *settleTally) count(attempt string, from view.Member, reply Reply, err error) {
-	b.votes.count(reply, err)
+func (t *settleTally) count(attempt string, from view.Member, reply Reply, err error) {
+	t.votes.count(reply, err)
 	if err != nil {
-		b.replies = append(b.replies, from.ID+" did not answer")
+		t.replies = append(t.replies, from.ID+" did not reply")
 		return
 	}
-	b.replies = append(b.replies, from.ID+" "+reply.Verdict.String())
+	t.replies = append(t.replies, from.ID+" "+reply.Verdict.String())
 	switch reply.Verdict {
 	case VerdictGranted:
-		b.reported++
-		b.own++
+		t.reported++
+		t.own++
 	case VerdictTaken:
-		b.reported++
+		t.reported++
 		holder := AttemptOf(reply.Entry.Token)
-		b.entries[holder] = reply.Entry
+		t.entries[holder] = reply.Entry
 		if rival := reply.Entry.Rival; rival != nil {
-			b.entries[AttemptOf(rival.Token)] = rival
+			t.entries[AttemptOf(rival.Token)] = rival
 		}
 		switch {
 		case reply.Entry.State == StateUnknown:
-			b.unknown++
+			t.unknown++
 		case holder == attempt:
-			b.own++
+			t.own++
 		default:
-			b.rivals[holder]++
+			t.rivals[holder]++
 		}
 	}
 }
 
-// winner returns the attempt that has a quorum.
-func (b *settleTally) winner(attempt string, need int) (string, bool) {
-	if b.own >= need {
+// winner returns the attempt that has a quorum, if any.
+func (t *settleTally) winner(attempt string, need int) (string, bool) {
+	if t.own >= need {
 		return attempt, true
 	}
-	for rival, n := range b.rivals {
+	for rival, n := range t.rivals {
 		if n >= need {
 			return rival, true
 		}
@@ -90,24 +91,25 @@
 	return "", false
 }
 
-// rival returns the first by name of the other attempts that were seen.
-func (b *settleTally) rival(attempt string) *Entry {
-	for _, name := range slices.Sorted(maps.Keys(b.entries)) {
+// rival returns the claim of another attempt that was seen, the first by name,
+// or nil.
+func (t *settleTally) rival(attempt string) *Entry {
+	for _, name := range slices.Sorted(maps.Keys(t.entries)) {
 		if name != attempt {
-			return b.entries[name]
+			return t.entries[name]
 		}
 	}
 	return nil
 }
 
-func (b *settleTally) outcome(token, winner string) Outcome {
+func (t *settleTally) outcome(token, winner string) Outcome {
 	if winner == AttemptOf(token) {
-		return Outcome{Won: true, Token: token, LostBefore: b.votes.lostBefore, Reached: b.votes.reached}
+		return Outcome{Won: true, Token: token, LostBefore: t.votes.lostBefore, Reached: t.votes.reached}
 	}
-	return Outcome{Other: b.entries[winner], OtherWon: true, LostBefore: b.votes.lostBefore}
+	return Outcome{Other: t.entries[winner], OtherWon: true, LostBefore: t.votes.lostBefore}
 }
 
-func (c *Claimer) settle(ctx context.Context, e Entry) (_ Outcome, again bool, _ error) {
+func (c *Claimer) settle(ctx context.Context, e Entry) (_ Outcome, retryable bool, _ error) {
 	current := c.views.Current()
 	replicas := current.Replicas(e.Key.Region, e.Key.String())
 	if len(replicas) == 0 {
@@ -115,26 +117,26 @@
 	}
 	need := quorum(len(replicas))
 	attempt := AttemptOf(e.Token)
-	b := newSettleTally()
+	t := newSettleTally()
 	for _, m := range replicas {
 		reply, err := c.requestVote(ctx, m, Request{Epoch: current.Epoch(), Replica: m.ID, Entry: e})
-		b.count(attempt, m, reply, err)
-		if winner, ok := b.winner(attempt, need); ok {
-			return b.outcome(e.Token, winner), false, nil
+		t.count(attempt, m, reply, err)
+		if winner, ok := t.winner(attempt, need); ok {
+			return t.outcome(e.Token, winner), false, nil
 		}
 	}
-	rival := Outcome{Other: b.rival(attempt), LostBefore: b.votes.lostBefore}
+	rival := Outcome{Other: t.rival(attempt), LostBefore: t.votes.lostBefore}
 	switch {
 	case rival.Other == nil:
-	case b.unknown >= need:
-		return rival, false, errs.New(Undecided, "settle", "%d of %d replicas do not know who has won %s: %s", b.unknown, len(replicas), e.Key, b.replies)
-	case b.reported == len(replicas):
-		// A replica that did not answer may hold a vote whose reply was lost,
-		// so that this claim may have a quorum already.
-		return rival, false, errs.New(Split, "settle", "%d of %d votes for %s, others for another: %s", b.own, need, e.Key, b.replies)
+	case t.unknown >= need:
+		return rival, false, errs.New(Undecided, "settle", "%d of %d replicas do not know which attempt has won %s: %s", t.unknown, len(replicas), e.Key, t.replies)
+	case t.reported == len(replicas):
+		// Only if all have reported: a replica that did not reply may hold a
+		// vote whose reply was lost, and this claim may have a quorum already.
+		return rival, false, errs.New(Split, "settle", "%d of %d votes for %s, the rest for other attempts: %s", t.own, need, e.Key, t.replies)
 	}
-	if b.votes.full {
-		return Outcome{}, b.votes.retryable, errs.New(Full, "settle", "the replicas of %s have no memory left", e.Key)
+	if t.votes.full {
+		return Outcome{}, t.votes.retryable, errs.New(Full, "settle", "the replicas of %s have no memory left", e.Key)
 	}
-	return Outcome{}, b.votes.retryable, errs.New(Unreachable, "settle", "%d of %d votes for %s: %s", b.own, need, e.Key, b.replies)
+	return Outcome{}, t.votes.retryable, errs.New(Unreachable, "settle", "%d of %d votes for %s: %s", t.own, need, e.Key, t.replies)
 }
--- a/claim/transfer.go
+++ b/claim/transfer.go
@@ -11,37 +11,38 @@
 	"github.com/violettally/violettally/view"
 )
 
-// A change of the view.
+// What happens when the view changes:
 //
 // A replica that has seen epoch e refuses claims of every other epoch. For a
-// key whose replicas changed it grants no claim until it has read two of the
-// three replicas of the epoch before, itself included, or as many as are not
-// dead. Two of three reads meet two of three votes, so it sees every claim
-// that has been won. Each node that answers a read has itself seen epoch e,
-// so no vote of an earlier epoch can come after it.
+// key whose replicas changed, it grants no claim until it has read two of the
+// three replicas of the previous epoch, itself included, or as many as are not
+// dead. Two of three reads overlap two of three votes, so it sees every claim
+// that has been won. Each node that replies to a read has itself seen epoch e,
+// so it grants no vote of an earlier epoch afterwards.
 //
-// A node that was read may have missed epochs, or still be taking over. It
-// lists the epochs at which it held all won claims of its ranges ("settled").
-// One node among those read that had settled at an epoch is enough for
-// everything before that epoch, since it has read the replicas before it;
-// without one, the replicas of one epoch further back are read as well. The
-// view carries the history for this.
+// A node that was read may have missed epochs, or may still be taking over
+// ranges. It lists the epochs at which it held all won claims of its ranges
+// ("synced"). One node among those read that was synced at an epoch is enough
+// for everything before that epoch, since it has read the replicas before it.
+// Without one, the replicas of the epoch before that are read as well. The
+// view carries its history for this.
 //
-// Where two of three replicas died at once, claims may be lost. The range
-// gets a [LossRecord], and claims of ids older than the gap are answered with "lost"
-// instead of a vote that may be wrong.
+// If two of three replicas died at once, claims may be lost. The replica keeps
+// a [LossRecord] of the time, and its replies for the keys concerned carry it as
+// LostBefore. For an older request id, the outcome is then unknown: the vote may
+// be wrong.
 
 const (
 	// pageSize is the number of entries in one page of a transfer.
 	pageSize = 256
-	// lossRetention covers the longest life of a claim.
+	// lossRetention is at least the longest lifetime of a claim.
 	lossRetention = 24 * time.Hour
-	// transferTimeout bounds one page.
+	// transferTimeout bounds the transfer of one page.
 	transferTimeout = 2 * time.Second
 )
 
-// LossRecord says that claims made before At may be lost if two of the replicas of a
-// key, or all of them, were among the missing members of a view.
+// LossRecord says that claims made before At may be lost if two of the replicas
+// of a key, or all of them, were among the missing members of a view.
 type LossRecord struct {
 	At      time.Time `cbor:"1,keyasint"`
 	View    []byte    `cbor:"2,keyasint"`
@@ -50,17 +51,18 @@
 	decoded *view.View
 }
 
-func (g *LossRecord) mayAffect(region, key string) bool {
-	if g.decoded == nil {
-		g.decoded, _ = view.Decode(g.View)
+// mayAffect reports whether claims of a key may be lost.
+func (l *LossRecord) mayAffect(region, key string) bool {
+	if l.decoded == nil {
+		l.decoded, _ = view.Decode(l.View)
 	}
-	if g.decoded == nil {
+	if l.decoded == nil {
 		return true
 	}
-	replicas := g.decoded.Replicas(region, key)
+	replicas := l.decoded.Replicas(region, key)
 	missing := 0
 	for _, m := range replicas {
-		for _, id := range g.Missing {
+		for _, id := range l.Missing {
 			if id == m.ID {
 				missing++
 			}
@@ -69,22 +71,23 @@
 	return missing > 0 && len(replicas)-missing < readQuorum(len(replicas))
 }
 
-func unexpiredLosses(gaps []LossRecord, now time.Time) []LossRecord {
-	kept := gaps[:0]
-	for _, g := range gaps {
-		if now.Sub(g.At) < lossRetention {
-			kept = append(kept, g)
+func unexpiredLosses(losses []LossRecord, now time.Time) []LossRecord {
+	kept := losses[:0]
+	for _, l := range losses {
+		if now.Sub(l.At) < lossRetention {
+			kept = append(kept, l)
 		}
 	}
 	return kept
 }
 
-// maxSyncedEpochs bounds how many epochs a replica remembers having settled at.
+// maxSyncedEpochs bounds how many epochs a replica lists as synced.
 const maxSyncedEpochs = 64
 
-// SetView starts the taking over for a new epoch. A member that was removed
-// keeps its claims for those who take them over. If it joins again, it forgets
-// them: others have decided since, and it no longer knows which were won.
+// SetView starts taking over key ranges for a new epoch. A member that was
+// removed keeps its claims for the members that take them over. If it joins
+// again, it drops them: other members have voted since, and it no longer knows
+// which claims were won.
 func (r *Replica) SetView(v *view.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -102,18 +105,19 @@
 
 func (r *Replica) markSynced(t *transfer) {
 	t.synced = true
-	settled := append(slices.Clone(r.coverage.syncedEpochs), t.current.Epoch())
-	r.coverage.syncedEpochs = settled[max(0, len(settled)-maxSyncedEpochs):]
+	epochs := append(slices.Clone(r.coverage.syncedEpochs), t.current.Epoch())
+	r.coverage.syncedEpochs = epochs[max(0, len(epochs)-maxSyncedEpochs):]
 }
 
-// Synced reports whether this replica answers for all its ranges.
+// Synced reports whether this replica has taken over all its ranges.
 func (r *Replica) Synced() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.transfer.synced
 }
 
-// lostBefore returns the time before which claims for a key may be lost.
+// lostBefore returns the time before which claims for a key may have been lost,
+// or zero.
 func (r *Replica) lostBefore(region, key string) time.Time {
 	var latest time.Time
 	for i := range r.losses {
@@ -124,7 +128,7 @@
 	return latest
 }
 
-// Transfer answers an asker with the entries that it takes over.
+// Transfer returns one page of the entries that the requester takes over.
 func (r *Replica) Transfer(in TransferRequest) TransferReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -153,8 +157,9 @@
 	return reply
 }
 
-// outgoing sorts the keys by the members that answer for them now. It is made
-// once per epoch: entries granted later need no transfer.
+// outgoing returns the sorted keys that each other member is a replica of in
+// the current epoch. It is called once per epoch: entries granted later need no
+// transfer.
 func (r *Replica) outgoing(t *transfer) map[string][]string {
 	out := make(map[string][]string)
 	for key, e := range r.entries {
@@ -170,8 +175,8 @@
 	return out
 }
 
-// pull reads the earlier replicas, all at once, and settles if that was
-// enough. What is missing is tried again at the next tick.
+// pull reads the earlier replicas in parallel and finishes the transfer if enough
+// of them replied. The others are tried again at the next tick.
 func (r *Replica) pull(ctx context.Context) {
 	r.mu.Lock()
 	t := r.transfer
@@ -189,13 +194,14 @@
 	r.finishTransfer(t, unread)
 }
 
+// unread returns the members of earlier epochs that were not read yet.
 func (r *Replica) unread(t *transfer) []view.Member {
 	var unread []view.Member
 	seen := make(map[string]bool)
 	for _, v := range t.earlier {
 		for _, m := range v.Members() {
-			_, answered := t.read[m.ID]
-			if !answered && !seen[m.ID] {
+			_, wasRead := t.read[m.ID]
+			if !wasRead && !seen[m.ID] {
 				seen[m.ID] = true
 				unread = append(unread, m)
 			}
@@ -204,10 +210,11 @@
 	return unread
 }
 
+// readFrom reads all pages of one member. If a page fails, nothing is merged.
 func (r *Replica) readFrom(ctx context.Context, t *transfer, m view.Member) {
 	in := TransferRequest{Epoch: t.current.Epoch(), Requester: r.self, Source: m.ID}
 	var entries []Entry
-	var gaps []LossRecord
+	var losses []LossRecord
 	for {
 		pageCtx, cancel := context.WithTimeout(ctx, transferTimeout)
 		reply, err := r.peers.Transfer(pageCtx, m, in)
@@ -216,18 +223,18 @@
 			return
 		}
 		entries = append(entries, reply.Entries...)
-		gaps = append(gaps, reply.Losses...)
+		losses = append(losses, reply.Losses...)
 		if reply.Next == "" {
-			r.merge(t, m.ID, coverage{syncedEpochs: reply.SyncedEpochs, firstEpoch: reply.FirstEpoch}, entries, gaps)
+			r.merge(t, m.ID, coverage{syncedEpochs: reply.SyncedEpochs, firstEpoch: reply.FirstEpoch}, entries, losses)
 			return
 		}
 		in.After = reply.Next
 	}
 }
 
-// merge takes in what one member had. A claim seen at one replica counts as
-// perhaps won; those of two attempts leave the key unknown.
-func (r *Replica) merge(t *transfer, from string, got coverage, entries []Entry, gaps []LossRecord) {
+// merge adds the entries and losses of one member. A claim seen at one replica
+// may have won, so claims of two attempts leave the key in StateUnknown.
+func (r *Replica) merge(t *transfer, from string, got coverage, entries []Entry, losses []LossRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.transfer != t {
@@ -236,8 +243,8 @@
 	for _, e := range entries {
 		r.mergeEntry(e)
 	}
-	for _, g := range gaps {
-		r.addLoss(g)
+	for _, l := range losses {
+		r.addLoss(l)
 	}
 	t.read[from] = got
 }
@@ -258,8 +265,8 @@
 	case e.State == StateFailed:
 		held.Reached = true
 	case sameAttempt(held, &e):
-		// The claimer has given up the earlier round. Two rounds taken for
-		// rivals leave a key that nobody can win, its claimer neither.
+		// The claimer has given up the earlier round. If the two rounds were
+		// treated as rivals, nobody could win the key, not even their claimer.
 		if Supersedes(e.Token, held.Token) {
 			e.Reached = e.Reached || held.Reached
 			r.put(key, e)
@@ -271,22 +278,22 @@
 	}
 }
 
-// sameAttempt reports whether two claims are rounds of one attempt, and neither
-// was ever left unknown.
+// sameAttempt reports whether two claims are rounds of one attempt and neither is
+// in StateUnknown.
 func sameAttempt(a, b *Entry) bool {
 	return AttemptOf(a.Token) == AttemptOf(b.Token) && a.State != StateUnknown && b.State != StateUnknown
 }
 
-func (r *Replica) addLoss(g LossRecord) {
+func (r *Replica) addLoss(l LossRecord) {
 	for _, known := range r.losses {
-		if known.At.Equal(g.At) {
+		if known.At.Equal(l.At) {
 			return
 		}
 	}
-	r.losses = append(r.losses, g)
+	r.losses = append(r.losses, l)
 }
 
-// finishTransfer ends the taking over if every key is ready.
+// finishTransfer ends the transfer if every key is ready.
 func (r *Replica) finishTransfer(t *transfer, unread []view.Member) {
 	dead := make(map[string]bool)
 	for _, m := range unread {
@@ -308,15 +315,15 @@
 		r.recordLoss(l)
 	}
 	r.markSynced(t)
-	slog.Info("claims settled", "epoch", t.current.Epoch(), "read", len(t.read), "losses", len(losses))
+	slog.Info("claims synced", "epoch", t.current.Epoch(), "read", len(t.read), "losses", len(losses))
 }
 
-// recordLoss remembers which members died unread. Whether a key is concerned is
-// found out when it is claimed.
+// recordLoss keeps which members died unread. Whether a key is concerned is
+// determined when it is claimed.
 func (r *Replica) recordLoss(l lostMembers) {
 	encoded, err := l.view.Encode()
 	if err != nil {
-		slog.Error("gap not kept", "error", err)
+		slog.Error("cannot record the possible loss of claims", "error", err)
 		return
 	}
 	r.addLoss(LossRecord{At: r.timers.Now(), View: encoded, Missing: l.members})
