--- a/view/manager.go
+++ b/view/manager.go
@@ -10,47 +10,48 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// DocumentStore changes the view at the platform and puts it in force.
+// DocumentStore changes a shared document at the platform and has the result
+// applied at this node.
 type DocumentStore interface {
 	Update(ctx context.Context, name string, change func(old []byte) ([]byte, error)) (document.Item, error)
 }
 
-// FailureDetector tells what the probes found.
+// FailureDetector reports what the probes found about the members.
 type FailureDetector interface {
-	// FaultySince returns since when a member is confirmed not to answer.
+	// FaultySince returns since when a member is confirmed not to respond.
 	FaultySince(id string) (time.Time, bool)
-	// Alive returns the peers that answer.
+	// Alive returns the peers that respond.
 	Alive() []Member
-	// Hears reports whether more than half of the view answers.
+	// Hears reports whether more than half of the view responds.
 	Hears() bool
-	// RegionRank returns this node's place among the answering members of its
-	// region.
+	// RegionRank returns this node's rank, from 0, among the responding members
+	// of its region.
 	RegionRank() int
-	// Reaches reports whether a peer reaches this node.
+	// Reaches reports whether the peer via reaches this node.
 	Reaches(ctx context.Context, via Member) bool
 }
 
-// VMList is the platform's list, which lags.
+// VMList is the platform's list of VMs, which lags behind.
 type VMList interface {
-	// Listed reports whether a VM is on the list, and false for ok while the
-	// list has not been read.
+	// Listed reports whether a VM is on the list; ok is false until the list
+	// has been read.
 	Listed(vm string) (listed, ok bool)
 }
 
 const (
 	reconcileInterval = time.Second
-	// evictAfter is how long a confirmed member that is still on the VM list
-	// keeps its place. It covers short freezes.
+	// evictAfter is how long a member that is confirmed faulty but still on the
+	// VM list stays in the view. It covers short freezes.
 	evictAfter = 10 * time.Second
-	// vmListLag is the age below which a member may be missing from the VM list
-	// only because the list lags.
+	// vmListLag is how long after its join a member may be missing from the VM
+	// list only because the list lags behind.
 	vmListLag = 60 * time.Second
-	// maxProposers is how many members of a region may propose removals.
+	// maxProposers is how many members of a region propose removals.
 	maxProposers = 2
 )
 
-// Manager holds the view in force, brings this node into it and proposes the
-// removal of members that are gone.
+// Manager holds the view in force, adds this node to it and removes members that
+// are gone.
 type Manager struct {
 	name     string
 	self     Member
@@ -66,14 +67,14 @@
 	leaving     bool
 }
 
-// NewManager returns a keeper that holds the empty view. The name is that of
+// NewManager returns a manager that holds the empty view. The name is that of
 // the shared document.
-func NewManager(name string, self Member, shared DocumentStore, opinions FailureDetector, vms VMList, timers *timer.Service) *Manager {
+func NewManager(name string, self Member, store DocumentStore, detector FailureDetector, vms VMList, timers *timer.Service) *Manager {
 	return &Manager{
 		name:     name,
 		self:     self,
-		store:    shared,
-		detector: opinions,
+		store:    store,
+		detector: detector,
 		vms:      vms,
 		timers:   timers,
 		current:  Empty(),
@@ -81,65 +82,67 @@
 	}
 }
 
-// Subscribe calls changed with each later view, one call at a time. It must
-// be called before the first Take.
-func (k *Manager) Subscribe(changed func(*View)) { k.subscribers = append(k.subscribers, changed) }
+// Subscribe registers changed to be called with each later view, one call at a
+// time. It must be called before the first Apply.
+func (mgr *Manager) Subscribe(changed func(*View)) {
+	mgr.subscribers = append(mgr.subscribers, changed)
+}
 
 // Current returns the view in force.
-func (k *Manager) Current() *View {
-	k.mu.RLock()
-	defer k.mu.RUnlock()
-	return k.current
+func (mgr *Manager) Current() *View {
+	mgr.mu.RLock()
+	defer mgr.mu.RUnlock()
+	return mgr.current
 }
 
 // Changed returns a channel that is closed when the view next changes.
-func (k *Manager) Changed() <-chan struct{} {
-	k.mu.RLock()
-	defer k.mu.RUnlock()
-	return k.changed
+func (mgr *Manager) Changed() <-chan struct{} {
+	mgr.mu.RLock()
+	defer mgr.mu.RUnlock()
+	return mgr.changed
 }
 
 // Apply puts a stored view in force if its epoch is higher.
-func (k *Manager) Apply(item document.Item) {
+func (mgr *Manager) Apply(item document.Item) {
 	v, err := Decode(item.Data)
 	if err != nil {
 		slog.Error("stored view is malformed", "error", err)
 		return
 	}
-	k.mu.Lock()
-	if v.Epoch() <= k.current.Epoch() {
-		k.mu.Unlock()
+	mgr.mu.Lock()
+	if v.Epoch() <= mgr.current.Epoch() {
+		mgr.mu.Unlock()
 		return
 	}
-	k.current = v
-	close(k.changed)
-	k.changed = make(chan struct{})
-	k.mu.Unlock()
+	mgr.current = v
+	close(mgr.changed)
+	mgr.changed = make(chan struct{})
+	mgr.mu.Unlock()
 	slog.Info("view changed", "epoch", v.Epoch(), "members", len(v.Members()))
-	for _, changed := range k.subscribers {
+	for _, changed := range mgr.subscribers {
 		changed(v)
 	}
 }
 
-// Dead reports whether a member is gone for good: its VM has left the
+// Dead reports whether a member has left for good: its VM has left the
 // platform's list or runs a later incarnation.
-func (k *Manager) Dead(m Member) bool {
-	for _, other := range k.Current().Members() {
+func (mgr *Manager) Dead(m Member) bool {
+	for _, other := range mgr.Current().Members() {
 		if other.VM == m.VM && other.ID != m.ID && other.Joined >= m.Joined {
 			return true
 		}
 	}
-	listed, ok := k.vms.Listed(m.VM)
-	age := k.timers.Now().Sub(time.Unix(m.Joined, 0))
+	listed, ok := mgr.vms.Listed(m.VM)
+	age := mgr.timers.Now().Sub(time.Unix(m.Joined, 0))
 	return ok && !listed && age > vmListLag
 }
 
 // Run keeps this node in the view until the context ends.
-func (k *Manager) Run(ctx context.Context) {
-	ticks := k.timers.Subscribe(reconcileInterval)
+func (mgr *Manager) Run(ctx context.Context) {
+	ticks := mgr.timers.Subscribe(reconcileInterval)
 	defer ticks.Stop()
 	for {
-		k.reconcile(ctx)
+		mgr.reconcile(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -148,85 +151,87 @@
 	}
 }
 
-func (k *Manager) reconcile(ctx context.Context) {
-	if !k.Current().Has(k.self.ID) && !k.isLeaving() && k.reachable(ctx) {
-		k.update(ctx, "join", []Member{k.selfJoining()}, nil)
+// reconcile adds this node to the view if it is missing, reachable and not
+// leaving, and removes members that are gone if this node proposes removals.
+func (mgr *Manager) reconcile(ctx context.Context) {
+	if !mgr.Current().Has(mgr.self.ID) && !mgr.isLeaving() && mgr.reachable(ctx) {
+		mgr.update(ctx, "join", []Member{mgr.selfJoining()}, nil)
 	}
-	if gone := k.membersToRemove(); len(gone) > 0 && k.mayPropose() {
-		k.update(ctx, "remove", nil, gone)
+	if gone := mgr.membersToRemove(); len(gone) > 0 && mgr.mayPropose() {
+		mgr.update(ctx, "remove", nil, gone)
 	}
 }
 
-func (k *Manager) selfJoining() Member {
-	m := k.self
-	m.Joined = k.timers.Now().Unix()
+func (mgr *Manager) selfJoining() Member {
+	m := mgr.self
+	m.Joined = mgr.timers.Now().Unix()
 	return m
 }
 
-// reachable asks the peers whether they reach this node. One that can only
-// speak and not be spoken to would be removed again and again.
-func (k *Manager) reachable(ctx context.Context) bool {
-	alive := k.detector.Alive()
+// reachable asks the peers whether any of them reaches this node. A node that
+// can only send would be removed and join again and again.
+func (mgr *Manager) reachable(ctx context.Context) bool {
+	alive := mgr.detector.Alive()
 	if len(alive) == 0 {
 		return true
 	}
 	for _, m := range alive {
-		if k.detector.Reaches(ctx, m) {
+		if mgr.detector.Reaches(ctx, m) {
 			return true
 		}
 	}
 	return false
 }
 
-// membersToRemove returns the members that have to leave the view. A node that hears
-// only a minority may be the one that is cut off, so it goes by the VM list
-// alone.
-func (k *Manager) membersToRemove() []string {
+// membersToRemove returns the IDs of the members that are gone. A node that
+// hears only a minority may itself be cut off, so it relies on Dead alone.
+func (mgr *Manager) membersToRemove() []string {
 	var gone []string
-	now := k.timers.Now()
-	hears := k.detector.Hears()
-	for _, m := range k.Current().Members() {
-		since, faulty := k.detector.FaultySince(m.ID)
+	now := mgr.timers.Now()
+	hasMajority := mgr.detector.Hears()
+	for _, m := range mgr.Current().Members() {
+		since, faulty := mgr.detector.FaultySince(m.ID)
 		if !faulty {
 			continue
 		}
-		if k.Dead(m) || (hears && now.Sub(since) > evictAfter) {
+		if mgr.Dead(m) || (hasMajority && now.Sub(since) > evictAfter) {
 			gone = append(gone, m.ID)
 		}
 	}
 	return gone
 }
 
-// mayPropose reports whether this node is one of the few that propose removals.
-func (k *Manager) mayPropose() bool { return k.detector.RegionRank() < maxProposers }
+// mayPropose reports whether this node is one of those that propose removals.
+func (mgr *Manager) mayPropose() bool { return mgr.detector.RegionRank() < maxProposers }
 
-func (k *Manager) update(ctx context.Context, why string, add []Member, remove []string) {
-	_, err := k.store.Update(ctx, k.name, func(old []byte) ([]byte, error) {
-		present, err := Decode(old)
+// update changes the stored view by compare-and-swap.
+func (mgr *Manager) update(ctx context.Context, why string, add []Member, remove []string) {
+	_, err := mgr.store.Update(ctx, mgr.name, func(old []byte) ([]byte, error) {
+		latest, err := Decode(old)
 		if err != nil {
 			return nil, err
 		}
-		next := present.Change(add, remove)
+		next := latest.Change(add, remove)
 		if next == nil {
 			return nil, document.ErrUnchanged
 		}
 		return next.Encode()
 	})
 	if err != nil && err != document.ErrUnchanged {
-		slog.Warn("view not changed", "why", why, "error", err)
+		slog.Warn("cannot change the view", "why", why, "error", err)
 	}
 }
 
-// Leave takes this node out of the view and keeps it out.
-func (k *Manager) Leave(ctx context.Context) {
-	k.mu.Lock()
-	k.leaving = true
-	k.mu.Unlock()
-	k.update(ctx, "leave", nil, []string{k.self.ID})
+// Leave removes this node from the view and stops it from joining again.
+func (mgr *Manager) Leave(ctx context.Context) {
+	mgr.mu.Lock()
+	mgr.leaving = true
+	mgr.mu.Unlock()
+	mgr.update(ctx, "leave", nil, []string{mgr.self.ID})
 }
 
-func (k *Manager) isLeaving() bool {
-	k.mu.RLock()
-	defer k.mu.RUnlock()
-	return k.leaving
+func (mgr *Manager) isLeaving() bool {
+	mgr.mu.RLock()
+	defer mgr.mu.RUnlock()
+	return mgr.leaving
 }
--- a/view/view.go
+++ b/view/view.go
@@ -1,8 +1,8 @@
 // Package view holds the agreed list of the system's own VMs. The list is a
-// small document in the platform's key-value service, changed by
-// compare-and-swap only when a VM has joined, left or is confirmed gone; each
-// change has the next epoch. Which VMs answer for a key follows from the view
-// alone, by rendezvous hashing, so nobody has to be asked.
+// small document in the platform's key-value service. It is changed by
+// compare-and-swap, only when a VM has joined, left or is confirmed gone, and
+// each change increments the epoch. The replicas of a key follow from the view
+// alone, by rendezvous hashing, without a lookup at other nodes.
 //
 // # Usage
 //
@@ -30,14 +30,15 @@
 	Malformed = namespace.NewType("malformed")
 )
 
-// ReplicaCount is the number of VMs that answer for a key.
+// ReplicaCount is the number of replicas of a key.
 const ReplicaCount = 3
 
 // historyLength is how many earlier member lists a view carries, so that a VM
 // which missed some epochs can still read from the replicas of each of them.
 const historyLength = 32
 
-// Member is one process on one VM.
+// Member is one process on one VM. Caller is its address for clients, Peer its
+// address for other nodes.
 type Member struct {
 	ID       string `json:"id"`
 	VM       string `json:"vm"`
@@ -52,15 +53,14 @@
 // MemberID returns the ID of one incarnation of a VM's process.
 func MemberID(vm, incarnation string) string { return vm + "#" + incarnation }
 
-// SameLocation reports whether another process, of this VM or not, is reached and found
-// where this one is.
+// SameLocation reports whether two members have the same VM, region, data hall and
+// addresses.
 func (m Member) SameLocation(other Member) bool {
 	return m.VM == other.VM && m.Region == other.Region && m.DataHall == other.DataHall &&
 		m.Caller == other.Caller && m.Peer == other.Peer
 }
 
-// NewMember completes the member that this process is with the ID of a new
-// incarnation.
+// NewMember returns m with the ID of a new incarnation, made from the time.
 func NewMember(m Member) Member {
 	m.ID = MemberID(m.VM, strconv.FormatInt(time.Now().UnixNano(), 36))
 	return m
@@ -73,7 +73,7 @@
 	History []epochChange `json:"history"`
 }
 
-// epochChange tells how the list of one epoch came from the one before.
+// epochChange is the difference of one epoch's member list to the one before.
 type epochChange struct {
 	Epoch   int64    `json:"epoch"`
 	Added   []string `json:"added"`
@@ -99,7 +99,8 @@
 	return v
 }
 
-// Decode reads a stored view; no data stands for the empty one.
+// Decode reads a stored view; empty data is the empty view. The error is of type
+// [Malformed].
 func Decode(data []byte) (*View, error) {
 	if len(data) == 0 {
 		return Empty(), nil
@@ -111,10 +112,10 @@
 	return build(d), nil
 }
 
-// Encode returns the stored form.
+// Encode returns the stored form, JSON.
 func (v *View) Encode() ([]byte, error) { return json.Marshal(v.stored) }
 
-// Epoch counts the changes of the view.
+// Epoch returns the number of changes that led to the view.
 func (v *View) Epoch() int64 { return v.stored.Epoch }
 
 // Members returns all members, sorted by ID. The slice must not be changed.
@@ -136,8 +137,8 @@
 }
 
 // Change returns the view of the next epoch, with members added and others
-// removed. A member that is added takes the place of earlier incarnations of
-// its VM. It returns nil if nothing would change.
+// removed. An added member replaces earlier incarnations of its VM. Change
+// returns nil if nothing would change.
 func (v *View) Change(add []Member, remove []string) *View {
 	next := stored{Epoch: v.Epoch() + 1}
 	step := epochChange{Epoch: next.Epoch}
@@ -183,7 +184,7 @@
 	return views
 }
 
-// Removed returns the members that have left, as far as the history reaches.
+// Removed returns the members that were removed, as far as the history reaches.
 func (v *View) Removed() []Member {
 	var removed []Member
 	for _, step := range v.stored.History {
@@ -192,15 +193,15 @@
 	return removed
 }
 
-// Replicas returns the members that answer for a key of a region, in the
-// order in which they are asked: three in different data halls, as far as
-// there are so many.
+// Replicas returns the replicas of a key of a region, in the order in which they
+// are asked: three in different data halls, or fewer members or halls if there
+// are not as many.
 func (v *View) Replicas(region, key string) []Member {
 	return v.rank(region, key, ReplicaCount, nil)
 }
 
-// Owner returns the first member of a region by rendezvous hashing among
-// those that pass the filter.
+// Owner returns the member of a region that ranks first for a key by rendezvous
+// hashing, among those that pass the filter.
 func (v *View) Owner(region, key string, filter func(id string) bool) (Member, bool) {
 	ranked := v.rank(region, key, 1, filter)
 	if len(ranked) == 0 {
@@ -215,12 +216,12 @@
 	score uint64
 }
 
-// rank returns up to n members of a region, highest score first, those of
-// data halls that are not yet among them before the rest.
+// rank returns up to n members of a region: first the best member of each data
+// hall, highest score first, then the others, highest score first.
 func (v *View) rank(region, key string, n int, filter func(id string) bool) []Member {
 	keyHash := rendezvous.Hash(key)
-	// first holds the best member of each of the best data halls, rest the
-	// best of those that are not the first of their hall.
+	// first holds the best members of up to n data halls, rest the best members
+	// of those that are not in first.
 	var first, rest topCandidates
 	for i := range v.stored.Members {
 		m := &v.stored.Members[i]
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -18,8 +18,9 @@
 	return list
 }
 
-// TestReplicas spreads keys evenly, over as many data halls as there are, and
-// moves only what a change concerns.
+// TestReplicas checks that keys are spread evenly over the members, each key over
+// as many data halls as possible, and that the removal of a member moves only the
+// keys it held.
 func TestReplicas(t *testing.T) {
 	tests := []struct{ nodes, halls, replicas, inHalls int }{
 		{1, 1, 1, 1}, {2, 2, 2, 2}, {3, 3, 3, 3}, {6, 3, 3, 3}, {7, 2, 3, 2}, {6, 1, 3, 1}, {160, 3, 3, 3}, {70, 7, 3, 3},
@@ -28,22 +29,22 @@
 	for _, tt := range tests {
 		t.Run(fmt.Sprintf("%d nodes in %d halls", tt.nodes, tt.halls), func(t *testing.T) {
 			v := view.Empty().Change(members(tt.nodes, tt.halls), nil)
-			gone := v.Members()[0]
-			after := v.Change(nil, []string{gone.ID})
+			removed := v.Members()[0]
+			after := v.Change(nil, []string{removed.ID})
 			load := make(map[string]int)
 			for i := range keys {
 				key := fmt.Sprint("key-", i)
 				replicas := v.Replicas("home", key)
 				must.Len(t, tt.replicas, replicas)
-				halls, had := make(map[string]bool), false
+				halls, hadRemoved := make(map[string]bool), false
 				for _, m := range replicas {
 					halls[m.DataHall] = true
 					load[m.ID]++
-					had = had || m.ID == gone.ID
+					hadRemoved = hadRemoved || m.ID == removed.ID
 				}
 				must.Eq(t, tt.inHalls, len(halls))
-				if !had && tt.nodes > 3 {
-					must.Eq(t, replicas, after.Replicas("home", key), must.Sprint("a key that had no part in the change moved"))
+				if !hadRemoved && tt.nodes > 3 {
+					must.Eq(t, replicas, after.Replicas("home", key), must.Sprint("a key without the removed member as a replica moved"))
 				}
 			}
 			mean := keys * tt.replicas / tt.nodes
@@ -55,7 +56,7 @@
 	}
 }
 
-// TestHistory finds the earlier views again from a stored one.
+// TestHistory checks that the earlier views can be rebuilt from a stored view.
 func TestHistory(t *testing.T) {
 	v := view.Empty()
 	var lists [][]view.Member
@@ -63,10 +64,10 @@
 		v = v.Change([]view.Member{m}, nil)
 		lists = append(lists, v.Members())
 	}
-	again := v.Members()[2]
-	again.ID = view.MemberID(again.VM, "2")
-	v = v.Change([]view.Member{again}, nil)
-	must.False(t, v.Has(view.MemberID(again.VM, "1")), must.Sprint("a new incarnation takes the old one's place"))
+	restarted := v.Members()[2]
+	restarted.ID = view.MemberID(restarted.VM, "2")
+	v = v.Change([]view.Member{restarted}, nil)
+	must.False(t, v.Has(view.MemberID(restarted.VM, "1")), must.Sprint("a new incarnation must replace the old one"))
 	data, err := v.Encode()
 	must.NoError(t, err)
 	stored, err := view.Decode(data)
@@ -81,5 +82,5 @@
 			must.True(t, got.Has(m.ID))
 		}
 	}
-	must.Nil(t, v.Change([]view.Member{again}, []string{"nobody"}), must.Sprint("nothing changes"))
+	must.Nil(t, v.Change([]view.Member{restarted}, []string{"nobody"}), must.Sprint("a change without effect must give no view"))
 }
