--- a/claim/coverage.go
+++ b/claim/coverage.go
@@ -6,42 +6,47 @@
 	"github.com/violettally/violettally/view"
 )
 
-// transfer is the taking over of ranges at one epoch.
+// transfer is the state of taking over key ranges at one epoch.
 type transfer struct {
 	self    string
 	current *view.View
-	// earlier views, latest first, as far as the history reaches. It is
-	// whole if it reaches back to the first member.
-	earlier []*view.View
-	whole   bool
-	// answered holds what each member that was read can vouch for.
-	answered map[string]reading
-	dead     map[string]bool
-	settled  bool
+	// earlier holds the views of earlier epochs, latest first, as far as the
+	// history reaches. historyComplete says that it reaches back to the first
+	// member.
+	earlier         []*view.View
+	historyComplete bool
+	// read holds the coverage of each member that was read, by its ID.
+	read map[string]coverage
+	// dead says which unread members have left for good.
+	dead map[string]bool
+	// synced says that this member holds all won claims of its ranges.
+	synced bool
+	// outgoing holds the sorted keys that each other member takes over.
 	outgoing map[string][]string
 }
 
-// reading is what a member that was read can vouch for: the epochs that it had
-// settled at, and the first one whose votes it still has.
-type reading struct {
-	settled []int64
-	since   int64
+// coverage says for which epochs a member's table is complete: those at which
+// it held all won claims of its ranges, and the first one whose votes it still
+// has.
+type coverage struct {
+	syncedEpochs []int64
+	firstEpoch   int64
 }
 
-func (r reading) settledAt(epoch int64) bool { return slices.Contains(r.settled, epoch) }
+func (c coverage) syncedAt(epoch int64) bool { return slices.Contains(c.syncedEpochs, epoch) }
 
-// newTransfer starts taking over for current. This node's own table counts as
-// read.
-func newTransfer(self string, current *view.View, own reading) *transfer {
+// newTransfer starts taking over ranges for the current view. This node's own
+// table counts as read.
+func newTransfer(self string, current *view.View, own coverage) *transfer {
 	t := &transfer{
-		self:     self,
-		current:  current,
-		answered: map[string]reading{self: own},
-		dead:     make(map[string]bool),
+		self:    self,
+		current: current,
+		read:    map[string]coverage{self: own},
+		dead:    make(map[string]bool),
 	}
 	for _, before := range current.Earlier() {
 		if len(before.Members()) == 0 {
-			t.whole = true
+			t.historyComplete = true
 			break
 		}
 		t.earlier = append(t.earlier, before)
@@ -51,67 +56,67 @@
 
 // ready reports whether enough replicas of a key's earlier epochs were read.
 func (t *transfer) ready(region, key string, replicas []view.Member) bool {
-	if t.settled {
+	if t.synced {
 		return true
 	}
 	for _, v := range t.earlier {
 		before := v.Replicas(region, key)
-		read, needed, settled := t.tally(v, before)
+		read, needed, synced := t.countReads(v, before)
 		if !sameMembers(before, replicas) && read < needed {
 			return false
 		}
-		if settled {
+		if synced {
 			return true
 		}
 	}
-	return t.whole
+	return t.historyComplete
 }
 
-// tally counts the replicas of an earlier epoch that were read, how many have
-// to be, and whether one of those read had settled at it.
-func (t *transfer) tally(v *view.View, before []view.Member) (read, needed int, settled bool) {
+// countReads returns how many replicas of an earlier epoch were read, how many
+// have to be, and whether one of those read was synced at that epoch.
+func (t *transfer) countReads(v *view.View, before []view.Member) (read, needed int, synced bool) {
 	alive := 0
 	for _, m := range before {
-		got, answered := t.answered[m.ID]
+		got, replied := t.read[m.ID]
 		switch {
-		case answered && got.since <= v.Epoch():
+		case replied && got.firstEpoch <= v.Epoch():
 			read++
 			alive++
-			settled = settled || got.settledAt(v.Epoch())
-		case !answered && !t.dead[m.ID]:
+			synced = synced || got.syncedAt(v.Epoch())
+		case !replied && !t.dead[m.ID]:
 			alive++
 		}
 	}
-	return read, min(readQuorum(len(before)), alive), settled
+	return read, min(readQuorum(len(before)), alive), synced
 }
 
-// loss names members of one epoch that died without having been read.
-type loss struct {
+// lostMembers names the members of one epoch that left before they were read.
+type lostMembers struct {
 	view    *view.View
 	members []string
 }
 
-// complete reports whether every key is ready, judged by the members alone,
-// and what was lost.
-func (t *transfer) complete() (losses []loss, ok bool) {
+// allReady reports whether every key is ready, judged by the members alone
+// without going through the keys, and which members were lost.
+func (t *transfer) allReady() (losses []lostMembers, ok bool) {
 	for _, v := range t.earlier {
-		unread := t.survey(v)
-		mayMiss := unread.spread(v) > tolerable(v)
-		if unread.waiting > 0 && mayMiss {
+		progress := t.progress(v)
+		mayMiss := progress.maxUnreadReplicas(v) > toleratedUnread(v)
+		if progress.pending > 0 && mayMiss {
 			return nil, false
 		}
-		if len(unread.dead) > 0 && mayMiss {
-			losses = append(losses, loss{view: v, members: unread.dead})
+		if len(progress.dead) > 0 && mayMiss {
+			losses = append(losses, lostMembers{view: v, members: progress.dead})
 		}
-		if unread.unsettled == 0 {
+		if progress.unsynced == 0 {
 			return losses, true
 		}
 	}
-	if !t.whole && len(t.earlier) > 0 {
-		// The history ends before anybody had settled: count the oldest
-		// members as lost, which is never wrong.
+	if !t.historyComplete && len(t.earlier) > 0 {
+		// The history does not reach an epoch at which all were synced. Count
+		// the oldest members as lost, which is always safe.
 		oldest := t.earlier[len(t.earlier)-1]
-		losses = append(losses, loss{view: oldest, members: memberIDs(oldest)})
+		losses = append(losses, lostMembers{view: oldest, members: memberIDs(oldest)})
 	}
 	return losses, true
 }
@@ -124,56 +129,57 @@
 	return ids
 }
 
-// surveyed sums up how far the members of one epoch were read.
-type surveyed struct {
+// readProgress says how many members of one epoch were read.
+type readProgress struct {
 	dead []string
-	// unread counts members that were not read, dead ones included; halls are
-	// theirs.
-	unread int
-	halls  map[string]bool
-	// waiting counts unread members that are not dead.
-	waiting int
-	// unsettled counts living members that had not settled at the epoch.
-	unsettled int
+	// unread counts members that were not read, dead ones included, and
+	// unreadHalls holds their data halls.
+	unread      int
+	unreadHalls map[string]bool
+	// pending counts unread members that are not dead.
+	pending int
+	// unsynced counts members that were read and were not synced at the epoch.
+	unsynced int
 }
 
-// spread returns how many replicas of one key may be unread at the most. With
-// enough data halls the replicas of a key lie in different ones.
-func (s surveyed) spread(v *view.View) int {
-	if halls(v) >= view.ReplicaCount {
-		return len(s.halls)
+// maxUnreadReplicas returns how many replicas of one key may be unread at most.
+// With enough data halls, the replicas of a key lie in different ones.
+func (p readProgress) maxUnreadReplicas(v *view.View) int {
+	if countDataHalls(v) >= view.ReplicaCount {
+		return len(p.unreadHalls)
 	}
-	return s.unread
+	return p.unread
 }
 
-// tolerable returns how many replicas of a key may stay unread.
-func tolerable(v *view.View) int {
+// toleratedUnread returns how many replicas of a key may stay unread without
+// missing a won claim.
+func toleratedUnread(v *view.View) int {
 	replicas := min(view.ReplicaCount, len(v.Members()))
 	return replicas - readQuorum(replicas)
 }
 
-func (t *transfer) survey(v *view.View) surveyed {
-	s := surveyed{halls: make(map[string]bool)}
+func (t *transfer) progress(v *view.View) readProgress {
+	p := readProgress{unreadHalls: make(map[string]bool)}
 	for _, m := range v.Members() {
-		got, answered := t.answered[m.ID]
-		if answered && got.since <= v.Epoch() {
-			if !got.settledAt(v.Epoch()) {
-				s.unsettled++
+		got, replied := t.read[m.ID]
+		if replied && got.firstEpoch <= v.Epoch() {
+			if !got.syncedAt(v.Epoch()) {
+				p.unsynced++
 			}
 			continue
 		}
-		s.unread++
-		s.halls[m.DataHall] = true
-		if answered || t.dead[m.ID] {
-			s.dead = append(s.dead, m.ID)
+		p.unread++
+		p.unreadHalls[m.DataHall] = true
+		if replied || t.dead[m.ID] {
+			p.dead = append(p.dead, m.ID)
 		} else {
-			s.waiting++
+			p.pending++
 		}
 	}
-	return s
+	return p
 }
 
-func halls(v *view.View) int {
+func countDataHalls(v *view.View) int {
 	seen := make(map[string]bool)
 	for _, m := range v.Members() {
 		seen[m.DataHall] = true
--- a/claim/transfer.go
+++ b/claim/transfer.go
@@ -11,38 +11,39 @@
 	"github.com/violettally/violettally/view"
 )
 
-// A change of the view.
+// What happens when the view changes:
 //
 // A replica that has seen epoch e refuses claims of every other epoch. For a
-// key whose replicas changed it grants no claim until it has read two of the
-// three replicas of the epoch before, itself included, or as many as are not
-// dead. Two of three reads meet two of three votes, so it sees every claim
-// that has been won. Each node that answers a read has itself seen epoch e,
-// so no vote of an earlier epoch can come after it.
+// key whose replicas changed, it grants no claim until it has read two of the
+// three replicas of the previous epoch, itself included, or as many as are not
+// dead. Two of three reads overlap two of three votes, so it sees every claim
+// that has been won. Each node that replies to a read has itself seen epoch e,
+// so it grants no vote of an earlier epoch afterwards.
 //
-// A node that was read may have missed epochs, or still be taking over. It
-// lists the epochs at which it held all won claims of its ranges ("settled").
-// One node among those read that had settled at an epoch is enough for
-// everything before that epoch, since it has read the replicas before it;
-// without one, the replicas of one epoch further back are read as well. The
-// view carries the history for this.
+// A node that was read may have missed epochs, or may still be taking over
+// ranges. It lists the epochs at which it held all won claims of its ranges
+// ("synced"). One node among those read that was synced at an epoch is enough
+// for everything before that epoch, since it has read the replicas before it.
+// Without one, the replicas of the epoch before that are read as well. The
+// view carries its history for this.
 //
-// Where two of three replicas died at once, claims may be lost. The range
-// gets a [Gap], and claims of ids older than the gap are answered with "lost"
-// instead of a vote that may be wrong.
+// If two of three replicas died at once, claims may be lost. The replica keeps
+// a [LossRecord] of the time, and its replies for the keys concerned carry it as
+// LostBefore. For an older request id, the outcome is then unknown: the vote may
+// be wrong.
 
 const (
 	// pageSize is the number of entries in one page of a transfer.
 	pageSize = 256
-	// gapLife covers the longest life of a claim.
-	gapLife = 24 * time.Hour
-	// transferTimeout bounds one page.
+	// lossRetention is at least the longest lifetime of a claim.
+	lossRetention = 24 * time.Hour
+	// transferTimeout bounds the transfer of one page.
 	transferTimeout = 2 * time.Second
 )
 
-// Gap says that claims made before At may be lost if two of the replicas of a
-// key, or all of them, were among the missing members of a view.
-type Gap struct {
+// LossRecord says that claims made before At may be lost if two of the replicas
+// of a key, or all of them, were among the missing members of a view.
+type LossRecord struct {
 	At      time.Time `cbor:"1,keyasint"`
 	View    []byte    `cbor:"2,keyasint"`
 	Missing []string  `cbor:"3,keyasint"`
@@ -50,17 +51,18 @@
 	decoded *view.View
 }
 
-func (g *Gap) covers(region, key string) bool {
-	if g.decoded == nil {
-		g.decoded, _ = view.Decode(g.View)
+// mayAffect reports whether claims of a key may be lost.
+func (l *LossRecord) mayAffect(region, key string) bool {
+	if l.decoded == nil {
+		l.decoded, _ = view.Decode(l.View)
 	}
-	if g.decoded == nil {
+	if l.decoded == nil {
 		return true
 	}
-	replicas := g.decoded.Replicas(region, key)
+	replicas := l.decoded.Replicas(region, key)
 	missing := 0
 	for _, m := range replicas {
-		for _, id := range g.Missing {
+		for _, id := range l.Missing {
 			if id == m.ID {
 				missing++
 			}
@@ -69,77 +71,79 @@
 	return missing > 0 && len(replicas)-missing < readQuorum(len(replicas))
 }
 
-func liveGaps(gaps []Gap, now time.Time) []Gap {
-	kept := gaps[:0]
-	for _, g := range gaps {
-		if now.Sub(g.At) < gapLife {
-			kept = append(kept, g)
+func unexpiredLosses(losses []LossRecord, now time.Time) []LossRecord {
+	kept := losses[:0]
+	for _, l := range losses {
+		if now.Sub(l.At) < lossRetention {
+			kept = append(kept, l)
 		}
 	}
 	return kept
 }
 
-// settledEpochs bounds how many epochs a replica remembers having settled at.
-const settledEpochs = 64
+// maxSyncedEpochs bounds how many epochs a replica lists as synced.
+const maxSyncedEpochs = 64
 
-// SetView starts the taking over for a new epoch. A member that was removed
-// keeps its claims for those who take them over. If it joins again, it forgets
-// them: others have decided since, and it no longer knows which were won.
+// SetView starts taking over key ranges for a new epoch. A member that was
+// removed keeps its claims for the members that take them over. If it joins
+// again, it drops them: other members have voted since, and it no longer knows
+// which claims were won.
 func (r *Replica) SetView(v *view.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if v.Has(r.self) && !r.transfer.current.Has(r.self) && r.hasVoted {
+	if v.Has(r.self) && !r.transfer.current.Has(r.self) && r.wasMember {
 		clear(r.entries)
 		r.bytes = 0
-		r.own = reading{since: v.Epoch()}
+		r.coverage = coverage{firstEpoch: v.Epoch()}
 	}
-	r.hasVoted = r.hasVoted || v.Has(r.self)
-	r.transfer = newTransfer(r.self, v, r.own)
+	r.wasMember = r.wasMember || v.Has(r.self)
+	r.transfer = newTransfer(r.self, v, r.coverage)
 	if len(r.transfer.earlier) == 0 && v.Has(r.self) {
-		r.markSettled(r.transfer)
+		r.markSynced(r.transfer)
 	}
 }
 
-func (r *Replica) markSettled(t *transfer) {
-	t.settled = true
-	settled := append(slices.Clone(r.own.settled), t.current.Epoch())
-	r.own.settled = settled[max(0, len(settled)-settledEpochs):]
+func (r *Replica) markSynced(t *transfer) {
+	t.synced = true
+	epochs := append(slices.Clone(r.coverage.syncedEpochs), t.current.Epoch())
+	r.coverage.syncedEpochs = epochs[max(0, len(epochs)-maxSyncedEpochs):]
 }
 
-// Settled reports whether this replica answers for all its ranges.
-func (r *Replica) Settled() bool {
+// Synced reports whether this replica has taken over all its ranges.
+func (r *Replica) Synced() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.transfer.settled
+	return r.transfer.synced
 }
 
-// lostBefore returns the time before which claims for a key may be lost.
+// lostBefore returns the time before which claims for a key may have been lost,
+// or zero.
 func (r *Replica) lostBefore(region, key string) time.Time {
 	var latest time.Time
-	for i := range r.gaps {
-		if r.gaps[i].At.After(latest) && r.gaps[i].covers(region, key) {
-			latest = r.gaps[i].At
+	for i := range r.losses {
+		if r.losses[i].At.After(latest) && r.losses[i].mayAffect(region, key) {
+			latest = r.losses[i].At
 		}
 	}
 	return latest
 }
 
-// Transfer answers an asker with the entries that it takes over.
+// Transfer returns one page of the entries that the requester takes over.
 func (r *Replica) Transfer(in TransferRequest) TransferReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.transfer
-	if in.Owner != r.self || t.current.Epoch() < in.Epoch {
+	if in.Source != r.self || t.current.Epoch() < in.Epoch {
 		return TransferReply{}
 	}
 	if t.outgoing == nil {
 		t.outgoing = r.outgoing(t)
 	}
-	reply := TransferReply{Ready: true, Settled: r.own.settled, Since: r.own.since}
+	reply := TransferReply{Ready: true, SyncedEpochs: r.coverage.syncedEpochs, FirstEpoch: r.coverage.firstEpoch}
 	if in.After == "" {
-		reply.Gaps = append(reply.Gaps, r.gaps...)
+		reply.Losses = append(reply.Losses, r.losses...)
 	}
-	for _, key := range t.outgoing[in.Asker] {
+	for _, key := range t.outgoing[in.Requester] {
 		e := r.entries[key]
 		if key <= in.After || e == nil {
 			continue
@@ -153,8 +157,9 @@
 	return reply
 }
 
-// outgoing sorts the keys by the members that answer for them now. It is made
-// once per epoch: entries granted later need no transfer.
+// outgoing returns the sorted keys that each other member is a replica of in
+// the current epoch. It is called once per epoch: entries granted later need no
+// transfer.
 func (r *Replica) outgoing(t *transfer) map[string][]string {
 	out := make(map[string][]string)
 	for key, e := range r.entries {
@@ -170,12 +175,12 @@
 	return out
 }
 
-// pull reads the earlier replicas, all at once, and settles if that was
-// enough. What is missing is tried again at the next tick.
+// pull reads the earlier replicas in parallel and finishes the transfer if enough
+// of them replied. The others are tried again at the next tick.
 func (r *Replica) pull(ctx context.Context) {
 	r.mu.Lock()
 	t := r.transfer
-	done := t.settled || !t.current.Has(r.self)
+	done := t.synced || !t.current.Has(r.self)
 	unread := r.unread(t)
 	r.mu.Unlock()
 	if done {
@@ -186,16 +191,17 @@
 		reads.Go(func() { r.readFrom(ctx, t, m) })
 	}
 	reads.Wait()
-	r.settle(t, unread)
+	r.finishTransfer(t, unread)
 }
 
+// unread returns the members of earlier epochs that were not read yet.
 func (r *Replica) unread(t *transfer) []view.Member {
 	var unread []view.Member
 	seen := make(map[string]bool)
 	for _, v := range t.earlier {
 		for _, m := range v.Members() {
-			_, answered := t.answered[m.ID]
-			if !answered && !seen[m.ID] {
+			_, wasRead := t.read[m.ID]
+			if !wasRead && !seen[m.ID] {
 				seen[m.ID] = true
 				unread = append(unread, m)
 			}
@@ -204,10 +210,11 @@
 	return unread
 }
 
+// readFrom reads all pages of one member. If a page fails, nothing is merged.
 func (r *Replica) readFrom(ctx context.Context, t *transfer, m view.Member) {
-	in := TransferRequest{Epoch: t.current.Epoch(), Asker: r.self, Owner: m.ID}
+	in := TransferRequest{Epoch: t.current.Epoch(), Requester: r.self, Source: m.ID}
 	var entries []Entry
-	var gaps []Gap
+	var losses []LossRecord
 	for {
 		pageCtx, cancel := context.WithTimeout(ctx, transferTimeout)
 		reply, err := r.peers.Transfer(pageCtx, m, in)
@@ -216,33 +223,33 @@
 			return
 		}
 		entries = append(entries, reply.Entries...)
-		gaps = append(gaps, reply.Gaps...)
+		losses = append(losses, reply.Losses...)
 		if reply.Next == "" {
-			r.adopt(t, m.ID, reading{settled: reply.Settled, since: reply.Since}, entries, gaps)
+			r.merge(t, m.ID, coverage{syncedEpochs: reply.SyncedEpochs, firstEpoch: reply.FirstEpoch}, entries, losses)
 			return
 		}
 		in.After = reply.Next
 	}
 }
 
-// adopt takes in what one member had. A claim seen at one replica counts as
-// perhaps won; those of two attempts leave the key unknown.
-func (r *Replica) adopt(t *transfer, from string, got reading, entries []Entry, gaps []Gap) {
+// merge adds the entries and losses of one member. A claim seen at one replica
+// may have won, so claims of two attempts leave the key in StateUnknown.
+func (r *Replica) merge(t *transfer, from string, got coverage, entries []Entry, losses []LossRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.transfer != t {
 		return
 	}
 	for _, e := range entries {
-		r.adoptEntry(e)
+		r.mergeEntry(e)
 	}
-	for _, g := range gaps {
-		r.addGap(g)
+	for _, l := range losses {
+		r.addLoss(l)
 	}
-	t.answered[from] = got
+	t.read[from] = got
 }
 
-func (r *Replica) adoptEntry(e Entry) {
+func (r *Replica) mergeEntry(e Entry) {
 	key := e.Key.String()
 	held := r.entries[key]
 	switch {
@@ -258,36 +265,36 @@
 	case e.State == StateFailed:
 		held.Reached = true
 	case sameAttempt(held, &e):
-		// The claimer has given up the earlier round. Two rounds taken for
-		// rivals leave a key that nobody can win, its claimer neither.
+		// The claimer has given up the earlier round. If the two rounds were
+		// treated as rivals, nobody could win the key, not even their claimer.
 		if Supersedes(e.Token, held.Token) {
 			e.Reached = e.Reached || held.Reached
 			r.put(key, e)
 		}
 	case e.Key.Kind == KindBill:
-		r.put(key, rivals(append(held.bills(), e.bills()...)))
+		r.put(key, mergeBillClaims(append(held.bills(), e.bills()...)))
 	default:
 		held.State = StateUnknown
 	}
 }
 
-// sameAttempt reports whether two claims are rounds of one attempt, and neither
-// was ever left unknown.
+// sameAttempt reports whether two claims are rounds of one attempt and neither is
+// in StateUnknown.
 func sameAttempt(a, b *Entry) bool {
 	return AttemptOf(a.Token) == AttemptOf(b.Token) && a.State != StateUnknown && b.State != StateUnknown
 }
 
-func (r *Replica) addGap(g Gap) {
-	for _, known := range r.gaps {
-		if known.At.Equal(g.At) {
+func (r *Replica) addLoss(l LossRecord) {
+	for _, known := range r.losses {
+		if known.At.Equal(l.At) {
 			return
 		}
 	}
-	r.gaps = append(r.gaps, g)
+	r.losses = append(r.losses, l)
 }
 
-// settle ends the taking over if every key is ready.
-func (r *Replica) settle(t *transfer, unread []view.Member) {
+// finishTransfer ends the transfer if every key is ready.
+func (r *Replica) finishTransfer(t *transfer, unread []view.Member) {
 	dead := make(map[string]bool)
 	for _, m := range unread {
 		dead[m.ID] = r.views.Dead(m)
@@ -300,24 +307,24 @@
 	for id, isDead := range dead {
 		t.dead[id] = isDead
 	}
-	losses, ok := t.complete()
+	losses, ok := t.allReady()
 	if !ok {
 		return
 	}
 	for _, l := range losses {
-		r.noteGap(l)
+		r.recordLoss(l)
 	}
-	r.markSettled(t)
-	slog.Info("claims settled", "epoch", t.current.Epoch(), "read", len(t.answered), "losses", len(losses))
+	r.markSynced(t)
+	slog.Info("claims synced", "epoch", t.current.Epoch(), "read", len(t.read), "losses", len(losses))
 }
 
-// noteGap remembers which members died unread. Whether a key is concerned is
-// found out when it is claimed.
-func (r *Replica) noteGap(l loss) {
+// recordLoss keeps which members died unread. Whether a key is concerned is
+// determined when it is claimed.
+func (r *Replica) recordLoss(l lostMembers) {
 	encoded, err := l.view.Encode()
 	if err != nil {
-		slog.Error("gap not kept", "error", err)
+		slog.Error("cannot record the possible loss of claims", "error", err)
 		return
 	}
-	r.addGap(Gap{At: r.timers.Now(), View: encoded, Missing: l.members})
+	r.addLoss(LossRecord{At: r.timers.Now(), View: encoded, Missing: l.members})
 }
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -112,7 +112,7 @@
 	m.entries[c.Key] = e
 	delete(m.keptUntil, c.Key)
 	if c.Key == m.ownKey() && m.leaseID == 0 {
-		m.previous = previousEntry{leaseID: c.Lease, current: !e.Leaving && m.g.self.At(e.Member)}
+		m.previous = previousEntry{leaseID: c.Lease, current: !e.Leaving && m.g.self.SameLocation(e.Member)}
 	}
 	slog.Info("gateway entry updated", "id", e.ID, "caller", e.Caller, "data_hall", e.DataHall, "leaving", e.Leaving, "revision", c.Revision)
 }
