--- a/gateway/doors.go
+++ b/gateway/doors.go
@@ -44,7 +44,7 @@
 	}
 	limits := func() catalog.Limits { return g.Catalog().Limits() }
 	refused := func(reason relay.Reason) { g.metrics.Relay().Refused(reason, "") }
-	g.callers = platform.NewCallers(callers, g.relay, limits, refused)
+	g.callers = platform.NewFrontend(callers, g.relay, limits, refused)
 	open := []door{{callers, func(context.Context, net.Listener) error { return g.callers.Serve() }}}
 	for _, d := range doors {
 		listener, err := listen(d.address)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -88,7 +88,7 @@
 	store    *platform.Store
 	mirror   *mirror.Mirror
 	registry *registry.Registry
-	runners  *platform.Runners
+	runners  *platform.BackendClient
 	balancer *route.Balancer
 	picker   *rollout.Picker
 	services *rollout.Services
@@ -102,7 +102,7 @@
 
 	relay   *relay.Relay
 	records *decision.Log
-	callers *platform.Callers
+	callers *platform.Frontend
 	catalog atomic.Pointer[catalog.Catalog]
 	leaving atomic.Bool
 }
@@ -130,7 +130,7 @@
 	g.client = peer.NewClient(nil, peer.WithCallCounter(instruments.PeerCall),
 		peer.WithKnown(func(key string) (mirror.Item, bool) { return g.mirror.Get(key) }))
 	g.registry = registry.New(g.timers)
-	g.runners = platform.NewRunners()
+	g.runners = platform.NewBackendClient()
 	g.balancer = route.NewBalancer(s.DataHall, instruments.BreakerOpened, route.WithAnnouncer(func(s share.Send, news float64) { g.board.Tell(s, news) }))
 	g.nodes = newNodes(g)
 	g.suspects = suspect.New(g.timers)
@@ -269,7 +269,7 @@
 	end := signal.Add(time.Duration(endShare * float64(grace)))
 	doorCloses := signal.Add(min(noticeTime, time.Duration(noticeShare*float64(grace))))
 	g.relay.Leave(relay.NewStop(signal, doorCloses, end))
-	g.callers.Leave()
+	g.callers.StartDrain()
 	// Last, since who sees that this gateway is not ready counts on the rest: an
 	// answer that went out in between would keep its connection.
 	g.leaving.Store(true)
--- a/gateway/subscribe.go
+++ b/gateway/subscribe.go
@@ -84,5 +84,5 @@
 // answers still come.
 func (g *Gateway) restarted(server registry.Server) {
 	g.balancer.Keep(g.registry.Incarnations())
-	g.runners.CloseKept(server.Address)
+	g.runners.CloseIdle(server.Address)
 }
