--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -89,7 +89,7 @@
 	store         *platform.Store
 	mirror        *mirror.Mirror
 	registry      *registry.Registry
-	runners       *platform.Runners
+	runners       *platform.BackendClient
 	balancer      *route.Balancer
 	picker        *rollout.Picker
 	services      *rollout.ServicePicker
@@ -103,7 +103,7 @@
 
 	relay        *relay.Relay
 	decisions    *decision.Log
-	clientServer *platform.Callers
+	clientServer *platform.Frontend
 	catalog      atomic.Pointer[catalog.Catalog]
 	leaving      atomic.Bool
 }
@@ -131,7 +131,7 @@
 	g.client = peer.NewClient(nil, peer.WithCallCounter(instruments.PeerCall),
 		peer.WithKnown(func(key string) (mirror.Item, bool) { return g.mirror.Get(key) }))
 	g.registry = registry.New(g.timers)
-	g.runners = platform.NewRunners()
+	g.runners = platform.NewBackendClient()
 	g.balancer = route.NewBalancer(s.DataHall, instruments.BreakerOpened, route.WithAnnouncer(func(s share.Record, prefillMillis float64) { g.exchange.Publish(s, prefillMillis) }))
 	g.membership = newMembership(g)
 	g.detector = suspect.New(g.timers)
@@ -272,7 +272,7 @@
 	end := signaled.Add(time.Duration(abortShare * float64(grace)))
 	closeAt := signaled.Add(min(maxDrainAccept, time.Duration(drainAcceptShare*float64(grace))))
 	g.relay.Drain(relay.NewShutdown(signaled, closeAt, end))
-	g.clientServer.Leave()
+	g.clientServer.StartDrain()
 	// This comes last, so that once the gateway reports that it is not ready, every
 	// response closes its connection.
 	g.leaving.Store(true)
