--- a/adapter/callers/callers.go
+++ b/adapter/callers/callers.go
@@ -31,8 +31,8 @@
 
 // Dispatcher takes requests along their path.
 type Dispatcher interface {
-	Start(ctx context.Context, r *dispatch.Request) (*answer.Exchange, *dispatch.Refusal)
-	Find(ctx context.Context, account *config.Account, id string) (*answer.Exchange, *dispatch.Refusal)
+	Start(ctx context.Context, r *dispatch.Request) (*answer.Response, *dispatch.Refusal)
+	Find(ctx context.Context, account *config.Account, id string) (*answer.Response, *dispatch.Refusal)
 	Cancel(ctx context.Context, account *config.Account, id string) (bool, *dispatch.Refusal)
 }
 
@@ -175,7 +175,7 @@
 func (d *Door) models(c echo.Context) error {
 	s := d.Config()
 	entries := []modelEntry{}
-	for _, name := range dispatch.Models(s, account(c)) {
+	for _, name := range dispatch.AllowedModels(s, account(c)) {
 		entries = append(entries, modelEntry{ID: name, Object: "model", Created: s.Document().AppliedAt.Unix(), OwnedBy: "violettally"})
 	}
 	return c.JSON(http.StatusOK, struct {
@@ -208,13 +208,13 @@
 		// Start has counted it.
 		return refusal
 	}
-	if r.Patient {
+	if r.Async {
 		return accepted(c, r.ID)
 	}
-	detach := x.Attach()
+	detach := x.AddReader()
 	err := deliver(c, x, wantsUsage)
 	// A caller that is gone and cannot come back needs no answer.
-	if last := detach(); last && c.Request().Context().Err() != nil && !r.Given && r.Repeatable() {
+	if last := detach(); last && c.Request().Context().Err() != nil && !r.IDFromClient && r.Repeatable() {
 		x.Cancel()
 	}
 	return err
@@ -241,7 +241,7 @@
 	if refusal != nil {
 		return d.refuse(c, refusal)
 	}
-	if !x.From(0).Done {
+	if !x.StateFrom(0).Done {
 		return accepted(c, id)
 	}
 	return deliver(c, x, true)
--- a/adapter/callers/reply.go
+++ b/adapter/callers/reply.go
@@ -118,12 +118,12 @@
 }
 
 // deliver gives an answer as it grows.
-func deliver(c echo.Context, x *answer.Exchange, wantsUsage bool) error {
+func deliver(c echo.Context, x *answer.Response, wantsUsage bool) error {
 	w := &writer{c: c, wantsUsage: wantsUsage}
 	for sent := 0; ; {
-		state := x.From(sent)
+		state := x.StateFrom(sent)
 		sent += len(state.Parts)
-		if state.Headed {
+		if state.HasHead {
 			w.begin(state.Head)
 		}
 		for _, part := range state.Parts {
--- a/adapter/callers/request.go
+++ b/adapter/callers/request.go
@@ -42,7 +42,7 @@
 
 // invalid refuses a request that cannot be read.
 func invalid(format string, args ...any) *dispatch.Refusal {
-	return dispatch.Refuse(dispatch.ReasonInvalid, 0, format, args...)
+	return dispatch.NewRefusal(dispatch.ReasonInvalid, 0, format, args...)
 }
 
 func pathID(c echo.Context) (string, *dispatch.Refusal) {
@@ -60,14 +60,14 @@
 	if r.ID == "" {
 		r.ID = d.NewID()
 	} else {
-		r.Given = true
+		r.IDFromClient = true
 	}
 	if !idPattern.MatchString(r.ID) {
 		return nil, invalid("%s %q: want 1 to 128 of letters, digits, '.', '_', ':', '-'", idempotencyHeader, r.ID)
 	}
-	r.Patient = strings.Contains(header.Get(preferHeader), respondAsync)
+	r.Async = strings.Contains(header.Get(preferHeader), respondAsync)
 	limit := d.RequestTime
-	if r.Patient {
+	if r.Async {
 		limit = patientTime
 	}
 	timeout, refusal := timeoutOf(header.Get(timeoutHeader), limit)
@@ -92,7 +92,7 @@
 	var tooLarge *echo.HTTPError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, dispatch.Refuse(dispatch.ReasonBodyTooLarge, 0, "the body exceeds the bound for bodies")
+		return nil, dispatch.NewRefusal(dispatch.ReasonBodyTooLarge, 0, "the body exceeds the bound for bodies")
 	case err != nil:
 		return nil, invalid("the body cannot be read: %v", err)
 	}
@@ -197,14 +197,14 @@
 	name, path := c.Param("service"), "/"+c.Param("*")
 	service := d.Config().Service(name)
 	if service == nil || !slices.Contains(r.Account.Services, name) {
-		return nil, dispatch.Refuse(dispatch.ReasonServiceNotFound, 0, "service %q is not one that account %q may use", name, r.Account.Name)
+		return nil, dispatch.NewRefusal(dispatch.ReasonServiceNotFound, 0, "service %q is not one that account %q may use", name, r.Account.Name)
 	}
 	call := service.Call(c.Request().Method, path)
 	switch {
 	case call == nil:
-		return nil, dispatch.Refuse(dispatch.ReasonCallNotDeclared, 0, "service %q declares no call %s %s", name, c.Request().Method, path)
-	case !call.Repeatable && !r.Given:
-		return nil, dispatch.Refuse(dispatch.ReasonKeyMissing, 0, "%s %s may not be repeated; send an %s", c.Request().Method, path, idempotencyHeader)
+		return nil, dispatch.NewRefusal(dispatch.ReasonCallNotDeclared, 0, "service %q declares no call %s %s", name, c.Request().Method, path)
+	case !call.Repeatable && !r.IDFromClient:
+		return nil, dispatch.NewRefusal(dispatch.ReasonKeyMissing, 0, "%s %s may not be repeated; send an %s", c.Request().Method, path, idempotencyHeader)
 	}
 	r.Plain = &dispatch.Plain{
 		Service:     service,
--- a/adapter/engine/engine.go
+++ b/adapter/engine/engine.go
@@ -232,14 +232,14 @@
 }
 
 // Call sends a call to a plain service.
-func (c *Client) Call(ctx context.Context, server config.Server, call dispatch.ServiceCall) (dispatch.ServiceAnswer, error) {
+func (c *Client) Call(ctx context.Context, server config.Server, call dispatch.ServiceCall) (dispatch.ServiceResponse, error) {
 	address := server.URL + call.Path
 	if call.Query != "" {
 		address += "?" + call.Query
 	}
 	request, err := http.NewRequestWithContext(ctx, call.Method, address, bytes.NewReader(call.Body))
 	if err != nil {
-		return dispatch.ServiceAnswer{}, errs.Wrap(dispatch.NotRun, "call", err, "server %s", server.Name)
+		return dispatch.ServiceResponse{}, errs.Wrap(dispatch.NotRun, "call", err, "server %s", server.Name)
 	}
 	// The transport must not send a call a second time by itself; without
 	// GetBody it cannot.
@@ -250,17 +250,17 @@
 	request.Header.Set("X-Request-Id", call.RequestID)
 	response, err := c.send(request, server)
 	if err != nil {
-		return dispatch.ServiceAnswer{}, err
+		return dispatch.ServiceResponse{}, err
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, c.maxBytes+1))
 	if err != nil {
-		return dispatch.ServiceAnswer{}, errs.Wrap(dispatch.Failed, "call", err, "answer of server %s broke off", server.Name)
+		return dispatch.ServiceResponse{}, errs.Wrap(dispatch.Failed, "call", err, "answer of server %s broke off", server.Name)
 	}
 	if int64(len(body)) > c.maxBytes {
-		return dispatch.ServiceAnswer{}, errs.New(dispatch.TooLarge, "call", "answer of server %s exceeds %d bytes", server.Name, c.maxBytes)
+		return dispatch.ServiceResponse{}, errs.New(dispatch.TooLarge, "call", "answer of server %s exceeds %d bytes", server.Name, c.maxBytes)
 	}
-	return dispatch.ServiceAnswer{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: body}, nil
+	return dispatch.ServiceResponse{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: body}, nil
 }
 
 // controlTimeout bounds load reports.
--- a/adapter/peer/client.go
+++ b/adapter/peer/client.go
@@ -413,7 +413,7 @@
 const attachTimeout = time.Second
 
 // Attach follows an attempt's answer at its holder.
-func (c *Client) Attach(ctx context.Context, h claim.Holder, attempt string) (x *answer.Exchange, found, ran bool, err error) {
+func (c *Client) Attach(ctx context.Context, h claim.Holder, attempt string) (x *answer.Response, found, ran bool, err error) {
 	if h.ID == c.self {
 		x, ran := c.node.FindAnswer(attempt)
 		return x, x != nil, ran, nil
@@ -446,7 +446,7 @@
 	}
 	// What the holder has already is taken in here, so that who only asks
 	// whether the answer is there sees it at once.
-	x = answer.NewExchange(attempt, func() {})
+	x = answer.NewResponse(attempt, func() {})
 	copyPart(x, first)
 	go func() {
 		defer cancel()
@@ -466,7 +466,7 @@
 }
 
 // follow copies an answer until it ends or its holder is lost.
-func follow(stream drpc.Stream, x *answer.Exchange, done bool) {
+func follow(stream drpc.Stream, x *answer.Response, done bool) {
 	for !done {
 		var part attachPart
 		if err := stream.MsgRecv(&part, codec{}); err != nil {
@@ -484,9 +484,9 @@
 	}
 }
 
-func copyPart(x *answer.Exchange, part attachPart) {
+func copyPart(x *answer.Response, part attachPart) {
 	if part.Headed {
-		x.Begin(part.Head)
+		x.SetHead(part.Head)
 	}
 	for _, p := range part.Parts {
 		x.Append(p)
@@ -496,7 +496,7 @@
 	}
 }
 
-func finish(x *answer.Exchange, failure *answer.Failure) {
+func finish(x *answer.Response, failure *answer.Failure) {
 	if failure != nil {
 		x.Fail(failure)
 		return
--- a/adapter/peer/server.go
+++ b/adapter/peer/server.go
@@ -37,7 +37,7 @@
 	Counts() (node string, counts rollout.Counts)
 	Recall(journal string) billing.Recollection
 	KeepCheckpoint(a ledger.Account)
-	FindAnswer(attempt string) (x *answer.Exchange, ran bool)
+	FindAnswer(attempt string) (x *answer.Response, ran bool)
 	CancelAnswer(attempt string) bool
 	Explain(requestID string) (decision.Summary, bool)
 }
@@ -165,11 +165,11 @@
 	if x == nil {
 		return stream.MsgSend(&attachPart{Ran: ran}, codec{})
 	}
-	defer x.Attach()()
+	defer x.AddReader()()
 	for sent := 0; ; {
-		state := x.From(sent)
+		state := x.StateFrom(sent)
 		sent += len(state.Parts)
-		part := attachPart{Found: true, Headed: state.Headed, Head: state.Head, Parts: state.Parts, Done: state.Done, Failure: state.Failure}
+		part := attachPart{Found: true, Headed: state.HasHead, Head: state.Head, Parts: state.Parts, Done: state.Done, Failure: state.Failure}
 		if err := stream.MsgSend(&part, codec{}); err != nil {
 			return err
 		}
--- a/answer/answer.go
+++ b/answer/answer.go
@@ -2,7 +2,7 @@
 // lately run, so that a caller who comes back, on any node, is joined to the
 // running answer or handed the finished one.
 //
-// An [Exchange] is one request's answer as it grows: the run appends parts,
+// An [Response] is one request's answer as it grows: the run appends parts,
 // and any number of readers follow from the start. The [Store] keeps the
 // exchanges by their attempt, bounded in bytes and time.
 //
@@ -48,8 +48,8 @@
 // Error makes a Failure an error.
 func (f *Failure) Error() string { return f.Reason + ": " + f.Message }
 
-// Exchange is one request's answer. It is safe for concurrent use.
-type Exchange struct {
+// Response is one request's answer. It is safe for concurrent use.
+type Response struct {
 	attempt string
 	cancel  context.CancelFunc
 
@@ -66,17 +66,17 @@
 	finished time.Time
 }
 
-// NewExchange returns an exchange that no store keeps. Cancel stops its run.
-func NewExchange(attempt string, cancel context.CancelFunc) *Exchange {
-	return &Exchange{attempt: attempt, cancel: cancel, changed: make(chan struct{})}
+// NewResponse returns an exchange that no store keeps. Cancel stops its run.
+func NewResponse(attempt string, cancel context.CancelFunc) *Response {
+	return &Response{attempt: attempt, cancel: cancel, changed: make(chan struct{})}
 }
 
 // Attempt returns the attempt's identity.
-func (x *Exchange) Attempt() string { return x.attempt }
+func (x *Response) Attempt() string { return x.attempt }
 
-// Pin keeps callers from cancelling the run, for work that may not be repeated
+// DisableCancel keeps callers from cancelling the run, for work that may not be repeated
 // and must not be cut.
-func (x *Exchange) Pin() {
+func (x *Response) DisableCancel() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.pinned = true
@@ -84,7 +84,7 @@
 
 // Cancel stops the run for its callers. It returns false if the run is pinned
 // or has ended.
-func (x *Exchange) Cancel() bool {
+func (x *Response) Cancel() bool {
 	x.mu.Lock()
 	stops := !x.pinned && !x.done
 	x.mu.Unlock()
@@ -95,10 +95,10 @@
 }
 
 // Close gives back what the run holds, once it has ended.
-func (x *Exchange) Close() { x.cancel() }
+func (x *Response) Close() { x.cancel() }
 
-// Begin sets what comes before the parts. Later calls change nothing.
-func (x *Exchange) Begin(h Head) {
+// SetHead sets what comes before the parts. Later calls change nothing.
+func (x *Response) SetHead(h Head) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if !x.headed {
@@ -108,7 +108,7 @@
 }
 
 // Append adds a part.
-func (x *Exchange) Append(part []byte) {
+func (x *Response) Append(part []byte) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.done {
@@ -120,12 +120,12 @@
 }
 
 // Finish ends the answer as whole.
-func (x *Exchange) Finish() { x.end(nil) }
+func (x *Response) Finish() { x.end(nil) }
 
 // Fail ends the answer with a failure.
-func (x *Exchange) Fail(f *Failure) { x.end(f) }
+func (x *Response) Fail(f *Failure) { x.end(f) }
 
-func (x *Exchange) end(f *Failure) {
+func (x *Response) end(f *Failure) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.done {
@@ -135,7 +135,7 @@
 	x.wake()
 }
 
-func (x *Exchange) wake() {
+func (x *Response) wake() {
 	close(x.changed)
 	x.changed = make(chan struct{})
 }
@@ -143,7 +143,7 @@
 // State is a moment of an exchange.
 type State struct {
 	Head    Head
-	Headed  bool
+	HasHead bool
 	Parts   [][]byte
 	Done    bool
 	Failure *Failure
@@ -151,13 +151,13 @@
 	Changed <-chan struct{}
 }
 
-// From returns the present state with the parts from the nth on.
-func (x *Exchange) From(n int) State {
+// StateFrom returns the present state with the parts from the nth on.
+func (x *Response) StateFrom(n int) State {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return State{
 		Head:    x.head,
-		Headed:  x.headed,
+		HasHead: x.headed,
 		Parts:   x.parts[min(n, len(x.parts)):],
 		Done:    x.done,
 		Failure: x.failure,
@@ -166,9 +166,9 @@
 }
 
 // Wait returns once the answer has ended.
-func (x *Exchange) Wait(ctx context.Context) (State, error) {
+func (x *Response) Wait(ctx context.Context) (State, error) {
 	for {
-		s := x.From(0)
+		s := x.StateFrom(0)
 		if s.Done {
 			return s, nil
 		}
@@ -180,9 +180,9 @@
 	}
 }
 
-// Attach counts a reader in; the function it returns counts it out and tells
+// AddReader counts a reader in; the function it returns counts it out and tells
 // whether it was the last.
-func (x *Exchange) Attach() (detach func() (last bool)) {
+func (x *Response) AddReader() (detach func() (last bool)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.readers++
@@ -194,7 +194,7 @@
 	}
 }
 
-func (x *Exchange) size() (bytes int64, finished time.Time, done bool) {
+func (x *Response) size() (bytes int64, finished time.Time, done bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.bytes + exchangeOverhead, x.finished, x.done
@@ -210,7 +210,7 @@
 	maxBytes int64
 
 	mu        sync.Mutex
-	exchanges map[string]*Exchange
+	exchanges map[string]*Response
 	// order lists the attempts in the order of their start.
 	order []string
 	// ran remembers attempts that must not run again, until the time given.
@@ -224,14 +224,14 @@
 		timers:    timers,
 		life:      life,
 		maxBytes:  maxBytes,
-		exchanges: make(map[string]*Exchange),
+		exchanges: make(map[string]*Response),
 		ran:       make(map[string]time.Time),
 	}
 }
 
 // Open makes the exchange of a new attempt.
-func (s *Store) Open(attempt string, cancel context.CancelFunc) *Exchange {
-	x := NewExchange(attempt, cancel)
+func (s *Store) Open(attempt string, cancel context.CancelFunc) *Response {
+	x := NewResponse(attempt, cancel)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.exchanges[attempt] = x
@@ -239,16 +239,16 @@
 	return x
 }
 
-// Forget removes an attempt that did not run.
-func (s *Store) Forget(attempt string) {
+// Remove removes an attempt that did not run.
+func (s *Store) Remove(attempt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.exchanges, attempt)
 	delete(s.ran, attempt)
 }
 
-// Remember keeps the knowledge that an attempt has run beyond its answer.
-func (s *Store) Remember(attempt string, life time.Duration) {
+// MarkRan keeps the knowledge that an attempt has run beyond its answer.
+func (s *Store) MarkRan(attempt string, life time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ran[attempt] = s.timers.Now().Add(life)
@@ -256,7 +256,7 @@
 
 // Find returns the exchange of an attempt, or nil. Ran reports whether an
 // attempt without exchange is known to have run.
-func (s *Store) Find(attempt string) (x *Exchange, ran bool) {
+func (s *Store) Find(attempt string) (x *Response, ran bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, ran = s.ran[attempt]
--- a/decision/decision.go
+++ b/decision/decision.go
@@ -53,8 +53,8 @@
 	ended   bool
 }
 
-// Note adds a step.
-func (r *Record) Note(step, format string, args ...any) {
+// AddStep adds a step.
+func (r *Record) AddStep(step, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.summary.Steps = append(r.summary.Steps, Step{
@@ -78,8 +78,8 @@
 	return r.summary.Account
 }
 
-// Choose notes which version and backend server do the work.
-func (r *Record) Choose(model, version, server string) {
+// SetServer notes which version and backend server do the work.
+func (r *Record) SetServer(model, version, server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.summary.Model, r.summary.Version, r.summary.Server = model, version, server
@@ -156,8 +156,8 @@
 	return r.Summary(), true
 }
 
-// Open returns the kept records of requests that have not ended.
-func (l *Log) Open() []*Record {
+// Unfinished returns the kept records of requests that have not ended.
+func (l *Log) Unfinished() []*Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var open []*Record
--- a/dispatch/backend.go
+++ b/dispatch/backend.go
@@ -58,8 +58,8 @@
 	Body        []byte
 }
 
-// ServiceAnswer is a plain service's answer.
-type ServiceAnswer struct {
+// ServiceResponse is a plain service's answer.
+type ServiceResponse struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -67,5 +67,5 @@
 
 // Services reaches the plain services. Errors are NotRun or Failed.
 type Services interface {
-	Call(ctx context.Context, server config.Server, call ServiceCall) (ServiceAnswer, error)
+	Call(ctx context.Context, server config.Server, call ServiceCall) (ServiceResponse, error)
 }
--- a/dispatch/chat.go
+++ b/dispatch/chat.go
@@ -47,7 +47,7 @@
 func (r *result) text() string { return textOf(r.parts, r.head.Streamed) }
 
 // runChat answers a request to a model or a cascade.
-func (d *Dispatcher) runChat(ctx context.Context, r *Request, x *answer.Exchange, record *decision.Record) *Refusal {
+func (d *Dispatcher) runChat(ctx context.Context, r *Request, x *answer.Response, record *decision.Record) *Refusal {
 	t, ok := resolve(d.Config(), r.Account, r.Chat.Model)
 	if !ok {
 		return refuse(ReasonModelNotFound, RanNo, 0, "model %q is not one that account %q may use", r.Chat.Model, r.Account.Name)
@@ -64,9 +64,9 @@
 }
 
 // runCascade tries the planned models until an answer may be released.
-func (d *Dispatcher) runCascade(ctx context.Context, r *Request, x *answer.Exchange, t target, record *decision.Record) *Refusal {
+func (d *Dispatcher) runCascade(ctx context.Context, r *Request, x *answer.Response, t target, record *decision.Record) *Refusal {
 	plan := d.Planner.Plan(t.cascade, r.Chat.Class, d.timeLeft(r))
-	record.Note("cascade", "plan %s", strings.Join(plan, ", "))
+	record.AddStep("cascade", "plan %s", strings.Join(plan, ", "))
 	spent := int64(0)
 	for i, model := range plan {
 		last := i == len(plan)-1
@@ -75,7 +75,7 @@
 			if last || refusal.reason == ReasonCancelled || refusal.reason == ReasonDeadline {
 				return refusal
 			}
-			record.Note("cascade", "%s gave no answer: %s", model, refusal.Error())
+			record.AddStep("cascade", "%s gave no answer: %s", model, refusal.Error())
 			continue
 		}
 		spent += got.cost
@@ -85,7 +85,7 @@
 		}
 		d.observe(r, got, rating)
 		if !last && !d.releases(t.cascade, r.Chat.Class, model, rating) {
-			record.Note("cascade", "%s is held back: rating %.2f, bound %.2f", model, rating, d.Planner.Threshold(t.cascade))
+			record.AddStep("cascade", "%s is held back: rating %.2f, bound %.2f", model, rating, d.Planner.Threshold(t.cascade))
 			continue
 		}
 		if rating >= 0 {
@@ -116,10 +116,10 @@
 	defer cancel()
 	rating, err := d.Rater.Rate(ctx, got.model, got.version.Name, r.Chat.Prompt, got.text())
 	if err != nil {
-		record.Note("rating", "none: %v", err)
+		record.AddStep("rating", "none: %v", err)
 		return noRating
 	}
-	record.Note("rating", "%s@%s got %.2f", got.model, got.version.Name, rating)
+	record.AddStep("rating", "%s@%s got %.2f", got.model, got.version.Name, rating)
 	return rating
 }
 
@@ -151,11 +151,11 @@
 
 // release bills an answer and gives it to the caller. The bill comes before
 // the last part, so that no whole answer goes out unbilled.
-func (d *Dispatcher) release(r *Request, x *answer.Exchange, got *result, cost int64, record *decision.Record) *Refusal {
+func (d *Dispatcher) release(r *Request, x *answer.Response, got *result, cost int64, record *decision.Record) *Refusal {
 	if got.head.Status < 300 {
 		d.bill(r, got, cost, record)
 	}
-	x.Begin(got.head)
+	x.SetHead(got.head)
 	for _, part := range got.parts[got.sent:] {
 		x.Append(part)
 	}
@@ -165,7 +165,7 @@
 
 // runModel gets one model's answer. With an exchange, the parts of a stream go
 // out as they come, up to the one that ends the answer; without, none does.
-func (d *Dispatcher) runModel(ctx context.Context, r *Request, x *answer.Exchange, t target, model string, record *decision.Record) (*result, *Refusal) {
+func (d *Dispatcher) runModel(ctx context.Context, r *Request, x *answer.Response, t target, model string, record *decision.Record) (*result, *Refusal) {
 	version, refusal := d.versionOf(ctx, r, t, model, record)
 	if refusal != nil {
 		return nil, refusal
@@ -190,7 +190,7 @@
 type modelRun struct {
 	d       *Dispatcher
 	r       *Request
-	x       *answer.Exchange
+	x       *answer.Response
 	t       target
 	record  *decision.Record
 	model   string
@@ -233,7 +233,7 @@
 			return nil, refusal
 		}
 		m.d.Counters.Retried(refusal.reason.String())
-		m.record.Note("retry", "%s", refusal.Error())
+		m.record.AddStep("retry", "%s", refusal.Error())
 	}
 }
 
@@ -272,8 +272,8 @@
 	}
 	server := attempt.Server()
 	m.tried[server.Name] = true
-	m.record.Choose(m.model, m.version, server.Name)
-	m.record.Note("server", "%s of pool %s", server.Name, v.Pool)
+	m.record.SetServer(m.model, m.version, server.Name)
+	m.record.AddStep("server", "%s of pool %s", server.Name, v.Pool)
 	begun := d.Timers.Now()
 	err = m.follow(ctx, server, EngineCall{
 		RequestID: m.r.ID,
@@ -306,7 +306,7 @@
 		if err == nil || !call.Stream || id == "" || resumes == maxResumes || ctx.Err() != nil {
 			return err
 		}
-		m.record.Note("resume", "stream %s after %d parts", id, m.matched)
+		m.record.AddStep("resume", "stream %s after %d parts", id, m.matched)
 		m.d.Counters.Retried("resume")
 		resumed, resumeErr := m.d.Engines.Resume(ctx, server, id, m.matched, call)
 		if resumeErr != nil {
@@ -325,7 +325,7 @@
 		Streamed:    m.r.Chat.Stream && stream.Status() < 300,
 	}
 	if m.x != nil && m.got.head.Streamed {
-		m.x.Begin(m.got.head)
+		m.x.SetHead(m.got.head)
 	}
 }
 
@@ -393,13 +393,13 @@
 		CompletionTokens: got.usage.Completion,
 		Cost:             cost,
 	}
-	life := 2 * d.AnswerLife
-	if !r.Given {
+	life := 2 * d.ResponseTTL
+	if !r.IDFromClient {
 		life = mintedBillLife
 	}
 	if d.Bills.Bill(b, life) {
-		record.Note("bill", "%d prompt and %d completion tokens, cost %d", b.PromptTokens, b.CompletionTokens, b.Cost)
+		record.AddStep("bill", "%d prompt and %d completion tokens, cost %d", b.PromptTokens, b.CompletionTokens, b.Cost)
 		return
 	}
-	record.Note("bill", "billed elsewhere, or claimed again later")
+	record.AddStep("bill", "billed elsewhere, or claimed again later")
 }
--- a/dispatch/codec.go
+++ b/dispatch/codec.go
@@ -44,16 +44,16 @@
 		return nil
 	}
 	r := &Request{
-		ID:        saved.ID,
-		Given:     true,
-		Account:   account,
-		Patient:   true,
-		Deadline:  saved.Deadline,
-		Body:      saved.Body,
-		Digest:    saved.Digest,
-		Chat:      saved.Chat,
-		Plain:     saved.Plain,
-		takenOver: true,
+		ID:           saved.ID,
+		IDFromClient: true,
+		Account:      account,
+		Async:        true,
+		Deadline:     saved.Deadline,
+		Body:         saved.Body,
+		Digest:       saved.Digest,
+		Chat:         saved.Chat,
+		Plain:        saved.Plain,
+		takenOver:    true,
 	}
 	if r.Plain != nil {
 		r.Plain.Service = s.Service(saved.Service)
@@ -82,14 +82,14 @@
 	return data
 }
 
-func decodeAnswer(data []byte) *answer.Exchange {
-	x := answer.NewExchange("", func() {})
+func decodeAnswer(data []byte) *answer.Response {
+	x := answer.NewResponse("", func() {})
 	var saved savedAnswer
 	if err := cbor.Unmarshal(data, &saved); err != nil {
 		x.Fail(refuse(ReasonAnswerExpired, RanYes, 0, "the kept answer cannot be read: %v", err).Failure())
 		return x
 	}
-	x.Begin(saved.Head)
+	x.SetHead(saved.Head)
 	for _, part := range saved.Parts {
 		x.Append(part)
 	}
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -40,11 +40,11 @@
 type Request struct {
 	// ID names the request within its account. Given ids were chosen by the
 	// caller, who may come back with them.
-	ID      string
-	Given   bool
-	Account *config.Account
-	// Patient work is answered with 202 and fetched later.
-	Patient  bool
+	ID           string
+	IDFromClient bool
+	Account      *config.Account
+	// Async work is answered with 202 and fetched later.
+	Async    bool
 	Deadline time.Time
 	Body     []byte
 	// Digest of everything that makes the request what it is.
@@ -99,13 +99,13 @@
 	// Attach follows an attempt's answer at its holder. Found is false if
 	// the holder does not know the attempt; ran then tells whether it knows
 	// that the attempt has run.
-	Attach(ctx context.Context, h claim.Holder, attempt string) (x *answer.Exchange, found, ran bool, err error)
+	Attach(ctx context.Context, h claim.Holder, attempt string) (x *answer.Response, found, ran bool, err error)
 	// Cancel stops an attempt at its holder.
 	Cancel(ctx context.Context, h claim.Holder, attempt string) (bool, error)
-	// Answers reports whether a node is neither suspected nor gone.
-	Answers(id string) bool
-	// Gone reports whether a node is confirmed not to answer.
-	Gone(id string) bool
+	// Responsive reports whether a node is neither suspected nor gone.
+	Responsive(id string) bool
+	// Faulty reports whether a node is confirmed not to answer.
+	Faulty(id string) bool
 }
 
 // Rater rates answers.
@@ -141,29 +141,29 @@
 
 // Parts is what a Dispatcher is made of.
 type Parts struct {
-	Self     claim.Holder
-	Config   func() *config.Snapshot
-	Current  func() bool
-	Claims   Claims
-	Holders  Holders
-	Answers  *answer.Store
-	Pins     *session.Pins
-	Picker   *rollout.Picker
-	Planner  *cascade.Planner
-	Limits   Limits
-	Queues   Queues
-	Chooser  *route.Chooser
-	Budgets  *retry.Budgets
-	Engines  Engines
-	Services Services
-	Rater    Rater
-	Bills    Bills
-	Records  *decision.Log
-	Counters Counters
-	Timers   *timer.Service
-	NewID    func() string
-	// AnswerLife is how long an answer can be fetched.
-	AnswerLife time.Duration
+	Self            claim.Holder
+	Config          func() *config.Snapshot
+	ReceivesUpdates func() bool
+	Claims          Claims
+	Holders         Holders
+	Responses       *answer.Store
+	Pins            *session.Pins
+	Picker          *rollout.Picker
+	Planner         *cascade.Planner
+	Limits          Limits
+	Queues          Queues
+	Chooser         *route.Chooser
+	Budgets         *retry.Budgets
+	Engines         Engines
+	Services        Services
+	Rater           Rater
+	Bills           Bills
+	Records         *decision.Log
+	Counters        Counters
+	Timers          *timer.Service
+	NewID           func() string
+	// ResponseTTL is how long an answer can be fetched.
+	ResponseTTL time.Duration
 }
 
 // Dispatcher takes requests along their path. It is safe for concurrent use.
@@ -194,22 +194,22 @@
 )
 
 // Start takes a request up, or joins it to the run that its id has already.
-func (d *Dispatcher) Start(ctx context.Context, r *Request) (*answer.Exchange, *Refusal) {
+func (d *Dispatcher) Start(ctx context.Context, r *Request) (*answer.Response, *Refusal) {
 	record := d.Records.Start(r.ID, r.Account.Name)
 	x, refusal := d.start(ctx, r, record)
 	if refusal != nil {
-		record.Note("refused", "%s", refusal.Error())
+		record.AddStep("refused", "%s", refusal.Error())
 		record.End("refused: " + refusal.reason.String())
 		d.Counters.Refused(refusal.reason, r.Account.Name)
 	}
 	return x, refusal
 }
 
-func (d *Dispatcher) start(ctx context.Context, r *Request, record *decision.Record) (*answer.Exchange, *Refusal) {
+func (d *Dispatcher) start(ctx context.Context, r *Request, record *decision.Record) (*answer.Response, *Refusal) {
 	if refusal := d.ready(r); refusal != nil {
 		return nil, d.refuseGiven(ctx, r, refusal)
 	}
-	if !r.Given {
+	if !r.IDFromClient {
 		if refusal := d.limit(r, record); refusal != nil {
 			return nil, refusal
 		}
@@ -226,7 +226,7 @@
 		return refuse(ReasonDraining, RanNo, comeBackSoon, "this node is leaving; ask for addresses again")
 	case snapshot.Revision() == 0:
 		return NoConfiguration(RanNo)
-	case !d.Current():
+	case !d.ReceivesUpdates():
 		return refuse(ReasonCutOff, RanNo, comeBackSoon, "this node is cut off and may have missed a withdrawal; ask another")
 	case r.Chat != nil:
 		return d.allowed(snapshot, r)
@@ -248,7 +248,7 @@
 	if !ok {
 		return refuse(ReasonRateLimited, RanNo, wait, "account %q is at its limit of %g requests a second", r.Account.Name, r.Account.Limits.RequestsPerSecond)
 	}
-	record.Note("limit", "within the account's share")
+	record.AddStep("limit", "within the account's share")
 	return nil
 }
 
@@ -270,11 +270,11 @@
 		Token:      exchange,
 		Holder:     d.Self,
 		Repeatable: r.Repeatable(),
-		Patient:    r.Patient,
+		Patient:    r.Async,
 		Body:       r.Digest,
 		Expires:    d.Timers.Now().Add(d.claimLife(r)),
 	}
-	if r.Patient {
+	if r.Async {
 		e.Value = encodeRequest(r)
 	}
 	return e
@@ -285,7 +285,7 @@
 
 // claimLife outlives the deadline and the time for which an answer is kept.
 func (d *Dispatcher) claimLife(r *Request) time.Duration {
-	life := d.AnswerLife
+	life := d.ResponseTTL
 	if !r.Deadline.IsZero() {
 		life += r.Deadline.Sub(d.Timers.Now())
 	}
@@ -297,13 +297,13 @@
 
 // startMinted runs a request whose id nobody knows yet. Its claim only serves
 // to find the answer later, so the run need not wait for it.
-func (d *Dispatcher) startMinted(ctx context.Context, r *Request, record *decision.Record) (*answer.Exchange, *Refusal) {
-	if r.Patient || !r.Repeatable() {
+func (d *Dispatcher) startMinted(ctx context.Context, r *Request, record *decision.Record) (*answer.Response, *Refusal) {
+	if r.Async || !r.Repeatable() {
 		return d.startGiven(ctx, r, record)
 	}
 	exchange := d.NewID()
 	runCtx, stop := context.WithCancel(context.Background())
-	x := d.Answers.Open(exchange, stop)
+	x := d.Responses.Open(exchange, stop)
 	d.run(runCtx, r, x, record, nil)
 	e := d.entry(r, 0, exchange)
 	e.Soft = true
--- a/dispatch/find.go
+++ b/dispatch/find.go
@@ -9,7 +9,7 @@
 )
 
 // Find returns the answer of a request, wherever it is, without starting it.
-func (d *Dispatcher) Find(ctx context.Context, account *config.Account, id string) (*answer.Exchange, *Refusal) {
+func (d *Dispatcher) Find(ctx context.Context, account *config.Account, id string) (*answer.Response, *Refusal) {
 	e, refusal := d.latest(ctx, account, id)
 	if refusal != nil {
 		return nil, refusal
@@ -22,9 +22,9 @@
 		return decodeAnswer(e.Answer), nil
 	case err == nil:
 		return nil, refuse(ReasonAnswerExpired, RanYes, 0, "the answer is not kept any more")
-	case e.Patient && !d.Holders.Answers(e.Holder.ID):
+	case e.Patient && !d.Holders.Responsive(e.Holder.ID):
 		// Another node is about to take it over.
-		return answer.NewExchange(e.Token, func() {}), nil
+		return answer.NewResponse(e.Token, func() {}), nil
 	default:
 		return nil, holderUnreachable(e.Holder.ID)
 	}
@@ -74,6 +74,6 @@
 
 // CancelAttempt stops an attempt that this node runs.
 func (d *Dispatcher) CancelAttempt(attempt string) bool {
-	x, _ := d.Answers.Find(attempt)
+	x, _ := d.Responses.Find(attempt)
 	return x != nil && x.Cancel()
 }
--- a/dispatch/given_test.go
+++ b/dispatch/given_test.go
@@ -54,7 +54,7 @@
 					Config: config.Empty, Claims: &tt.claims, Records: decision.New("n"), Counters: noCounters{},
 				})
 				start := time.Now()
-				_, refusal := d.Start(t.Context(), &dispatch.Request{ID: "1", Given: true, Account: &config.Account{Name: "a"}})
+				_, refusal := d.Start(t.Context(), &dispatch.Request{ID: "1", IDFromClient: true, Account: &config.Account{Name: "a"}})
 				must.Eq(t, tt.want, refusal.Ran())
 				must.Less(t, 5*time.Second, time.Since(start))
 			})
--- a/dispatch/join.go
+++ b/dispatch/join.go
@@ -12,7 +12,7 @@
 )
 
 // startGiven claims a request's id before it runs.
-func (d *Dispatcher) startGiven(ctx context.Context, r *Request, record *decision.Record) (*answer.Exchange, *Refusal) {
+func (d *Dispatcher) startGiven(ctx context.Context, r *Request, record *decision.Record) (*answer.Response, *Refusal) {
 	ctx, cancel := context.WithTimeout(ctx, claimTime)
 	defer cancel()
 	for attempt := 0; attempt < maxAttempts; attempt++ {
@@ -21,21 +21,21 @@
 			return x, refusal
 		}
 		r.reached = true
-		record.Note("take-over", "holder of attempt %d is gone", attempt)
+		record.AddStep("take-over", "holder of attempt %d is gone", attempt)
 	}
 	return nil, refuse(ReasonOutcomeUnknown, RanUnknown, 0, "the request was taken over %d times", maxAttempts)
 }
 
 // claimAttempt claims one attempt of an id, or joins the one who has it. Next
 // says that its holder is gone and that the work may be taken over.
-func (d *Dispatcher) claimAttempt(ctx context.Context, r *Request, attempt int, record *decision.Record) (x *answer.Exchange, next bool, _ *Refusal) {
+func (d *Dispatcher) claimAttempt(ctx context.Context, r *Request, attempt int, record *decision.Record) (x *answer.Response, next bool, _ *Refusal) {
 	override := false
 	for round := range joinRounds {
 		d.rest(ctx, time.Duration(round)*joinPause)
 		exchange := d.NewID()
 		e := d.entry(r, attempt, exchange)
 		runCtx, cancel := context.WithCancel(context.Background())
-		opened := d.Answers.Open(exchange, cancel)
+		opened := d.Responses.Open(exchange, cancel)
 		claimIt := d.Claims.Claim
 		if override {
 			claimIt = d.Claims.Override
@@ -48,7 +48,7 @@
 		if err != nil {
 			return nil, false, claimRefusal(err)
 		}
-		record.Note("claim", "id is claimed by %s", outcome.Other.Holder.ID)
+		record.AddStep("claim", "id is claimed by %s", outcome.Other.Holder.ID)
 		j := d.join(ctx, r, outcome)
 		switch {
 		case j.abandoned:
@@ -87,7 +87,7 @@
 // refuseGiven makes a refusal that was found before the claim true of the id:
 // the caller may have come with it before, and it may have run then.
 func (d *Dispatcher) refuseGiven(ctx context.Context, r *Request, refusal *Refusal) *Refusal {
-	if !r.Given {
+	if !r.IDFromClient {
 		return refusal
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTime)
@@ -110,14 +110,14 @@
 
 // won starts the run of a claim that was won, unless the key may have been
 // used before.
-func (d *Dispatcher) won(ctx context.Context, r *Request, x *answer.Exchange, outcome claim.Outcome, e claim.Entry, record *decision.Record) (*answer.Exchange, bool, *Refusal) {
+func (d *Dispatcher) won(ctx context.Context, r *Request, x *answer.Response, outcome claim.Outcome, e claim.Entry, record *decision.Record) (*answer.Response, bool, *Refusal) {
 	e.Token = outcome.Token
 	r.reached = r.reached || outcome.Reached
 	refusal := d.checkAge(r)
 	if refusal == nil {
 		refusal = d.checkLost(r, outcome.LostBefore)
 	}
-	if refusal == nil && r.Given && !r.takenOver {
+	if refusal == nil && r.IDFromClient && !r.takenOver {
 		refusal = d.limit(r, record)
 	}
 	if refusal != nil {
@@ -126,16 +126,16 @@
 		return nil, false, refusal.after(r.reached)
 	}
 	if !r.Repeatable() {
-		x.Pin()
+		x.DisableCancel()
 	}
-	record.Note("claim", "won as %s", e.Key.ID)
+	record.AddStep("claim", "won as %s", e.Key.ID)
 	d.run(ctx, r, x, record, &e)
 	return x, false, nil
 }
 
 // giveUp ends an attempt that never runs. Whoever has joined it learns so.
-func (d *Dispatcher) giveUp(x *answer.Exchange, refusal *Refusal) {
-	d.Answers.Forget(x.Attempt())
+func (d *Dispatcher) giveUp(x *answer.Response, refusal *Refusal) {
+	d.Responses.Remove(x.Attempt())
 	x.Fail(refusal.Failure())
 	x.Close()
 }
@@ -161,7 +161,7 @@
 
 // joined is what became of joining a claim's holder.
 type joined struct {
-	exchange *answer.Exchange
+	exchange *answer.Response
 	refusal  *Refusal
 	// next allows a take-over as the next attempt, override one that tries
 	// to win in place of a claim that may not have been won.
@@ -192,7 +192,7 @@
 		return joined{next: true}
 	case err == nil:
 		return joined{refusal: refuse(ReasonAnswerExpired, RanYes, 0, "the request has run; its answer is not kept any more")}
-	case !d.Holders.Gone(other.Holder.ID):
+	case !d.Holders.Faulty(other.Holder.ID):
 		return joined{refusal: holderUnreachable(other.Holder.ID)}
 	case other.Repeatable:
 		return joined{next: true}
--- a/dispatch/plain.go
+++ b/dispatch/plain.go
@@ -17,7 +17,7 @@
 )
 
 // runPlain calls a plain service.
-func (d *Dispatcher) runPlain(ctx context.Context, r *Request, x *answer.Exchange, record *decision.Record, e *claim.Entry) *Refusal {
+func (d *Dispatcher) runPlain(ctx context.Context, r *Request, x *answer.Response, record *decision.Record, e *claim.Entry) *Refusal {
 	pool := r.Plain.Service.Pool
 	release, refusal := d.admit(ctx, r, pool, record)
 	if refusal != nil {
@@ -25,7 +25,7 @@
 	}
 	defer release()
 	s := d.Config()
-	if !d.Current() {
+	if !d.ReceivesUpdates() {
 		return refuse(ReasonCutOff, RanNo, comeBackSoon, "this node is cut off; ask another")
 	}
 	if !r.Repeatable() && !d.markRunning(x, r, e) {
@@ -45,8 +45,8 @@
 			return refuse(ReasonNoServer, RanNo, comeBackSoon, "%v", err)
 		}
 		tried[attempt.Server().Name] = true
-		record.Choose(r.Plain.Service.Name, "", attempt.Server().Name)
-		record.Note("server", "%s", attempt.Server().Name)
+		record.SetServer(r.Plain.Service.Name, "", attempt.Server().Name)
+		record.AddStep("server", "%s", attempt.Server().Name)
 		refusal := d.callOnce(ctx, r, x, attempt)
 		if refusal == nil {
 			return nil
@@ -57,18 +57,18 @@
 		}
 		last = refusal
 		d.Counters.Retried(refusal.reason.String())
-		record.Note("retry", "%s", refusal.Error())
+		record.AddStep("retry", "%s", refusal.Error())
 	}
 }
 
 // markRunning makes known, here and at most of the replicas, that a call that
 // may not be repeated is about to run.
-func (d *Dispatcher) markRunning(x *answer.Exchange, r *Request, e *claim.Entry) bool {
-	d.Answers.Remember(x.Attempt(), r.Plain.Call.ClaimLife())
+func (d *Dispatcher) markRunning(x *answer.Response, r *Request, e *claim.Entry) bool {
+	d.Responses.MarkRan(x.Attempt(), r.Plain.Call.ClaimLife())
 	return d.advance(e, claim.StateRunning, nil)
 }
 
-func (d *Dispatcher) callOnce(ctx context.Context, r *Request, x *answer.Exchange, attempt *route.Attempt) *Refusal {
+func (d *Dispatcher) callOnce(ctx context.Context, r *Request, x *answer.Response, attempt *route.Attempt) *Refusal {
 	start := d.Timers.Now()
 	got, err := d.Services.Call(ctx, attempt.Server(), ServiceCall{
 		RequestID:   r.ID,
@@ -84,7 +84,7 @@
 	if err != nil {
 		return backendRefusal(ctx, err, r.Repeatable())
 	}
-	x.Begin(answer.Head{Status: got.Status, ContentType: got.ContentType, Model: r.Plain.Service.Name})
+	x.SetHead(answer.Head{Status: got.Status, ContentType: got.ContentType, Model: r.Plain.Service.Name})
 	x.Append(got.Body)
 	d.Counters.Answered(r.Plain.Service.Name, "", took, took)
 	return nil
@@ -132,14 +132,14 @@
 func (d *Dispatcher) admit(ctx context.Context, r *Request, pool string, record *decision.Record) (release func(), _ *Refusal) {
 	start := d.Timers.Now()
 	ticket := admit.Ticket{Account: r.Account.Name, Priority: r.Account.Priority, Deadline: r.Deadline}
-	if r.Patient {
+	if r.Async {
 		ticket.Priority = config.PriorityPatient
 	}
 	release, err := d.Queues.Queue(pool).Acquire(ctx, ticket)
 	waited := d.Timers.Now().Sub(start)
 	switch {
 	case err == nil:
-		record.Note("admission", "to pool %s after %s", pool, waited.Round(time.Millisecond))
+		record.AddStep("admission", "to pool %s after %s", pool, waited.Round(time.Millisecond))
 		return release, nil
 	case errors.Is(ctx.Err(), context.Canceled):
 		return nil, refuse(ReasonCancelled, RanNo, 0, "the request was cancelled while it waited")
--- a/dispatch/refusal.go
+++ b/dispatch/refusal.go
@@ -87,9 +87,9 @@
 	return &Refusal{reason: reason, ran: ran, retryAfter: retryAfter, message: fmt.Sprintf(format, args...)}
 }
 
-// Refuse returns a refusal that an adapter found before the request's path
+// NewRefusal returns a refusal that an adapter found before the request's path
 // began, so it has not run.
-func Refuse(reason Reason, retryAfter time.Duration, format string, args ...any) *Refusal {
+func NewRefusal(reason Reason, retryAfter time.Duration, format string, args ...any) *Refusal {
 	return refuse(reason, RanNo, retryAfter, format, args...)
 }
 
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -21,7 +21,7 @@
 
 // run takes a request to its end beside its callers. The claim is nil for a
 // request whose id nobody can come back with before its answer.
-func (d *Dispatcher) run(ctx context.Context, r *Request, x *answer.Exchange, record *decision.Record, e *claim.Entry) {
+func (d *Dispatcher) run(ctx context.Context, r *Request, x *answer.Response, record *decision.Record, e *claim.Entry) {
 	d.runs.Go(func() {
 		defer x.Close()
 		if !r.Deadline.IsZero() {
@@ -35,13 +35,13 @@
 }
 
 // execute runs a request; patient work is tried again until its deadline.
-func (d *Dispatcher) execute(ctx context.Context, r *Request, x *answer.Exchange, record *decision.Record, e *claim.Entry) *Refusal {
+func (d *Dispatcher) execute(ctx context.Context, r *Request, x *answer.Response, record *decision.Record, e *claim.Entry) *Refusal {
 	for {
 		refusal := d.executeOnce(ctx, r, x, record, e).after(r.reached)
-		if refusal == nil || !r.Patient || !passes(refusal.reason) || (refusal.ran != RanNo && !r.Repeatable()) {
+		if refusal == nil || !r.Async || !passes(refusal.reason) || (refusal.ran != RanNo && !r.Repeatable()) {
 			return refusal
 		}
-		record.Note("wait", "patient work waits: %s", refusal.Error())
+		record.AddStep("wait", "patient work waits: %s", refusal.Error())
 		select {
 		case <-ctx.Done():
 			return refusal
@@ -50,7 +50,7 @@
 	}
 }
 
-func (d *Dispatcher) executeOnce(ctx context.Context, r *Request, x *answer.Exchange, record *decision.Record, e *claim.Entry) *Refusal {
+func (d *Dispatcher) executeOnce(ctx context.Context, r *Request, x *answer.Response, record *decision.Record, e *claim.Entry) *Refusal {
 	if r.Plain != nil {
 		return d.runPlain(ctx, r, x, record, e)
 	}
@@ -68,18 +68,18 @@
 }
 
 // conclude ends the exchange and tells the replicas.
-func (d *Dispatcher) conclude(r *Request, x *answer.Exchange, record *decision.Record, e *claim.Entry, refusal *Refusal) {
+func (d *Dispatcher) conclude(r *Request, x *answer.Response, record *decision.Record, e *claim.Entry, refusal *Refusal) {
 	if refusal == nil {
 		x.Finish()
 		record.End("answered")
 		d.keep(r, x, e)
 		return
 	}
-	record.Note("refused", "%s", refusal.Error())
+	record.AddStep("refused", "%s", refusal.Error())
 	record.End("refused: " + refusal.reason.String())
 	d.Counters.Refused(refusal.reason, r.Account.Name)
 	if refusal.ran == RanNo {
-		d.Answers.Forget(x.Attempt())
+		d.Responses.Remove(x.Attempt())
 	}
 	if e != nil {
 		d.endClaim(r, e)
@@ -102,12 +102,12 @@
 
 // keep tells the replicas that the work is done, with the answer if others
 // may have to hand it out.
-func (d *Dispatcher) keep(r *Request, x *answer.Exchange, e *claim.Entry) {
+func (d *Dispatcher) keep(r *Request, x *answer.Response, e *claim.Entry) {
 	if e == nil {
 		return
 	}
 	var kept []byte
-	if data := encodeAnswer(x.From(0)); len(data) <= keptAnswer && (r.Patient || !r.Repeatable()) {
+	if data := encodeAnswer(x.StateFrom(0)); len(data) <= keptAnswer && (r.Async || !r.Repeatable()) {
 		kept = data
 	}
 	d.advance(e, claim.StateDone, kept)
@@ -132,8 +132,8 @@
 		return
 	}
 	record := d.Records.Start(r.ID, r.Account.Name)
-	record.Note("take-over", "holder %s is gone", e.Holder.ID)
+	record.AddStep("take-over", "holder %s is gone", e.Holder.ID)
 	if _, refusal := d.startGiven(ctx, r, record); refusal != nil {
-		record.Note("refused", "%s", refusal.Error())
+		record.AddStep("refused", "%s", refusal.Error())
 	}
 }
--- a/dispatch/target.go
+++ b/dispatch/target.go
@@ -41,8 +41,8 @@
 	return target{}, false
 }
 
-// Models lists what an account may use: cascades, models and versions.
-func Models(s *config.Snapshot, account *config.Account) []string {
+// AllowedModels lists what an account may use: cascades, models and versions.
+func AllowedModels(s *config.Snapshot, account *config.Account) []string {
 	var names []string
 	for _, c := range s.Cascades() {
 		if slices.Contains(account.Models, c.Name) {
@@ -90,7 +90,7 @@
 		if err != nil {
 			return "", refuse(ReasonNoVersion, RanNo, comeBackLater, "%v", err)
 		}
-		record.Note("version", "%s@%s by roll-out stage", model, version)
+		record.AddStep("version", "%s@%s by roll-out stage", model, version)
 		return version, nil
 	}
 	version, err := d.Pins.Version(ctx, session.Request{
@@ -105,7 +105,7 @@
 	if err != nil {
 		return "", pinRefusal(err)
 	}
-	record.Note("version", "%s@%s by session pin", model, version)
+	record.AddStep("version", "%s@%s by session pin", model, version)
 	return version, nil
 }
 
@@ -156,7 +156,7 @@
 	case v.State == config.VersionRetired:
 		return "", refuse(ReasonVersionWithdrawn, RanNo, 0, "%s@%s takes no new sessions", m.Name, version)
 	}
-	record.Note("version", "%s@%s as asked", m.Name, version)
+	record.AddStep("version", "%s@%s as asked", m.Name, version)
 	return version, nil
 }
 
@@ -173,7 +173,7 @@
 	v := s.Version(model, version)
 	account := s.Account(r.Account.Name)
 	switch {
-	case !d.Current():
+	case !d.ReceivesUpdates():
 		return nil, refuse(ReasonCutOff, RanNo, comeBackSoon, "this node is cut off and may have missed a withdrawal; ask another")
 	case account == nil || !s.Allows(account, t.cascadeName(), model, version):
 		return nil, refuse(ReasonModelNotFound, RanNo, 0, "%s@%s is not one that account %q may use", model, version, r.Account.Name)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -273,15 +273,15 @@
 	// Last, since who sees that this gateway is not ready counts on the rest: an
 	// answer that went out in between would keep its connection.
 	g.leaving.Store(true)
-	slog.Info("gateway is leaving", "grace_ms", grace.Milliseconds(), "under_way", len(g.records.Open()))
+	slog.Info("gateway is leaving", "grace_ms", grace.Milliseconds(), "under_way", len(g.records.Unfinished()))
 	// The call to the store may take a second; the door closes on time all the
 	// same, since what comes after that can't be ended.
 	go g.nodes.leave()
 	g.waitUntil(doorCloses)
-	slog.Info("door closes", "after_ms", g.timers.Now().Sub(signal).Milliseconds(), "under_way", len(g.records.Open()))
+	slog.Info("door closes", "after_ms", g.timers.Now().Sub(signal).Milliseconds(), "under_way", len(g.records.Unfinished()))
 	g.shutdown(end)
 	g.nodes.remove()
-	for _, record := range g.records.Open() {
+	for _, record := range g.records.Unfinished() {
 		record.End("left under way")
 	}
 	slog.Info("gateway has left", "after_ms", g.timers.Now().Sub(signal).Milliseconds())
@@ -302,7 +302,7 @@
 	if g.callers.Shutdown(ctx) == nil {
 		return
 	}
-	slog.Warn("requests were still under way", "count", len(g.records.Open()))
+	slog.Warn("requests were still under way", "count", len(g.records.Unfinished()))
 	g.relay.End()
 	flush, endFlush := context.WithTimeout(context.Background(), flushTime)
 	defer endFlush()
--- a/node/peers.go
+++ b/node/peers.go
@@ -101,7 +101,7 @@
 
 func (p peerNode) KeepCheckpoint(a ledger.Account) { p.n.bills.Keep(a) }
 
-func (p peerNode) FindAnswer(attempt string) (*answer.Exchange, bool) {
+func (p peerNode) FindAnswer(attempt string) (*answer.Response, bool) {
 	return p.n.answers.Find(attempt)
 }
 
@@ -112,7 +112,7 @@
 // holders reaches the nodes that hold claims.
 type holders struct{ n *Node }
 
-func (h holders) Attach(ctx context.Context, holder claim.Holder, attempt string) (*answer.Exchange, bool, bool, error) {
+func (h holders) Attach(ctx context.Context, holder claim.Holder, attempt string) (*answer.Response, bool, bool, error) {
 	return h.n.client.Attach(ctx, holder, attempt)
 }
 
@@ -120,9 +120,9 @@
 	return h.n.client.Cancel(ctx, holder, attempt)
 }
 
-func (h holders) Answers(id string) bool { return h.n.prober.Answers(id) }
+func (h holders) Responsive(id string) bool { return h.n.prober.Answers(id) }
 
-func (h holders) Gone(id string) bool {
+func (h holders) Faulty(id string) bool {
 	status, _ := h.n.prober.Status(id)
 	return status == member.StatusFaulty
 }
@@ -245,7 +245,7 @@
 	n.timers.Every(ctx, orphanInterval, func() {
 		now := n.timers.Now()
 		maps.DeleteFunc(adopted, func(_ string, until time.Time) bool { return now.After(until) })
-		for _, e := range n.replica.Orphans(func(id string) bool { return !(holders{n}).Gone(id) }) {
+		for _, e := range n.replica.Orphans(func(id string) bool { return !(holders{n}).Faulty(id) }) {
 			if _, seen := adopted[e.Token]; !seen && n.firstReplica(e.Key) {
 				adopted[e.Token] = e.Expires
 				n.dispatch.TakeOver(ctx, e)
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -48,10 +48,10 @@
 	switch {
 	case first <= x.step:
 	case !x.pays(first, noConfidence):
-		x.record.Note("model", "%s, though nothing may follow: %s would be late", x.model(), x.route.Models[first])
+		x.record.AddStep("model", "%s, though nothing may follow: %s would be late", x.model(), x.route.Models[first])
 	default:
 		x.step = first
-		x.record.Note("model", "%s at once, since nothing may follow", x.model())
+		x.record.AddStep("model", "%s at once, since nothing may follow", x.model())
 	}
 }
 
@@ -72,7 +72,7 @@
 	}
 	length, known := x.length()
 	pays := x.relay.Ladder.Pays(offer) && x.relay.endsInTime(x.deadline, forecast.Total()+length, known)
-	x.record.Note("offer", "%s for confidence %.0f: %d ms, of it %d waiting, %d left: %t", x.model(), confidence,
+	x.record.AddStep("offer", "%s for confidence %.0f: %d ms, of it %d waiting, %d left: %t", x.model(), confidence,
 		forecast.Total().Milliseconds(), forecast.Wait.Milliseconds(), offer.Left.Milliseconds(), pays)
 	return pays
 }
@@ -94,7 +94,7 @@
 		return nil, "", refuse(ReasonNoServer, comeBackSoon, "service %s, %d known, %d tried: %v", x.service, x.known, len(x.tried), err)
 	}
 	x.tried[use.Server().Incarnation()] = true
-	x.record.Choose(x.model(), version, use.Server().ID)
+	x.record.SetServer(x.model(), version, use.Server().ID)
 	return use, version, nil
 }
 
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -79,7 +79,7 @@
 			return nil
 		}
 		if !f.escalates {
-			x.record.Note("failed", "%s at %s: %s", f.reason, use.Server().ID, f.cause)
+			x.record.AddStep("failed", "%s at %s: %s", f.reason, use.Server().ID, f.cause)
 		}
 		if refusal := x.next(ctx, f); refusal != nil {
 			return x.give(refusal)
@@ -100,7 +100,7 @@
 	x.whole = x.after == ""
 	age := x.relay.News.Age()
 	x.relay.Counters.Sent(age)
-	x.record.Note("send", "to %s in %s, model %s, %d of %d tokens held, after event %q, %d ms left, by revision %d, %d ms old",
+	x.record.AddStep("send", "to %s in %s, model %s, %d of %d tokens held, after event %q, %d ms left, by revision %d, %d ms old",
 		server.ID, server.DataHall, x.model(), use.Held(), x.request.Prompt.Tokens, x.after, time.Until(x.deadline).Milliseconds(),
 		x.relay.News.Revision(), age.Milliseconds())
 	sent := time.Now()
@@ -138,7 +138,7 @@
 // finish ends the record of a request.
 func (x *exchange) finish(outcome string) {
 	if x.first > 0 {
-		x.record.Note("first byte", "after %d ms", x.first.Milliseconds())
+		x.record.AddStep("first byte", "after %d ms", x.first.Milliseconds())
 	}
 	x.record.End(outcome)
 }
--- a/relay/failure.go
+++ b/relay/failure.go
@@ -102,7 +102,7 @@
 		}
 		return refusal
 	}
-	x.record.Note("broken off", "%s", refusal.Error())
+	x.record.AddStep("broken off", "%s", refusal.Error())
 	x.finish("broken off: " + refusal.reason.String())
 	x.relay.Counters.Refused(refusal.reason, x.account)
 	x.reply.BreakOff()
--- a/relay/forecast.go
+++ b/relay/forecast.go
@@ -29,7 +29,7 @@
 	forecast := x.relay.Balancer.Forecast(x.task(servers))
 	length, known := x.length()
 	fits := ends(x.deadline, forecast.Total()+length, known)
-	x.record.Note("fits", "%d ms to the answer's head and %d ms from there (seen: %t): %t",
+	x.record.AddStep("fits", "%d ms to the answer's head and %d ms from there (seen: %t): %t",
 		forecast.Total().Milliseconds(), length.Milliseconds(), known, fits)
 	return fits
 }
--- a/relay/judge.go
+++ b/relay/judge.go
@@ -58,7 +58,7 @@
 		return &failure{reason: ReasonDeclined, retryAfter: answer.RetryAfter(), cause: http.StatusText(answer.Status())}
 	}
 	x.goesOn(use, sent, answer)
-	x.record.Note("head", "after %d ms, expected %d, of it %d waiting; confidence %s of %s",
+	x.record.AddStep("head", "after %d ms, expected %d, of it %d waiting; confidence %s of %s",
 		time.Since(sent).Milliseconds(), use.Expected().Milliseconds(), use.Waits().Milliseconds(), confidence(answer), x.model())
 	x.head = time.Now()
 	use.Begin()
@@ -154,13 +154,13 @@
 	}()
 	switch {
 	case !x.pays(next, confidence):
-		x.record.Note("keep", "confidence %.0f of %s, but %s does not pay", confidence, x.model(), x.route.Models[next])
+		x.record.AddStep("keep", "confidence %.0f of %s, but %s does not pay", confidence, x.model(), x.route.Models[next])
 		return 0, false
 	case !x.relay.Budgets.Take(x.service, spareForRetries):
-		x.record.Note("keep", "confidence %.0f of %s, but the budget for repeats is used up", confidence, x.model())
+		x.record.AddStep("keep", "confidence %.0f of %s, but the budget for repeats is used up", confidence, x.model())
 		return 0, false
 	}
-	x.record.Note("escalate", "confidence %.0f of %s", confidence, x.model())
+	x.record.AddStep("escalate", "confidence %.0f of %s", confidence, x.model())
 	x.relay.Counters.Escalated(x.route.Models[next])
 	return next, true
 }
--- a/relay/pass.go
+++ b/relay/pass.go
@@ -117,7 +117,7 @@
 	use.End(route.OutcomeNeutral)
 	x.left(use)
 	x.learnLength(x.relay.lengths.learnCut)
-	x.record.Note("client left", "after event %q", x.after)
+	x.record.AddStep("client left", "after event %q", x.after)
 	return nil
 }
 
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -294,7 +294,7 @@
 	}
 	if refusal != nil {
 		r.Counters.Refused(refusal.reason, record.Account())
-		record.Note("refused", "%s", refusal.Error())
+		record.AddStep("refused", "%s", refusal.Error())
 		record.End("refused: " + refusal.reason.String())
 		reply.Refuse(refusal)
 	}
@@ -319,7 +319,7 @@
 		account = holder.Name
 	}
 	record.SetAccount(account)
-	record.Note("route", "%s of version %d, at most %d tokens to make", target.Name, c.Version(), q.Prompt.MaxOutput)
+	record.AddStep("route", "%s of version %d, at most %d tokens to make", target.Name, c.Version(), q.Prompt.MaxOutput)
 	held := target.Timeout
 	if q.TimeLeft > 0 {
 		held = min(held, q.TimeLeft)
--- a/relay/stop.go
+++ b/relay/stop.go
@@ -64,7 +64,7 @@
 		return
 	}
 	sinceSignal, untilEnd := x.request.Arrived.Sub(stop.signal), stop.end.Sub(x.request.Arrived)
-	x.record.Note("leaving", "came %d ms after the signal, %d ms before the end", sinceSignal.Milliseconds(), untilEnd.Milliseconds())
+	x.record.AddStep("leaving", "came %d ms after the signal, %d ms before the end", sinceSignal.Milliseconds(), untilEnd.Milliseconds())
 }
 
 // refuseLeaving tells a client of a request that this process can't answer before
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -36,7 +36,7 @@
 		return false
 	}
 	x.tested = true
-	x.record.Note("test", "content %016x is refused and sent to one server", x.content())
+	x.record.AddStep("test", "content %016x is refused and sent to one server", x.content())
 	return true
 }
 
@@ -47,7 +47,7 @@
 		return
 	}
 	x.relay.Suspects.Lost(x.content(), use.Server().Incarnation().Hash())
-	x.record.Note("lost", "at %s; content %016x, lost at %d servers", use.Server().ID, x.content(), x.relay.Suspects.Ends(x.content()))
+	x.record.AddStep("lost", "at %s; content %016x, lost at %d servers", use.Server().ID, x.content(), x.relay.Suspects.Ends(x.content()))
 }
 
 // afterLoss lies between a lost attempt and the next one. Servers that end together show
