--- a/answer/answer.go
+++ b/answer/answer.go
@@ -1,18 +1,22 @@
-// Package answer holds the answers of the requests that a node runs or has
-// lately run, so that a caller who comes back, on any node, is joined to the
-// running answer or handed the finished one.
+// Package answer keeps the responses of the requests that a node runs or ran lately. A client
+// that retries or reconnects, at any node, gets the running or the finished response.
 //
-// An [Response] is one request's answer as it grows: the run appends parts,
-// and any number of readers follow from the start. The [Store] keeps the
-// exchanges by their attempt, bounded in bytes and time.
+// A [Response] is the response to one request while it is produced: the run appends parts, and
+// any number of readers follow it from the start. The [Store] keeps the responses by attempt,
+// limited in total bytes and in age.
 //
 // # Usage
 //
-//	x := store.Open(attempt)
-//	go run(x) // x.Append(part) …, x.Finish()
-//	for i := 0; ; {
-//		parts, done, changed := x.From(i)
-//		…
+//	x := store.Open(attempt, cancel)
+//	go run(x) // x.SetHead(head), x.Append(part) …, x.Finish()
+//	for sent := 0; ; {
+//		state := x.StateFrom(sent)
+//		… // send state.Parts
+//		sent += len(state.Parts)
+//		if state.Done {
+//			return
+//		}
+//		<-state.Changed
 //	}
 package answer
 
@@ -24,19 +28,18 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// Head is what comes before the parts of an answer.
+// Head holds the metadata that precedes the parts of a response.
 type Head struct {
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint"`
 	Model       string `cbor:"3,keyasint"`
 	Version     string `cbor:"4,keyasint"`
-	// Streamed answers have one part per server-sent event; others have one
-	// part in all.
+	// Streamed responses have one part per server-sent event; others have a single part.
 	Streamed bool `cbor:"5,keyasint"`
 }
 
-// Failure is why an answer ended without being whole. It is the wire form of
-// a refusal (package dispatch).
+// Failure tells why a response ended before it was complete. It is the wire form of
+// dispatch.Refusal.
 type Failure struct {
 	Reason      string `cbor:"1,keyasint"`
 	Message     string `cbor:"2,keyasint"`
@@ -45,48 +48,48 @@
 	RetryMillis int64  `cbor:"5,keyasint"`
 }
 
-// Error makes a Failure an error.
+// Error returns the reason and the message.
 func (f *Failure) Error() string { return f.Reason + ": " + f.Message }
 
-// Response is one request's answer. It is safe for concurrent use.
+// Response is the response to one request. It is safe for concurrent use.
 type Response struct {
 	attempt string
 	cancel  context.CancelFunc
 
-	mu       sync.Mutex
-	head     Head
-	headed   bool
-	parts    [][]byte
-	bytes    int64
-	done     bool
-	failure  *Failure
-	changed  chan struct{}
-	readers  int
-	pinned   bool
-	finished time.Time
+	mu             sync.Mutex
+	head           Head
+	hasHead        bool
+	parts          [][]byte
+	bytes          int64
+	done           bool
+	failure        *Failure
+	changed        chan struct{}
+	readers        int
+	cancelDisabled bool
+	finished       time.Time
 }
 
-// NewResponse returns an exchange that no store keeps. Cancel stops its run.
+// NewResponse returns a response that no store keeps. The function cancel stops its run.
 func NewResponse(attempt string, cancel context.CancelFunc) *Response {
 	return &Response{attempt: attempt, cancel: cancel, changed: make(chan struct{})}
 }
 
-// Attempt returns the attempt's identity.
+// Attempt returns the ID of the attempt.
 func (x *Response) Attempt() string { return x.attempt }
 
-// DisableCancel keeps callers from cancelling the run, for work that may not be repeated
-// and must not be cut.
+// DisableCancel makes Cancel return false and leave the run alone. It is meant for calls that
+// may not be repeated and so must not be interrupted.
 func (x *Response) DisableCancel() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.pinned = true
+	x.cancelDisabled = true
 }
 
-// Cancel stops the run for its callers. It returns false if the run is pinned
-// or has ended.
+// Cancel stops the run on behalf of its clients. It returns false if cancelling is disabled or
+// the response has ended.
 func (x *Response) Cancel() bool {
 	x.mu.Lock()
-	stops := !x.pinned && !x.done
+	stops := !x.cancelDisabled && !x.done
 	x.mu.Unlock()
 	if stops {
 		x.cancel()
@@ -94,20 +97,20 @@
 	return stops
 }
 
-// Close gives back what the run holds, once it has ended.
+// Close releases the context of the run, once the run has ended.
 func (x *Response) Close() { x.cancel() }
 
-// SetHead sets what comes before the parts. Later calls change nothing.
+// SetHead sets the head. Only the first call has an effect.
 func (x *Response) SetHead(h Head) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if !x.headed {
-		x.head, x.headed = h, true
-		x.wake()
+	if !x.hasHead {
+		x.head, x.hasHead = h, true
+		x.notifyReaders()
 	}
 }
 
-// Append adds a part.
+// Append adds a part. Parts that come after the end are dropped.
 func (x *Response) Append(part []byte) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -116,13 +119,13 @@
 	}
 	x.parts = append(x.parts, part)
 	x.bytes += int64(len(part))
-	x.wake()
+	x.notifyReaders()
 }
 
-// Finish ends the answer as whole.
+// Finish marks the response as complete.
 func (x *Response) Finish() { x.end(nil) }
 
-// Fail ends the answer with a failure.
+// Fail ends the response with a failure.
 func (x *Response) Fail(f *Failure) { x.end(f) }
 
 func (x *Response) end(f *Failure) {
@@ -132,32 +135,32 @@
 		return
 	}
 	x.done, x.failure, x.finished = true, f, time.Now()
-	x.wake()
+	x.notifyReaders()
 }
 
-func (x *Response) wake() {
+func (x *Response) notifyReaders() {
 	close(x.changed)
 	x.changed = make(chan struct{})
 }
 
-// State is a moment of an exchange.
+// State is a snapshot of a response.
 type State struct {
 	Head    Head
 	HasHead bool
 	Parts   [][]byte
 	Done    bool
 	Failure *Failure
-	// Changed is closed when there is more.
+	// Changed is closed at the next change.
 	Changed <-chan struct{}
 }
 
-// StateFrom returns the present state with the parts from the nth on.
+// StateFrom returns the current state; Parts begins with the part of index n.
 func (x *Response) StateFrom(n int) State {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return State{
 		Head:    x.head,
-		HasHead: x.headed,
+		HasHead: x.hasHead,
 		Parts:   x.parts[min(n, len(x.parts)):],
 		Done:    x.done,
 		Failure: x.failure,
@@ -165,7 +168,7 @@
 	}
 }
 
-// Wait returns once the answer has ended.
+// Wait returns once the response has ended, or with the context's error.
 func (x *Response) Wait(ctx context.Context) (State, error) {
 	for {
 		s := x.StateFrom(0)
@@ -180,9 +183,9 @@
 	}
 }
 
-// AddReader counts a reader in; the function it returns counts it out and tells
-// whether it was the last.
-func (x *Response) AddReader() (detach func() (last bool)) {
+// AddReader counts one more reader. The returned function counts it off again and reports
+// whether it was the last one.
+func (x *Response) AddReader() (remove func() (last bool)) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.readers++
@@ -197,78 +200,80 @@
 func (x *Response) size() (bytes int64, finished time.Time, done bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return x.bytes + exchangeOverhead, x.finished, x.done
+	return x.bytes + responseOverhead, x.finished, x.done
 }
 
-// exchangeOverhead estimates the memory of an exchange beside its parts.
-const exchangeOverhead = 1 << 10
+// responseOverhead estimates the memory of a response besides its parts, in bytes.
+const responseOverhead = 1 << 10
 
-// Store keeps a node's exchanges by attempt. It is safe for concurrent use.
+// Store keeps a node's responses by attempt. It is safe for concurrent use.
 type Store struct {
 	timers   *timer.Service
-	life     time.Duration
+	ttl      time.Duration
 	maxBytes int64
 
 	mu        sync.Mutex
-	exchanges map[string]*Response
+	responses map[string]*Response
 	// order lists the attempts in the order of their start.
 	order []string
-	// ran remembers attempts that must not run again, until the time given.
+	// ran holds the attempts that must not run again, each with the time until which it is
+	// kept.
 	ran map[string]time.Time
 }
 
-// NewStore returns an empty store that keeps finished answers for life, and
-// fewer if they exceed maxBytes.
-func NewStore(timers *timer.Service, life time.Duration, maxBytes int64) *Store {
+// NewStore returns an empty store. It keeps a finished response for the given TTL, or for less,
+// oldest first, while all responses together exceed maxBytes.
+func NewStore(timers *timer.Service, ttl time.Duration, maxBytes int64) *Store {
 	return &Store{
 		timers:    timers,
-		life:      life,
+		ttl:       ttl,
 		maxBytes:  maxBytes,
-		exchanges: make(map[string]*Response),
+		responses: make(map[string]*Response),
 		ran:       make(map[string]time.Time),
 	}
 }
 
-// Open makes the exchange of a new attempt.
+// Open adds the response of a new attempt. The function cancel stops its run.
 func (s *Store) Open(attempt string, cancel context.CancelFunc) *Response {
 	x := NewResponse(attempt, cancel)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.exchanges[attempt] = x
+	s.responses[attempt] = x
 	s.order = append(s.order, attempt)
 	return x
 }
 
-// Remove removes an attempt that did not run.
+// Remove deletes an attempt that did not run.
 func (s *Store) Remove(attempt string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.exchanges, attempt)
+	delete(s.responses, attempt)
 	delete(s.ran, attempt)
 }
 
-// MarkRan keeps the knowledge that an attempt has run beyond its answer.
-func (s *Store) MarkRan(attempt string, life time.Duration) {
+// MarkRan records for the given time that an attempt has run. The record may outlast the
+// response.
+func (s *Store) MarkRan(attempt string, ttl time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ran[attempt] = s.timers.Now().Add(life)
+	s.ran[attempt] = s.timers.Now().Add(ttl)
 }
 
-// Find returns the exchange of an attempt, or nil. Ran reports whether an
-// attempt without exchange is known to have run.
+// Find returns the response of an attempt, or nil. The result ran reports whether the attempt
+// is marked as having run.
 func (s *Store) Find(attempt string) (x *Response, ran bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, ran = s.ran[attempt]
-	return s.exchanges[attempt], ran
+	return s.responses[attempt], ran
 }
 
-// Running returns how many answers have not ended.
+// Running returns the number of responses that have not ended.
 func (s *Store) Running() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	running := 0
-	for _, x := range s.exchanges {
+	for _, x := range s.responses {
 		if _, _, done := x.size(); !done {
 			running++
 		}
@@ -278,7 +283,7 @@
 
 const sweepInterval = time.Second
 
-// Run drops what is too old or too much until the context ends.
+// Run deletes expired and excess responses until the context ends.
 func (s *Store) Run(ctx context.Context) {
 	s.timers.Every(ctx, sweepInterval, s.sweep)
 }
@@ -293,19 +298,19 @@
 		}
 	}
 	total := int64(0)
-	for _, x := range s.exchanges {
+	for _, x := range s.responses {
 		bytes, _, _ := x.size()
 		total += bytes
 	}
 	kept := s.order[:0]
 	for _, attempt := range s.order {
-		x := s.exchanges[attempt]
+		x := s.responses[attempt]
 		if x == nil {
 			continue
 		}
 		bytes, finished, done := x.size()
-		if done && (now.Sub(finished) > s.life || total > s.maxBytes) {
-			delete(s.exchanges, attempt)
+		if done && (now.Sub(finished) > s.ttl || total > s.maxBytes) {
+			delete(s.responses, attempt)
 			total -= bytes
 			continue
 		}
