--- a/decision/decision.go
+++ b/decision/decision.go
@@ -1,20 +1,20 @@
-// Package decision keeps the record of how each request was decided, so that
-// every decision can be asked about afterwards.
+// Package decision keeps a record of how each request was handled, so that operators can look
+// up every decision later.
 //
-// A record is a few lines, one for each step of the request's path. The node
-// that decided keeps its latest records in memory, bounded by number; each is
-// also written as one JSON log line, which outlives the VM.
+// A record has one line for each step of the request. A node keeps its latest records in
+// memory, limited by number. When a record ends, it is also written as one JSON log line, which
+// outlives the VM.
 //
 // # Usage
 //
 //	r := log.Start(id, account)
-//	r.Note("pin", "session keeps %s", version)
+//	r.AddStep("pin", "session keeps %s", version)
 //	…
 //	r.End("answered")
 //
-// A process that ends tells what it leaves behind:
+// A process that exits ends the records of the requests that are still running:
 //
-//	for _, r := range log.Open() {
+//	for _, r := range log.Unfinished() {
 //		r.End("left under way")
 //	}
 package decision
@@ -26,14 +26,14 @@
 	"time"
 )
 
-// Step is one line of a record. AtMillis counts from the record's start.
+// Step is one line of a record. AtMillis is the time since the record's start, in milliseconds.
 type Step struct {
 	AtMillis float64 `json:"at_ms" cbor:"1,keyasint"`
 	Name     string  `json:"step" cbor:"2,keyasint"`
 	Detail   string  `json:"detail" cbor:"3,keyasint"`
 }
 
-// Summary is a record as it is shown. The fields are exported for the codecs.
+// Summary is a snapshot of a record. Its fields are exported for the JSON and CBOR codecs.
 type Summary struct {
 	RequestID string    `json:"request_id" cbor:"1,keyasint"`
 	Account   string    `json:"account" cbor:"2,keyasint"`
@@ -53,7 +53,7 @@
 	ended   bool
 }
 
-// AddStep adds a step.
+// AddStep adds a step; the detail is formatted as by [fmt.Sprintf].
 func (r *Record) AddStep(step, format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,28 +64,28 @@
 	})
 }
 
-// SetAccount names the account where it is only known after the start.
+// SetAccount sets the account's name if it becomes known only after the start.
 func (r *Record) SetAccount(account string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.summary.Account = account
 }
 
-// Account returns the account's name; "" if none is known.
+// Account returns the account's name, or "" if it is not known.
 func (r *Record) Account() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.summary.Account
 }
 
-// SetServer notes which version and backend server do the work.
+// SetServer records the model, version and backend server that handle the request.
 func (r *Record) SetServer(model, version, server string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.summary.Model, r.summary.Version, r.summary.Server = model, version, server
 }
 
-// End closes the record and writes its log line.
+// End sets the outcome and writes the log line.
 func (r *Record) End(outcome string) {
 	r.mu.Lock()
 	r.summary.Outcome = outcome
@@ -104,7 +104,7 @@
 	return !r.ended
 }
 
-// Summary returns the record as it is now.
+// Summary returns the current state of the record.
 func (r *Record) Summary() Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -113,11 +113,10 @@
 	return s
 }
 
-// keptRecords is how many records a node keeps; at about a kilobyte each
-// they take eight megabytes.
-const keptRecords = 8192
+// maxRecords is the number of records that a node keeps. At about 1 kB each they take 8 MB.
+const maxRecords = 8192
 
-// Log is a node's latest records. It is safe for concurrent use.
+// Log holds a node's latest records. It is safe for concurrent use.
 type Log struct {
 	node string
 	mu   sync.Mutex
@@ -126,12 +125,12 @@
 	byID map[string]*Record
 }
 
-// New returns an empty log of the named node.
+// New returns an empty log for the named node.
 func New(node string) *Log {
-	return &Log{node: node, ring: make([]*Record, keptRecords), byID: make(map[string]*Record)}
+	return &Log{node: node, ring: make([]*Record, maxRecords), byID: make(map[string]*Record)}
 }
 
-// Start opens a record. It takes the place of the oldest one.
+// Start adds a record, which replaces the oldest one once the log is full.
 func (l *Log) Start(requestID, account string) *Record {
 	r := &Record{summary: Summary{RequestID: requestID, Account: account, Node: l.node, Started: time.Now()}}
 	l.mu.Lock()
@@ -145,7 +144,7 @@
 	return r
 }
 
-// Find returns the record of a request, if it is still kept.
+// Find returns the latest record of a request, if it is still kept.
 func (l *Log) Find(requestID string) (Summary, bool) {
 	l.mu.Lock()
 	r := l.byID[requestID]
@@ -156,7 +155,7 @@
 	return r.Summary(), true
 }
 
-// Unfinished returns the kept records of requests that have not ended.
+// Unfinished returns the kept records that have not ended.
 func (l *Log) Unfinished() []*Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
