--- a/dispatch/backend.go
+++ b/dispatch/backend.go
@@ -10,16 +10,16 @@
 var (
 	namespace = errs.Namespace("dispatch")
 
-	// NotRun is a backend server's own word, or the connection's, that the
-	// request did not run there.
+	// NotRun means that the request did not run on the server: the server said so, or it is
+	// known from the connection.
 	NotRun = namespace.NewType("not_run")
-	// Failed says that the request may have run and that there is no answer.
+	// Failed means that the request may have run and that there is no complete response.
 	Failed = namespace.NewType("failed")
-	// TooLarge says that an answer exceeds its bound.
+	// TooLarge means that a response exceeds its size limit.
 	TooLarge = namespace.NewType("too_large")
 )
 
-// EngineCall is a request as an engine gets it.
+// EngineCall is a request as sent to an engine.
 type EngineCall struct {
 	RequestID string
 	Model     string
@@ -28,27 +28,27 @@
 	Priority  config.Priority
 }
 
-// EngineStream is an engine's answer. An answer that is not streamed has one
-// part.
+// EngineStream is the response of an engine. A response that is not streamed has one part.
 type EngineStream interface {
-	// Status and ContentType are those of the HTTP answer.
+	// Status and ContentType are those of the HTTP response.
 	Status() int
 	ContentType() string
-	// ID names the stream for Resume; "" if it cannot be resumed.
+	// ID returns the stream's ID for Resume, or "" if the stream cannot be resumed.
 	ID() string
-	// Next returns the next part, io.EOF after the last, or Failed.
+	// Next returns the next part. It returns io.EOF after the last one, and otherwise Failed or
+	// TooLarge.
 	Next() ([]byte, error)
 	Close()
 }
 
-// Engines reaches the model engines. Errors are NotRun or Failed.
+// Engines calls the model engines. Errors are NotRun or Failed.
 type Engines interface {
 	Complete(ctx context.Context, server config.Server, call EngineCall) (EngineStream, error)
-	// Resume follows a stream again after the given number of parts.
+	// Resume continues a stream after the given number of parts.
 	Resume(ctx context.Context, server config.Server, streamID string, after int, call EngineCall) (EngineStream, error)
 }
 
-// ServiceCall is a call as a plain service gets it.
+// ServiceCall is a call as sent to a plain service.
 type ServiceCall struct {
 	RequestID   string
 	Method      string
@@ -58,14 +58,14 @@
 	Body        []byte
 }
 
-// ServiceResponse is a plain service's answer.
+// ServiceResponse is the response of a plain service.
 type ServiceResponse struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Services reaches the plain services. Errors are NotRun or Failed.
+// Services calls the plain services. Errors are NotRun, Failed or TooLarge.
 type Services interface {
 	Call(ctx context.Context, server config.Server, call ServiceCall) (ServiceResponse, error)
 }
--- a/dispatch/chat.go
+++ b/dispatch/chat.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// maxTries bounds the servers that one model's answer is tried on.
+	// maxTries bounds the servers that are tried for the response of one model.
 	maxTries = 3
 	// maxResumes bounds how often one stream is resumed at its server.
 	maxResumes = 2
-	// rateTimeout bounds the rating that an answer waits for.
-	rateTimeout = 2 * time.Second
-	// noRating stands for an answer that was not rated.
+	// ratingTimeout bounds how long a response waits for its rating.
+	ratingTimeout = 2 * time.Second
+	// noRating is the rating of a response that was not rated.
 	noRating = -1
 )
 
-// result is one model's answer to a request.
-type result struct {
+// modelResponse is the response of one model to a request.
+type modelResponse struct {
 	model      string
 	version    *config.Version
 	head       answer.Head
@@ -38,15 +38,15 @@
 	usage      usage
 	firstToken time.Duration
 	total      time.Duration
-	// sent counts the parts that have gone to the caller already.
+	// sent is the number of parts that have gone to the client.
 	sent int
-	// cost of this answer, in millionths.
+	// cost is in millionths of the currency unit.
 	cost int64
 }
 
-func (r *result) text() string { return textOf(r.parts, r.head.Streamed) }
+func (r *modelResponse) text() string { return textOf(r.parts, r.head.Streamed) }
 
-// runChat answers a request to a model or a cascade.
+// runChat runs a request to a model or a cascade.
 func (d *Dispatcher) runChat(ctx context.Context, r *Request, x *answer.Response, record *decision.Record) *Refusal {
 	t, ok := resolve(d.Config(), r.Account, r.Chat.Model)
 	if !ok {
@@ -55,22 +55,22 @@
 	if t.cascade != nil {
 		return d.runCascade(ctx, r, x, t, record)
 	}
-	got, refusal := d.runModel(ctx, r, x, t, t.models[0], record)
+	resp, refusal := d.runModel(ctx, r, x, t, t.models[0], record)
 	if refusal != nil {
 		return refusal
 	}
-	d.observe(r, got, noRating)
-	return d.release(r, x, got, got.cost, record)
+	d.countForRollout(r, resp, noRating)
+	return d.deliver(r, x, resp, resp.cost, record)
 }
 
-// runCascade tries the planned models until an answer may be released.
+// runCascade tries the planned models in order until a response may be released.
 func (d *Dispatcher) runCascade(ctx context.Context, r *Request, x *answer.Response, t target, record *decision.Record) *Refusal {
 	plan := d.Planner.Plan(t.cascade, r.Chat.Class, d.timeLeft(r))
 	record.AddStep("cascade", "plan %s", strings.Join(plan, ", "))
 	spent := int64(0)
 	for i, model := range plan {
 		last := i == len(plan)-1
-		got, refusal := d.runModel(ctx, r, nil, t, model, record)
+		resp, refusal := d.runModel(ctx, r, nil, t, model, record)
 		if refusal != nil {
 			if last || refusal.reason == ReasonCancelled || refusal.reason == ReasonDeadline {
 				return refusal
@@ -78,22 +78,22 @@
 			record.AddStep("cascade", "%s gave no answer: %s", model, refusal.Error())
 			continue
 		}
-		spent += got.cost
-		rating := d.rate(ctx, r, got, record)
+		spent += resp.cost
+		rating := d.rate(ctx, r, resp, record)
 		if rating >= 0 {
-			d.Planner.Learn(t.cascade, r.Chat.Class, model, rating, got.total)
+			d.Planner.Learn(t.cascade, r.Chat.Class, model, rating, resp.total)
 		}
-		d.observe(r, got, rating)
-		if !last && !d.releases(t.cascade, r.Chat.Class, model, rating) {
+		d.countForRollout(r, resp, rating)
+		if !last && !d.mayRelease(t.cascade, r.Chat.Class, model, rating) {
 			record.AddStep("cascade", "%s is held back: rating %.2f, bound %.2f", model, rating, d.Planner.Threshold(t.cascade))
 			continue
 		}
 		if rating >= 0 {
 			d.Planner.Released(t.cascade, rating)
 		}
-		return d.release(r, x, got, spent, record)
+		return d.deliver(r, x, resp, spent, record)
 	}
-	return refuse(ReasonServerFailed, RanYes, comeBackSoon, "no model of the cascade gave an answer")
+	return refuse(ReasonServerFailed, RanYes, retryAfterShort, "no model of the cascade gave an answer")
 }
 
 func (d *Dispatcher) timeLeft(r *Request) time.Duration {
@@ -103,45 +103,45 @@
 	return r.Deadline.Sub(d.Timers.Now())
 }
 
-func (d *Dispatcher) releases(c *config.Cascade, class, model string, rating float64) bool {
+func (d *Dispatcher) mayRelease(c *config.Cascade, class, model string, rating float64) bool {
 	if rating < 0 {
 		return d.Planner.ReleasesUnrated(c, class, model)
 	}
 	return d.Planner.Releases(c, rating)
 }
 
-// rate returns an answer's rating, or noRating if none is to be had in time.
-func (d *Dispatcher) rate(ctx context.Context, r *Request, got *result, record *decision.Record) float64 {
-	ctx, cancel := context.WithTimeout(ctx, rateTimeout)
+// rate returns a response's rating, or noRating if the rater fails or takes too long.
+func (d *Dispatcher) rate(ctx context.Context, r *Request, resp *modelResponse, record *decision.Record) float64 {
+	ctx, cancel := context.WithTimeout(ctx, ratingTimeout)
 	defer cancel()
-	rating, err := d.Rater.Rate(ctx, got.model, got.version.Name, r.Chat.Prompt, got.text())
+	rating, err := d.Rater.Rate(ctx, resp.model, resp.version.Name, r.Chat.Prompt, resp.text())
 	if err != nil {
 		record.AddStep("rating", "none: %v", err)
 		return noRating
 	}
-	record.AddStep("rating", "%s@%s got %.2f", got.model, got.version.Name, rating)
+	record.AddStep("rating", "%s@%s got %.2f", resp.model, resp.version.Name, rating)
 	return rating
 }
 
-// observe counts an answer for its model's roll-out. Answers that no cascade
-// has rated are rated beside the request.
-func (d *Dispatcher) observe(r *Request, got *result, rating float64) {
-	m := d.Config().Model(got.model)
+// countForRollout counts a response for its model's rollout. A response that no cascade has
+// rated is rated in the background.
+func (d *Dispatcher) countForRollout(r *Request, resp *modelResponse, rating float64) {
+	m := d.Config().Model(resp.model)
 	if m == nil || m.Rollout == nil {
 		return
 	}
 	count := func(rating float64) {
-		d.Picker.Count(got.model, got.version.Name, rollout.IsBad(m.Rollout.Guards, false, rating, got.firstToken))
+		d.Picker.Count(resp.model, resp.version.Name, rollout.IsBad(m.Rollout.Guards, false, rating, resp.firstToken))
 	}
 	if rating >= 0 {
 		count(rating)
 		return
 	}
-	text := got.text()
+	text := resp.text()
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), rateTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), ratingTimeout)
 		defer cancel()
-		rating, err := d.Rater.Rate(ctx, got.model, got.version.Name, r.Chat.Prompt, text)
+		rating, err := d.Rater.Rate(ctx, resp.model, resp.version.Name, r.Chat.Prompt, text)
 		if err != nil {
 			rating = noRating
 		}
@@ -149,28 +149,28 @@
 	}()
 }
 
-// release bills an answer and gives it to the caller. The bill comes before
-// the last part, so that no whole answer goes out unbilled.
-func (d *Dispatcher) release(r *Request, x *answer.Response, got *result, cost int64, record *decision.Record) *Refusal {
-	if got.head.Status < 300 {
-		d.bill(r, got, cost, record)
-	}
-	x.SetHead(got.head)
-	for _, part := range got.parts[got.sent:] {
+// deliver bills a response and passes it to the client. The bill comes before the last part, so
+// that no complete response goes out without a bill.
+func (d *Dispatcher) deliver(r *Request, x *answer.Response, resp *modelResponse, cost int64, record *decision.Record) *Refusal {
+	if resp.head.Status < 300 {
+		d.bill(r, resp, cost, record)
+	}
+	x.SetHead(resp.head)
+	for _, part := range resp.parts[resp.sent:] {
 		x.Append(part)
 	}
-	d.Counters.Answered(got.model, got.version.Name, got.firstToken, got.total)
+	d.Counters.Answered(resp.model, resp.version.Name, resp.firstToken, resp.total)
 	return nil
 }
 
-// runModel gets one model's answer. With an exchange, the parts of a stream go
-// out as they come, up to the one that ends the answer; without, none does.
-func (d *Dispatcher) runModel(ctx context.Context, r *Request, x *answer.Response, t target, model string, record *decision.Record) (*result, *Refusal) {
-	version, refusal := d.versionOf(ctx, r, t, model, record)
+// runModel gets the response of one model. If x is set, the parts of a stream are passed on as
+// they arrive, up to the one that ends the response; if x is nil, none is.
+func (d *Dispatcher) runModel(ctx context.Context, r *Request, x *answer.Response, t target, model string, record *decision.Record) (*modelResponse, *Refusal) {
+	version, refusal := d.chooseVersion(ctx, r, t, model, record)
 	if refusal != nil {
 		return nil, refusal
 	}
-	v, refusal := d.stillAllowed(r, t, model, version)
+	v, refusal := d.recheckAllowed(r, t, model, version)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -181,12 +181,12 @@
 	defer release()
 	run := &modelRun{
 		d: d, r: r, x: x, t: t, record: record, model: model, version: version,
-		tried: make(map[string]bool), got: &result{model: model}, start: d.Timers.Now(),
+		tried: make(map[string]bool), resp: &modelResponse{model: model}, start: d.Timers.Now(),
 	}
-	return run.tries(ctx)
+	return run.runWithRetries(ctx)
 }
 
-// modelRun is one model's answer under way, over one or more servers.
+// modelRun is the state of getting one model's response from one or more servers.
 type modelRun struct {
 	d       *Dispatcher
 	r       *Request
@@ -196,30 +196,31 @@
 	model   string
 	version string
 	tried   map[string]bool
-	got     *result
+	resp    *modelResponse
 	start   time.Time
-	// matched counts the parts that a later try has repeated so far.
-	matched int
+	// partsRead is the number of parts read in the current try, including those that repeat an
+	// earlier try.
+	partsRead int
 }
 
-// tries runs the request on one server after another, as far as that is safe
-// and the pool's budget allows.
-func (m *modelRun) tries(ctx context.Context) (*result, *Refusal) {
+// runWithRetries runs the request on one server after another, as long as the failure allows a
+// retry and the pool's retry budget is not used up.
+func (m *modelRun) runWithRetries(ctx context.Context) (*modelResponse, *Refusal) {
 	var last *Refusal
 	for try := 1; ; try++ {
-		v, refusal := m.d.stillAllowed(m.r, m.t, m.model, m.version)
+		v, refusal := m.d.recheckAllowed(m.r, m.t, m.model, m.version)
 		if refusal != nil {
 			return nil, refusal
 		}
-		m.got.version = v
-		refusal = m.once(ctx, v)
+		m.resp.version = v
+		refusal = m.runOnce(ctx, v)
 		if refusal == nil {
-			m.got.total = m.d.Timers.Now().Sub(m.start)
-			m.got.cost = m.got.usage.cost(v)
-			return m.got, nil
+			m.resp.total = m.d.Timers.Now().Sub(m.start)
+			m.resp.cost = m.resp.usage.cost(v)
+			return m.resp, nil
 		}
 		if refusal.reason == ReasonCancelled {
-			m.billPart(refusal)
+			m.billPartial(refusal)
 		}
 		if refusal.reason == ReasonNoServer && last != nil {
 			return nil, last
@@ -228,7 +229,7 @@
 			return nil, refusal
 		}
 		last = refusal
-		m.count(true)
+		m.countResult(true)
 		if try == maxTries || ctx.Err() != nil || !m.d.Budgets.Take(v.Pool) {
 			return nil, refusal
 		}
@@ -237,24 +238,24 @@
 	}
 }
 
-// count counts a failed answer for the model's roll-out.
-func (m *modelRun) count(failed bool) {
+// countResult counts a failed try for the model's rollout, if there is one.
+func (m *modelRun) countResult(failed bool) {
 	if declared := m.d.Config().Model(m.model); declared != nil && declared.Rollout != nil && failed {
 		m.d.Picker.Count(m.model, m.version, true)
 	}
 }
 
-// billPart bills what a cancelled request was given.
-func (m *modelRun) billPart(refusal *Refusal) {
-	if m.got.sent > 0 {
-		m.got.usage.complete(m.r.Chat.Prompt, len(m.got.parts))
-		m.d.bill(m.r, m.got, m.got.usage.cost(m.got.version), m.record)
+// billPartial bills the parts that a cancelled request has passed on.
+func (m *modelRun) billPartial(refusal *Refusal) {
+	if m.resp.sent > 0 {
+		m.resp.usage.estimateMissing(m.r.Chat.Prompt, len(m.resp.parts))
+		m.d.bill(m.r, m.resp, m.resp.usage.cost(m.resp.version), m.record)
 		refusal.ran = RanYes
 	}
 }
 
-// once runs the request on one server.
-func (m *modelRun) once(ctx context.Context, v *config.Version) *Refusal {
+// runOnce runs the request on one server.
+func (m *modelRun) runOnce(ctx context.Context, v *config.Version) *Refusal {
 	d := m.d
 	s := d.Config()
 	if p := s.Pool(v.Pool); p != nil {
@@ -268,47 +269,47 @@
 		Exclude:     m.tried,
 	})
 	if err != nil {
-		return refuse(ReasonNoServer, RanNo, comeBackSoon, "%v", err)
+		return refuse(ReasonNoServer, RanNo, retryAfterShort, "%v", err)
 	}
 	server := attempt.Server()
 	m.tried[server.Name] = true
 	m.record.SetServer(m.model, m.version, server.Name)
 	m.record.AddStep("server", "%s of pool %s", server.Name, v.Pool)
-	begun := d.Timers.Now()
-	err = m.follow(ctx, server, EngineCall{
+	start := d.Timers.Now()
+	err = m.readResponse(ctx, server, EngineCall{
 		RequestID: m.r.ID,
 		Model:     v.EngineName(m.model),
 		Body:      m.r.Body,
 		Stream:    m.r.Chat.Stream,
 		Priority:  m.r.Account.Priority,
 	})
-	attempt.End(outcomeOf(ctx, err), d.Timers.Now().Sub(begun))
-	m.r.reached = m.r.reached || !errorx.IsOfType(err, NotRun)
+	attempt.End(outcomeOf(ctx, err), d.Timers.Now().Sub(start))
+	m.r.mayHaveRun = m.r.mayHaveRun || !errorx.IsOfType(err, NotRun)
 	if err != nil {
 		return backendRefusal(ctx, err, true)
 	}
 	return nil
 }
 
-// follow reads an engine's answer to its end, resuming its stream where the
-// connection breaks.
-func (m *modelRun) follow(ctx context.Context, server config.Server, call EngineCall) error {
-	m.matched = 0
+// readResponse reads an engine's response to its end. It resumes the stream if the connection
+// breaks.
+func (m *modelRun) readResponse(ctx context.Context, server config.Server, call EngineCall) error {
+	m.partsRead = 0
 	stream, err := m.d.Engines.Complete(ctx, server, call)
 	if err != nil {
 		return err
 	}
-	m.begin(stream)
+	m.setHead(stream)
 	for resumes := 0; ; resumes++ {
-		err := m.read(stream)
+		err := m.readParts(stream)
 		id := stream.ID()
 		stream.Close()
 		if err == nil || !call.Stream || id == "" || resumes == maxResumes || ctx.Err() != nil {
 			return err
 		}
-		m.record.AddStep("resume", "stream %s after %d parts", id, m.matched)
+		m.record.AddStep("resume", "stream %s after %d parts", id, m.partsRead)
 		m.d.Counters.Retried("resume")
-		resumed, resumeErr := m.d.Engines.Resume(ctx, server, id, m.matched, call)
+		resumed, resumeErr := m.d.Engines.Resume(ctx, server, id, m.partsRead, call)
 		if resumeErr != nil {
 			return err
 		}
@@ -316,88 +317,90 @@
 	}
 }
 
-func (m *modelRun) begin(stream EngineStream) {
-	m.got.head = answer.Head{
+func (m *modelRun) setHead(stream EngineStream) {
+	m.resp.head = answer.Head{
 		Status:      stream.Status(),
 		ContentType: stream.ContentType(),
 		Model:       m.model,
 		Version:     m.version,
 		Streamed:    m.r.Chat.Stream && stream.Status() < 300,
 	}
-	if m.x != nil && m.got.head.Streamed {
-		m.x.SetHead(m.got.head)
+	if m.x != nil && m.resp.head.Streamed {
+		m.x.SetHead(m.resp.head)
 	}
 }
 
-// read takes in the parts of one connection.
-func (m *modelRun) read(stream EngineStream) error {
+// readParts reads the parts that come on one connection.
+func (m *modelRun) readParts(stream EngineStream) error {
 	for {
 		part, err := stream.Next()
 		if errors.Is(err, io.EOF) {
-			m.got.usage.complete(m.r.Chat.Prompt, len(m.got.parts))
+			m.resp.usage.estimateMissing(m.r.Chat.Prompt, len(m.resp.parts))
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		if err := m.take(part); err != nil {
+		if err := m.addPart(part); err != nil {
 			return err
 		}
 	}
 }
 
-// take adds one part. A later try on another server has to repeat what was
-// given out already; if it does not, the answer cannot be made whole.
-func (m *modelRun) take(part []byte) error {
-	if m.matched < len(m.got.parts) {
-		before := inspect(m.got.parts[m.matched], m.got.head.Streamed)
-		if before.text != inspect(part, m.got.head.Streamed).text {
+// addPart adds one part. A try on another server has to repeat the text of the parts read so
+// far, since they may have gone to the client. If it does not, the response cannot be
+// completed.
+func (m *modelRun) addPart(part []byte) error {
+	if m.partsRead < len(m.resp.parts) {
+		before := parsePart(m.resp.parts[m.partsRead], m.resp.head.Streamed)
+		if before.text != parsePart(part, m.resp.head.Streamed).text {
 			return errs.New(Failed, "take", "another server's answer differs from what was given out already")
 		}
-		m.matched++
+		m.partsRead++
 		return nil
 	}
-	if len(m.got.parts) == 0 {
-		m.got.firstToken = m.d.Timers.Now().Sub(m.start)
+	if len(m.resp.parts) == 0 {
+		m.resp.firstToken = m.d.Timers.Now().Sub(m.start)
 	}
 	last := false
-	if !isRunning(part) {
-		info := inspect(part, m.got.head.Streamed)
+	if !isMidChunk(part) {
+		info := parsePart(part, m.resp.head.Streamed)
 		last = info.last
 		if info.usage.known() {
-			m.got.usage = info.usage
+			m.resp.usage = info.usage
 		}
 	}
-	m.got.parts = append(m.got.parts, part)
-	m.matched++
-	if m.x != nil && m.got.head.Streamed && !last && m.got.sent == len(m.got.parts)-1 {
+	m.resp.parts = append(m.resp.parts, part)
+	m.partsRead++
+	if m.x != nil && m.resp.head.Streamed && !last && m.resp.sent == len(m.resp.parts)-1 {
 		m.x.Append(part)
-		m.got.sent++
+		m.resp.sent++
 	}
 	return nil
 }
 
-// mintedBillLife is how long a bill is remembered whose request nobody can come
-// back with. Any bill is kept until it is folded.
-const mintedBillLife = time.Second
+// generatedIDBillTTL is how long the bill of a request with a generated ID is remembered. It is
+// short, since no client can send such a request again. Every bill is kept until it is folded
+// (package ledger).
+const generatedIDBillTTL = time.Second
 
-// bill claims the request's bill and enters it in the journal. Of all who
-// finish a request, on whatever nodes, only one wins the claim.
-func (d *Dispatcher) bill(r *Request, got *result, cost int64, record *decision.Record) {
+// bill claims the request's bill and enters it in the journal. If several nodes finish the same
+// request, only one of them wins the claim.
+func (d *Dispatcher) bill(r *Request, resp *modelResponse, cost int64, record *decision.Record) {
 	b := ledger.Bill{
 		Account:          r.Account.Name,
-		Model:            got.model,
-		Version:          got.version.Name,
+		Model:            resp.model,
+		Version:          resp.version.Name,
 		RequestID:        r.ID,
-		PromptTokens:     got.usage.Prompt,
-		CompletionTokens: got.usage.Completion,
+		PromptTokens:     resp.usage.Prompt,
+		CompletionTokens: resp.usage.Completion,
 		Cost:             cost,
 	}
-	life := 2 * d.ResponseTTL
+	ttl := 2 * d.ResponseTTL
 	if !r.IDFromClient {
-		life = mintedBillLife
+		ttl = generatedIDBillTTL
 	}
-	if d.Bills.Bill(b, life) {
+	if d.Bills.Bill(b, ttl) {
 		record.AddStep("bill", "%d prompt and %d completion tokens, cost %d", b.PromptTokens, b.CompletionTokens, b.Cost)
 		return
 	}
--- a/dispatch/codec.go
+++ b/dispatch/codec.go
@@ -10,8 +10,8 @@
 	"github.com/violettally/violettally/config"
 )
 
-// savedRequest is patient work as it rides with its claim.
-type savedRequest struct {
+// storedRequest is an asynchronous request as it is stored with its claim.
+type storedRequest struct {
 	ID       string    `cbor:"1,keyasint"`
 	Deadline time.Time `cbor:"2,keyasint"`
 	Body     []byte    `cbor:"3,keyasint"`
@@ -22,41 +22,41 @@
 }
 
 func encodeRequest(r *Request) []byte {
-	saved := savedRequest{ID: r.ID, Deadline: r.Deadline, Body: r.Body, Digest: r.Digest, Chat: r.Chat}
+	stored := storedRequest{ID: r.ID, Deadline: r.Deadline, Body: r.Body, Digest: r.Digest, Chat: r.Chat}
 	if r.Plain != nil {
 		plain := *r.Plain
-		saved.Service = plain.Service.Name
+		stored.Service = plain.Service.Name
 		plain.Service, plain.Call = nil, nil
-		saved.Plain = &plain
+		stored.Plain = &plain
 	}
-	data, err := cbor.Marshal(saved)
+	data, err := cbor.Marshal(stored)
 	if err != nil {
 		return nil
 	}
 	return data
 }
 
-// decodeRequest reads patient work that is taken over. It returns nil if the
-// configuration no longer has what the work needs.
+// decodeRequest decodes an asynchronous request that is taken over. It returns nil if the data
+// cannot be decoded or the configuration no longer has the account or the call.
 func decodeRequest(data []byte, account *config.Account, s *config.Snapshot) *Request {
-	var saved savedRequest
-	if account == nil || cbor.Unmarshal(data, &saved) != nil {
+	var stored storedRequest
+	if account == nil || cbor.Unmarshal(data, &stored) != nil {
 		return nil
 	}
 	r := &Request{
-		ID:           saved.ID,
+		ID:           stored.ID,
 		IDFromClient: true,
 		Account:      account,
 		Async:        true,
-		Deadline:     saved.Deadline,
-		Body:         saved.Body,
-		Digest:       saved.Digest,
-		Chat:         saved.Chat,
-		Plain:        saved.Plain,
+		Deadline:     stored.Deadline,
+		Body:         stored.Body,
+		Digest:       stored.Digest,
+		Chat:         stored.Chat,
+		Plain:        stored.Plain,
 		takenOver:    true,
 	}
 	if r.Plain != nil {
-		r.Plain.Service = s.Service(saved.Service)
+		r.Plain.Service = s.Service(stored.Service)
 		if r.Plain.Service == nil {
 			return nil
 		}
@@ -68,42 +68,42 @@
 	return r
 }
 
-// savedAnswer is an answer as it is kept at the replicas of its claim.
-type savedAnswer struct {
+// storedResponse is a response as it is stored at the replicas of its claim.
+type storedResponse struct {
 	Head  answer.Head `cbor:"1,keyasint"`
 	Parts [][]byte    `cbor:"2,keyasint"`
 }
 
-func encodeAnswer(s answer.State) []byte {
-	data, err := cbor.Marshal(savedAnswer{Head: s.Head, Parts: s.Parts})
+func encodeResponse(s answer.State) []byte {
+	data, err := cbor.Marshal(storedResponse{Head: s.Head, Parts: s.Parts})
 	if err != nil {
 		return nil
 	}
 	return data
 }
 
-func decodeAnswer(data []byte) *answer.Response {
+func decodeResponse(data []byte) *answer.Response {
 	x := answer.NewResponse("", func() {})
-	var saved savedAnswer
-	if err := cbor.Unmarshal(data, &saved); err != nil {
+	var stored storedResponse
+	if err := cbor.Unmarshal(data, &stored); err != nil {
 		x.Fail(refuse(ReasonAnswerExpired, RanYes, 0, "the kept answer cannot be read: %v", err).Failure())
 		return x
 	}
-	x.SetHead(saved.Head)
-	for _, part := range saved.Parts {
+	x.SetHead(stored.Head)
+	for _, part := range stored.Parts {
 		x.Append(part)
 	}
 	x.Finish()
 	return x
 }
 
-// uuidWithTime is the version of UUIDs that start with their time (RFC 9562).
-const uuidWithTime = 7
+// uuidV7 is the version of UUIDs that begin with a timestamp (RFC 9562).
+const uuidV7 = 7
 
-// idTime returns the time that an id carries; the zero time if it has none.
+// idTime returns the timestamp in an ID, or the zero time if the ID has none.
 func idTime(id string) time.Time {
 	parsed, err := uuid.Parse(id)
-	if err != nil || parsed.Version() != uuidWithTime {
+	if err != nil || parsed.Version() != uuidV7 {
 		return time.Time{}
 	}
 	return time.Unix(parsed.Time().UnixTime())
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,11 +1,11 @@
-// Package dispatch is the path of a request: account, limits, claim, session
-// pin or roll-out stage, cascade plan, admission, server choice, run, rating,
-// bill, answer. Every step leaves a line in the request's decision record.
+// Package dispatch handles requests to models and to plain services from the first check to the
+// bill: client account, limits, claim, session pin or rollout stage, cascade plan, admission,
+// server choice, run, rating, bill, response. Each step adds a line to the request's decision
+// record.
 //
-// The package decides nothing by itself that another package is for; it
-// brings their decisions in order and sees to it that what a caller is told
-// is true: whether a refused request ran, and that an id is never run twice
-// where that is not allowed.
+// The decisions of these steps are made by other packages. This package calls them in order and
+// guarantees two things: a refusal never says that a request did not run unless that is known,
+// and an ID never runs twice if the call may not be repeated.
 //
 // # Usage
 //
@@ -35,46 +35,48 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// Request is one caller's request. The exported fields that are not derived
-// from the account ride with the claim of patient work.
+// Request is one client request. An asynchronous request is stored with its claim, without the
+// fields that follow from the account.
 type Request struct {
-	// ID names the request within its account. Given ids were chosen by the
-	// caller, who may come back with them.
+	// ID is unique within the client account. IDFromClient reports that the client chose it, so
+	// that the client may send it again.
 	ID           string
 	IDFromClient bool
 	Account      *config.Account
-	// Async work is answered with 202 and fetched later.
+	// Async requests are answered with status 202; the client fetches the response later.
 	Async    bool
 	Deadline time.Time
 	Body     []byte
-	// Digest of everything that makes the request what it is.
+	// Digest is a hash of everything that makes two requests the same.
 	Digest uint64
 
-	// Chat is set for a request to a model, Plain for one to a service.
+	// Chat is set for a request to a model, Plain for one to a plain service.
 	Chat  *Chat
 	Plain *Plain
 
-	// takenOver marks patient work of a node that is gone; its account has
-	// paid for it.
+	// takenOver marks an asynchronous request taken over from a node that is gone. It was
+	// counted against the account's limit there.
 	takenOver bool
-	// reached is set once a backend server may have run the request. Only the
-	// task that runs the request uses it.
-	reached bool
+	// mayHaveRun is set once a backend server may have run the request. Only the goroutine that
+	// runs the request uses it.
+	mayHaveRun bool
 }
 
-// Chat is a request to a model.
+// Chat is a request to a model. The names of its fields are part of the encoding of stored
+// requests.
 type Chat struct {
 	Model   string
 	Session string
 	Stream  bool
-	// Prefix hashes the start of the prompt, Class groups like requests.
+	// Prefix is a hash of the start of the prompt. Class groups similar requests.
 	Prefix uint64
 	Class  string
-	// Prompt is the text that an answer is rated against.
+	// Prompt is the text of the prompt, which the rater needs to rate a response.
 	Prompt string
 }
 
-// Plain is a call of a plain service.
+// Plain is a call of a plain service. The names of its fields are part of the encoding of
+// stored requests.
 type Plain struct {
 	Service     *config.Service
 	Call        *config.Call
@@ -84,7 +86,7 @@
 	ContentType string
 }
 
-// Claims is the write-once memory.
+// Claims accesses the write-once claims at the replicas; see [claim.Claimer].
 type Claims interface {
 	Claim(ctx context.Context, e claim.Entry) (claim.Outcome, error)
 	Override(ctx context.Context, e claim.Entry) (claim.Outcome, error)
@@ -94,26 +96,26 @@
 	Abandon(key claim.Key, token string)
 }
 
-// Holders reaches the nodes that hold claims.
+// Holders accesses the nodes that hold claims.
 type Holders interface {
-	// Attach follows an attempt's answer at its holder. Found is false if
-	// the holder does not know the attempt; ran then tells whether it knows
-	// that the attempt has run.
+	// Attach follows the response of an attempt at its holder. If the holder does not know the
+	// attempt, found is false, and ran reports whether the holder knows that the attempt has
+	// run.
 	Attach(ctx context.Context, h claim.Holder, attempt string) (x *answer.Response, found, ran bool, err error)
-	// Cancel stops an attempt at its holder.
+	// Cancel stops an attempt at its holder and reports whether it did.
 	Cancel(ctx context.Context, h claim.Holder, attempt string) (bool, error)
-	// Responsive reports whether a node is neither suspected nor gone.
+	// Responsive reports whether a node is neither suspected nor confirmed as faulty.
 	Responsive(id string) bool
-	// Faulty reports whether a node is confirmed not to answer.
+	// Faulty reports whether a node is confirmed as faulty.
 	Faulty(id string) bool
 }
 
-// Rater rates answers.
+// Rater rates responses.
 type Rater interface {
-	Rate(ctx context.Context, model, version, prompt, answer string) (float64, error)
+	Rate(ctx context.Context, model, version, prompt, response string) (float64, error)
 }
 
-// Limits holds accounts to their limits.
+// Limits enforces the limits of client accounts.
 type Limits interface {
 	Take(account *config.Account) (wait time.Duration, ok bool)
 }
@@ -125,24 +127,26 @@
 
 // Bills bills requests.
 type Bills interface {
-	// Bill reports whether it has won the bill of a request. If it is not
-	// known, the bill is claimed again beside the request.
-	Bill(b ledger.Bill, life time.Duration) bool
-	// Wait returns when no bill is being claimed any more.
+	// Bill claims the bill of a request, to be remembered for ttl, and reports whether this
+	// claim has won. As long as the result is not known, it tries again in the background.
+	Bill(b ledger.Bill, ttl time.Duration) bool
+	// Wait returns once no bill is being claimed.
 	Wait()
 }
 
-// Counters counts what operators want to see.
+// Counters counts events for the metrics.
 type Counters interface {
 	Refused(reason Reason, account string)
 	Retried(reason string)
 	Answered(model, version string, firstToken, total time.Duration)
 }
 
-// Parts is what a Dispatcher is made of.
+// Parts holds the dependencies of a [Dispatcher].
 type Parts struct {
-	Self            claim.Holder
-	Config          func() *config.Snapshot
+	Self   claim.Holder
+	Config func() *config.Snapshot
+	// ReceivesUpdates reports whether this node can still learn of changes of the
+	// configuration.
 	ReceivesUpdates func() bool
 	Claims          Claims
 	Holders         Holders
@@ -162,11 +166,11 @@
 	Counters        Counters
 	Timers          *timer.Service
 	NewID           func() string
-	// ResponseTTL is how long an answer can be fetched.
+	// ResponseTTL is how long a finished response can be fetched.
 	ResponseTTL time.Duration
 }
 
-// Dispatcher takes requests along their path. It is safe for concurrent use.
+// Dispatcher handles requests. It is safe for concurrent use.
 type Dispatcher struct {
 	Parts
 	runs     sync.WaitGroup
@@ -180,20 +184,21 @@
 }
 
 const (
-	// comeBackSoon is told where a fault passes within seconds.
-	comeBackSoon = time.Second
-	// comeBackLater is told where an operator or a roll-out has to act.
-	comeBackLater = 10 * time.Second
-	// maxAttempts bounds how often one id is taken over.
+	// retryAfterShort is the Retry-After for faults that pass within seconds.
+	retryAfterShort = time.Second
+	// retryAfterLong is the Retry-After where an operator or a rollout has to act.
+	retryAfterLong = 10 * time.Second
+	// maxAttempts bounds the attempts of one ID, the first one included.
 	maxAttempts = 8
-	// joinRounds bounds how often a claim that turned out to be given up is
-	// made anew.
-	joinRounds = 6
-	// joinPause lies before the second of those rounds and grows with each.
-	joinPause = 20 * time.Millisecond
+	// maxClaimRounds bounds the rounds in which one attempt is claimed. Another round follows if
+	// the existing claim is abandoned or may be overridden.
+	maxClaimRounds = 6
+	// claimBackoff is the delay before the second round; each further delay is longer by as
+	// much.
+	claimBackoff = 20 * time.Millisecond
 )
 
-// Start takes a request up, or joins it to the run that its id has already.
+// Start starts a request, or joins it to the run that its ID already has.
 func (d *Dispatcher) Start(ctx context.Context, r *Request) (*answer.Response, *Refusal) {
 	record := d.Records.Start(r.ID, r.Account.Name)
 	x, refusal := d.start(ctx, r, record)
@@ -206,44 +211,44 @@
 }
 
 func (d *Dispatcher) start(ctx context.Context, r *Request, record *decision.Record) (*answer.Response, *Refusal) {
-	if refusal := d.ready(r); refusal != nil {
-		return nil, d.refuseGiven(ctx, r, refusal)
+	if refusal := d.checkReady(r); refusal != nil {
+		return nil, d.refuseBeforeClaim(ctx, r, refusal)
 	}
 	if !r.IDFromClient {
-		if refusal := d.limit(r, record); refusal != nil {
+		if refusal := d.checkRateLimit(r, record); refusal != nil {
 			return nil, refusal
 		}
-		return d.startMinted(ctx, r, record)
+		return d.startGeneratedID(ctx, r, record)
 	}
-	return d.startGiven(ctx, r, record)
+	return d.startWithClaim(ctx, r, record)
 }
 
-// ready checks what needs no other node.
-func (d *Dispatcher) ready(r *Request) *Refusal {
+// checkReady makes the checks that need no other node.
+func (d *Dispatcher) checkReady(r *Request) *Refusal {
 	snapshot := d.Config()
 	switch {
 	case d.Draining():
-		return refuse(ReasonDraining, RanNo, comeBackSoon, "this node is leaving; ask for addresses again")
+		return refuse(ReasonDraining, RanNo, retryAfterShort, "this node is leaving; ask for addresses again")
 	case snapshot.Revision() == 0:
 		return NoConfiguration(RanNo)
 	case !d.ReceivesUpdates():
-		return refuse(ReasonCutOff, RanNo, comeBackSoon, "this node is cut off and may have missed a withdrawal; ask another")
+		return refuse(ReasonCutOff, RanNo, retryAfterShort, "this node is cut off and may have missed a withdrawal; ask another")
 	case r.Chat != nil:
-		return d.allowed(snapshot, r)
+		return d.checkModel(snapshot, r)
 	}
 	return nil
 }
 
-// allowed answers a model that does not exist like one that the account may
-// not use.
-func (d *Dispatcher) allowed(s *config.Snapshot, r *Request) *Refusal {
+// checkModel gives the same refusal for a model that does not exist and for one that the
+// account may not use.
+func (d *Dispatcher) checkModel(s *config.Snapshot, r *Request) *Refusal {
 	if _, ok := resolve(s, r.Account, r.Chat.Model); !ok {
 		return refuse(ReasonModelNotFound, RanNo, 0, "model %q is not one that account %q may use", r.Chat.Model, r.Account.Name)
 	}
 	return nil
 }
 
-func (d *Dispatcher) limit(r *Request, record *decision.Record) *Refusal {
+func (d *Dispatcher) checkRateLimit(r *Request, record *decision.Record) *Refusal {
 	wait, ok := d.Limits.Take(r.Account)
 	if !ok {
 		return refuse(ReasonRateLimited, RanNo, wait, "account %q is at its limit of %g requests a second", r.Account.Name, r.Account.Limits.RequestsPerSecond)
@@ -252,11 +257,12 @@
 	return nil
 }
 
-func (d *Dispatcher) key(r *Request, attempt int) claim.Key {
+func (d *Dispatcher) claimKey(r *Request, attempt int) claim.Key {
 	return claim.Key{Region: r.Account.HomeRegion(), Account: r.Account.Name, Kind: claim.KindRequest, ID: attemptID(r.ID, attempt)}
 }
 
-// attemptID names a take-over of an id. The separator cannot stand in an id.
+// attemptID returns the ID under which an attempt is claimed. The separator cannot occur in an
+// ID.
 func attemptID(id string, attempt int) string {
 	if attempt == 0 {
 		return id
@@ -264,15 +270,15 @@
 	return id + "~" + string(rune('0'+attempt))
 }
 
-func (d *Dispatcher) entry(r *Request, attempt int, exchange string) claim.Entry {
+func (d *Dispatcher) claimEntry(r *Request, attempt int, token string) claim.Entry {
 	e := claim.Entry{
-		Key:        d.key(r, attempt),
-		Token:      exchange,
+		Key:        d.claimKey(r, attempt),
+		Token:      token,
 		Holder:     d.Self,
 		Repeatable: r.Repeatable(),
 		Patient:    r.Async,
 		Body:       r.Digest,
-		Expires:    d.Timers.Now().Add(d.claimLife(r)),
+		Expires:    d.Timers.Now().Add(d.claimTTL(r)),
 	}
 	if r.Async {
 		e.Value = encodeRequest(r)
@@ -283,42 +289,42 @@
 // Repeatable reports whether the request may run more than once.
 func (r *Request) Repeatable() bool { return r.Plain == nil || r.Plain.Call.Repeatable }
 
-// claimLife outlives the deadline and the time for which an answer is kept.
-func (d *Dispatcher) claimLife(r *Request) time.Duration {
-	life := d.ResponseTTL
+// claimTTL covers the time to the deadline and, after it, the time for which a response is kept.
+func (d *Dispatcher) claimTTL(r *Request) time.Duration {
+	ttl := d.ResponseTTL
 	if !r.Deadline.IsZero() {
-		life += r.Deadline.Sub(d.Timers.Now())
+		ttl += r.Deadline.Sub(d.Timers.Now())
 	}
 	if !r.Repeatable() {
-		life = max(life, r.Plain.Call.ClaimLife())
+		ttl = max(ttl, r.Plain.Call.ClaimLife())
 	}
-	return life
+	return ttl
 }
 
-// startMinted runs a request whose id nobody knows yet. Its claim only serves
-// to find the answer later, so the run need not wait for it.
-func (d *Dispatcher) startMinted(ctx context.Context, r *Request, record *decision.Record) (*answer.Response, *Refusal) {
+// startGeneratedID runs a request whose ID was generated here, so that no client knows it yet.
+// The claim only serves to find the response later, so the run does not wait for it.
+func (d *Dispatcher) startGeneratedID(ctx context.Context, r *Request, record *decision.Record) (*answer.Response, *Refusal) {
 	if r.Async || !r.Repeatable() {
-		return d.startGiven(ctx, r, record)
+		return d.startWithClaim(ctx, r, record)
 	}
-	exchange := d.NewID()
+	token := d.NewID()
 	runCtx, stop := context.WithCancel(context.Background())
-	x := d.Responses.Open(exchange, stop)
+	x := d.Responses.Open(token, stop)
 	d.run(runCtx, r, x, record, nil)
-	e := d.entry(r, 0, exchange)
+	e := d.claimEntry(r, 0, token)
 	e.Soft = true
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), claimTime)
+		ctx, cancel := context.WithTimeout(context.Background(), claimTimeout)
 		defer cancel()
 		_, _ = d.Claims.Claim(ctx, e)
 	}()
 	return x, nil
 }
 
-// claimTime bounds the claim of one request with all its rounds.
-const claimTime = 3 * time.Second
+// claimTimeout bounds all rounds of one request's claim together.
+const claimTimeout = 3 * time.Second
 
-// Drain refuses new requests from now on.
+// Drain makes the dispatcher refuse new requests.
 func (d *Dispatcher) Drain() { d.once.Do(func() { close(d.draining) }) }
 
 // Draining reports whether Drain was called.
@@ -331,7 +337,7 @@
 	}
 }
 
-// Wait returns once no request runs and every bill is decided.
+// Wait returns once no request runs and no bill is being claimed.
 func (d *Dispatcher) Wait() {
 	d.runs.Wait()
 	d.Bills.Wait()
--- a/dispatch/find.go
+++ b/dispatch/find.go
@@ -8,9 +8,10 @@
 	"github.com/violettally/violettally/config"
 )
 
-// Find returns the answer of a request, wherever it is, without starting it.
+// Find returns the response of a request, which any node may hold. It does not start the
+// request.
 func (d *Dispatcher) Find(ctx context.Context, account *config.Account, id string) (*answer.Response, *Refusal) {
-	e, refusal := d.latest(ctx, account, id)
+	e, refusal := d.latestAttempt(ctx, account, id)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -19,25 +20,25 @@
 	case err == nil && found:
 		return x, nil
 	case e.State == claim.StateDone && len(e.Answer) > 0:
-		return decodeAnswer(e.Answer), nil
+		return decodeResponse(e.Answer), nil
 	case err == nil:
 		return nil, refuse(ReasonAnswerExpired, RanYes, 0, "the answer is not kept any more")
 	case e.Patient && !d.Holders.Responsive(e.Holder.ID):
-		// Another node is about to take it over.
+		// Another node will take over the request soon.
 		return answer.NewResponse(e.Token, func() {}), nil
 	default:
 		return nil, holderUnreachable(e.Holder.ID)
 	}
 }
 
-// latest returns the claim of the last attempt of an id.
-func (d *Dispatcher) latest(ctx context.Context, account *config.Account, id string) (*claim.Entry, *Refusal) {
+// latestAttempt returns the claim of the last attempt of an ID.
+func (d *Dispatcher) latestAttempt(ctx context.Context, account *config.Account, id string) (*claim.Entry, *Refusal) {
 	var last *claim.Entry
 	r := &Request{ID: id, Account: account}
 	for attempt := 0; attempt < maxAttempts; attempt++ {
-		found, complete := d.Claims.Lookup(ctx, d.key(r, attempt))
+		found, complete := d.Claims.Lookup(ctx, d.claimKey(r, attempt))
 		if found == nil && !complete && last == nil {
-			return nil, refuse(ReasonClaimUnreachable, RanUnknown, comeBackSoon, "too few replicas answer")
+			return nil, refuse(ReasonClaimUnreachable, RanUnknown, retryAfterShort, "too few replicas answer")
 		}
 		if found == nil {
 			break
@@ -50,18 +51,18 @@
 	return last, nil
 }
 
-// Holder returns the node that decided a request.
+// Holder returns the node that holds the claim of a request, and so its decision record.
 func (d *Dispatcher) Holder(ctx context.Context, account *config.Account, id string) (claim.Holder, *Refusal) {
-	e, refusal := d.latest(ctx, account, id)
+	e, refusal := d.latestAttempt(ctx, account, id)
 	if refusal != nil {
 		return claim.Holder{}, refusal
 	}
 	return e.Holder, nil
 }
 
-// Cancel stops a request, wherever it runs.
+// Cancel stops a request at the node that runs it, and reports whether it did.
 func (d *Dispatcher) Cancel(ctx context.Context, account *config.Account, id string) (bool, *Refusal) {
-	e, refusal := d.latest(ctx, account, id)
+	e, refusal := d.latestAttempt(ctx, account, id)
 	if refusal != nil {
 		return false, refusal
 	}
@@ -72,7 +73,7 @@
 	return stopped, nil
 }
 
-// CancelAttempt stops an attempt that this node runs.
+// CancelAttempt stops an attempt that this node runs, and reports whether it did.
 func (d *Dispatcher) CancelAttempt(attempt string) bool {
 	x, _ := d.Responses.Find(attempt)
 	return x != nil && x.Cancel()
--- a/dispatch/join.go
+++ b/dispatch/join.go
@@ -11,40 +11,41 @@
 	"github.com/violettally/violettally/decision"
 )
 
-// startGiven claims a request's id before it runs.
-func (d *Dispatcher) startGiven(ctx context.Context, r *Request, record *decision.Record) (*answer.Response, *Refusal) {
-	ctx, cancel := context.WithTimeout(ctx, claimTime)
+// startWithClaim claims the request's ID before the request runs.
+func (d *Dispatcher) startWithClaim(ctx context.Context, r *Request, record *decision.Record) (*answer.Response, *Refusal) {
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	for attempt := 0; attempt < maxAttempts; attempt++ {
-		x, next, refusal := d.claimAttempt(ctx, r, attempt, record)
-		if !next {
+		x, takeOver, refusal := d.claimAttempt(ctx, r, attempt, record)
+		if !takeOver {
 			return x, refusal
 		}
-		r.reached = true
+		r.mayHaveRun = true
 		record.AddStep("take-over", "holder of attempt %d is gone", attempt)
 	}
 	return nil, refuse(ReasonOutcomeUnknown, RanUnknown, 0, "the request was taken over %d times", maxAttempts)
 }
 
-// claimAttempt claims one attempt of an id, or joins the one who has it. Next
-// says that its holder is gone and that the work may be taken over.
-func (d *Dispatcher) claimAttempt(ctx context.Context, r *Request, attempt int, record *decision.Record) (x *answer.Response, next bool, _ *Refusal) {
+// claimAttempt claims one attempt of an ID, or joins the request to the run of the node that
+// holds the claim. If takeOver is true, the claim's run cannot be joined any more and the next
+// attempt may run the request.
+func (d *Dispatcher) claimAttempt(ctx context.Context, r *Request, attempt int, record *decision.Record) (x *answer.Response, takeOver bool, _ *Refusal) {
 	override := false
-	for round := range joinRounds {
-		d.rest(ctx, time.Duration(round)*joinPause)
-		exchange := d.NewID()
-		e := d.entry(r, attempt, exchange)
+	for round := range maxClaimRounds {
+		d.sleep(ctx, time.Duration(round)*claimBackoff)
+		token := d.NewID()
+		e := d.claimEntry(r, attempt, token)
 		runCtx, cancel := context.WithCancel(context.Background())
-		opened := d.Responses.Open(exchange, cancel)
-		claimIt := d.Claims.Claim
+		resp := d.Responses.Open(token, cancel)
+		claimFunc := d.Claims.Claim
 		if override {
-			claimIt = d.Claims.Override
+			claimFunc = d.Claims.Override
 		}
-		outcome, err := claimIt(ctx, e)
+		outcome, err := claimFunc(ctx, e)
 		if err == nil && outcome.Won {
-			return d.won(runCtx, r, opened, outcome, e, record)
+			return d.startWon(runCtx, r, resp, outcome, e, record)
 		}
-		d.giveUp(opened, refuse(ReasonClaimBusy, RanNo, comeBackSoon, "the id is claimed by another node"))
+		d.discard(resp, refuse(ReasonClaimBusy, RanNo, retryAfterShort, "the id is claimed by another node"))
 		if err != nil {
 			return nil, false, claimRefusal(err)
 		}
@@ -52,78 +53,78 @@
 		j := d.join(ctx, r, outcome)
 		switch {
 		case j.abandoned:
-			// Its holder has given it up and never runs it: clear it away.
+			// The holder does not know the claim and never runs it, so the claim is removed.
 			d.Claims.Abandon(outcome.Other.Key, outcome.Other.Token)
 			override = true
 		case j.override:
 			override = true
 		default:
-			return j.exchange, j.next, j.refusal
+			return j.response, j.takeOver, j.refusal
 		}
 	}
-	return nil, false, refuse(ReasonClaimBusy, RanUnknown, comeBackSoon, "the id is being claimed by others")
+	return nil, false, refuse(ReasonClaimBusy, RanUnknown, retryAfterShort, "the id is being claimed by others")
 }
 
-// rest waits, so that what was released has gone before the next round.
-func (d *Dispatcher) rest(ctx context.Context, pause time.Duration) {
+// sleep waits before the next round, so that released claims are gone by then. It returns early
+// if the context ends.
+func (d *Dispatcher) sleep(ctx context.Context, pause time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, pause)
 	defer cancel()
 	<-ctx.Done()
 }
 
-// claimRefusal tells why no claim was won. This try has not run; whether an
-// earlier one with the same id has is known if enough replicas answered.
+// claimRefusal returns the refusal for a claim that failed. This request has not run; whether
+// an earlier one with the same ID has run is known only if enough replicas responded.
 func claimRefusal(err error) *Refusal {
 	switch {
 	case errorx.IsOfType(err, claim.Full):
-		return refuse(ReasonClaimMemory, RanNo, comeBackLater, "%v", err)
+		return refuse(ReasonClaimMemory, RanNo, retryAfterLong, "%v", err)
 	case errorx.IsOfType(err, claim.Split):
-		return refuse(ReasonClaimBusy, RanNo, comeBackSoon, "%v", err)
+		return refuse(ReasonClaimBusy, RanNo, retryAfterShort, "%v", err)
 	default:
-		return refuse(ReasonClaimUnreachable, RanUnknown, comeBackSoon, "%v", err)
+		return refuse(ReasonClaimUnreachable, RanUnknown, retryAfterShort, "%v", err)
 	}
 }
 
-// refuseGiven makes a refusal that was found before the claim true of the id:
-// the caller may have come with it before, and it may have run then.
-func (d *Dispatcher) refuseGiven(ctx context.Context, r *Request, refusal *Refusal) *Refusal {
+// refuseBeforeClaim corrects a refusal that was made before the claim: the client may have sent
+// the ID before, and the request may have run then.
+func (d *Dispatcher) refuseBeforeClaim(ctx context.Context, r *Request, refusal *Refusal) *Refusal {
 	if !r.IDFromClient {
 		return refusal
 	}
-	ctx, cancel := context.WithTimeout(ctx, claimTime)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	found, complete := d.lookupWhileMoving(ctx, d.key(r, 0))
+	found, complete := d.lookupWithRetry(ctx, d.claimKey(r, 0))
 	return refusal.after(found != nil || !complete)
 }
 
-// lookupWhileMoving looks a key up until enough replicas answer, or the context
-// ends: while one of them leaves, its successor takes its range over.
-func (d *Dispatcher) lookupWhileMoving(ctx context.Context, key claim.Key) (found *claim.Entry, complete bool) {
-	for pause := joinPause; ; pause += joinPause {
+// lookupWithRetry looks up a key until enough replicas respond or the context ends. Too few
+// respond while a replica leaves and its successor takes over the key range.
+func (d *Dispatcher) lookupWithRetry(ctx context.Context, key claim.Key) (found *claim.Entry, complete bool) {
+	for pause := claimBackoff; ; pause += claimBackoff {
 		found, complete = d.Claims.Lookup(ctx, key)
 		if found != nil || complete || ctx.Err() != nil {
 			return found, complete
 		}
-		d.rest(ctx, pause)
+		d.sleep(ctx, pause)
 	}
 }
 
-// won starts the run of a claim that was won, unless the key may have been
-// used before.
-func (d *Dispatcher) won(ctx context.Context, r *Request, x *answer.Response, outcome claim.Outcome, e claim.Entry, record *decision.Record) (*answer.Response, bool, *Refusal) {
+// startWon starts the run of a claim that was won, unless the ID may have been used before.
+func (d *Dispatcher) startWon(ctx context.Context, r *Request, x *answer.Response, outcome claim.Outcome, e claim.Entry, record *decision.Record) (*answer.Response, bool, *Refusal) {
 	e.Token = outcome.Token
-	r.reached = r.reached || outcome.Reached
+	r.mayHaveRun = r.mayHaveRun || outcome.Reached
 	refusal := d.checkAge(r)
 	if refusal == nil {
-		refusal = d.checkLost(r, outcome.LostBefore)
+		refusal = d.checkClaimLoss(r, outcome.LostBefore)
 	}
 	if refusal == nil && r.IDFromClient && !r.takenOver {
-		refusal = d.limit(r, record)
+		refusal = d.checkRateLimit(r, record)
 	}
 	if refusal != nil {
-		d.giveUp(x, refusal)
+		d.discard(x, refusal)
 		d.endClaim(r, &e)
-		return nil, false, refusal.after(r.reached)
+		return nil, false, refusal.after(r.mayHaveRun)
 	}
 	if !r.Repeatable() {
 		x.DisableCancel()
@@ -133,72 +134,73 @@
 	return x, false, nil
 }
 
-// giveUp ends an attempt that never runs. Whoever has joined it learns so.
-func (d *Dispatcher) giveUp(x *answer.Response, refusal *Refusal) {
+// discard ends an attempt that never runs. Requests that have joined it get the refusal.
+func (d *Dispatcher) discard(x *answer.Response, refusal *Refusal) {
 	d.Responses.Remove(x.Attempt())
 	x.Fail(refusal.Failure())
 	x.Close()
 }
 
-// checkAge refuses an id that is older than what is remembered of its call: it
-// may have run, and its claim may have ended since.
+// checkAge refuses an ID older than the time for which its call is remembered: it may have run,
+// and its claim may have expired since.
 func (d *Dispatcher) checkAge(r *Request) *Refusal {
-	made := idTime(r.ID)
-	if r.Repeatable() || made.IsZero() || d.Timers.Now().Sub(made) < r.Plain.Call.ClaimLife() {
+	issued := idTime(r.ID)
+	if r.Repeatable() || issued.IsZero() || d.Timers.Now().Sub(issued) < r.Plain.Call.ClaimLife() {
 		return nil
 	}
-	return refuse(ReasonOutcomeUnknown, RanUnknown, 0, "the id was made %s ago and such calls are remembered for %s", d.Timers.Now().Sub(made).Round(time.Second), r.Plain.Call.ClaimLife())
+	return refuse(ReasonOutcomeUnknown, RanUnknown, 0, "the id was made %s ago and such calls are remembered for %s", d.Timers.Now().Sub(issued).Round(time.Second), r.Plain.Call.ClaimLife())
 }
 
-// checkLost refuses an id that may have been used before its claim was lost
-// with two replicas. An id that carries a later time is new.
-func (d *Dispatcher) checkLost(r *Request, lostBefore time.Time) *Refusal {
+// checkClaimLoss refuses an ID that may have been used before two replicas, and its claim with
+// them, were lost. An ID with a later timestamp is new.
+func (d *Dispatcher) checkClaimLoss(r *Request, lostBefore time.Time) *Refusal {
 	if lostBefore.IsZero() || idTime(r.ID).After(lostBefore) {
 		return nil
 	}
 	return refuse(ReasonOutcomeUnknown, RanUnknown, 0, "two replicas were lost together; whether this id has run is not known")
 }
 
-// joined is what became of joining a claim's holder.
-type joined struct {
-	exchange *answer.Response
+// joinResult is the result of joining the run of a claim's holder.
+type joinResult struct {
+	response *answer.Response
 	refusal  *Refusal
-	// next allows a take-over as the next attempt, override one that tries
-	// to win in place of a claim that may not have been won.
-	next      bool
+	// takeOver allows the next attempt to run the request. With override, the claim is tried
+	// again in place of one that may not have been won. With abandoned, the holder never runs
+	// the claim.
+	takeOver  bool
 	override  bool
 	abandoned bool
 }
 
-// join follows the answer of a claim that somebody else has.
-func (d *Dispatcher) join(ctx context.Context, r *Request, outcome claim.Outcome) joined {
+// join follows the response of a claim that another request holds.
+func (d *Dispatcher) join(ctx context.Context, r *Request, outcome claim.Outcome) joinResult {
 	other := outcome.Other
 	switch {
 	case other.State == claim.StateUnknown:
-		return joined{refusal: refuse(ReasonOutcomeUnknown, RanUnknown, 0, "two claims of this id survived; which one ran is not known")}
+		return joinResult{refusal: refuse(ReasonOutcomeUnknown, RanUnknown, 0, "two claims of this id survived; which one ran is not known")}
 	case other.Body != r.Digest:
-		return joined{refusal: refuse(ReasonIDReused, RanNo, 0, "the id was used for another request")}
+		return joinResult{refusal: refuse(ReasonIDReused, RanNo, 0, "the id was used for another request")}
 	}
 	x, found, ran, err := d.Holders.Attach(ctx, other.Holder, claim.AttemptOf(other.Token))
 	switch {
 	case err == nil && found:
-		return joined{exchange: x}
+		return joinResult{response: x}
 	case other.State == claim.StateDone && len(other.Answer) > 0:
-		return joined{exchange: decodeAnswer(other.Answer)}
+		return joinResult{response: decodeResponse(other.Answer)}
 	case err == nil && !ran && other.State == claim.StateClaimed:
-		return joined{abandoned: true}
+		return joinResult{abandoned: true}
 	case err == nil && other.Repeatable:
-		// It ran, but its answer is not kept any more.
-		return joined{next: true}
+		// The request ran, but its response is no longer kept.
+		return joinResult{takeOver: true}
 	case err == nil:
-		return joined{refusal: refuse(ReasonAnswerExpired, RanYes, 0, "the request has run; its answer is not kept any more")}
+		return joinResult{refusal: refuse(ReasonAnswerExpired, RanYes, 0, "the request has run; its answer is not kept any more")}
 	case !d.Holders.Faulty(other.Holder.ID):
-		return joined{refusal: holderUnreachable(other.Holder.ID)}
+		return joinResult{refusal: holderUnreachable(other.Holder.ID)}
 	case other.Repeatable:
-		return joined{next: true}
+		return joinResult{takeOver: true}
 	case !outcome.OtherWon && other.State == claim.StateClaimed:
-		return joined{override: true}
+		return joinResult{override: true}
 	default:
-		return joined{refusal: refuse(ReasonOutcomeUnknown, RanUnknown, 0, "the node that had the request is gone; whether it ran is not known")}
+		return joinResult{refusal: refuse(ReasonOutcomeUnknown, RanUnknown, 0, "the node that had the request is gone; whether it ran is not known")}
 	}
 }
--- a/dispatch/plain.go
+++ b/dispatch/plain.go
@@ -26,10 +26,10 @@
 	defer release()
 	s := d.Config()
 	if !d.ReceivesUpdates() {
-		return refuse(ReasonCutOff, RanNo, comeBackSoon, "this node is cut off; ask another")
+		return refuse(ReasonCutOff, RanNo, retryAfterShort, "this node is cut off; ask another")
 	}
 	if !r.Repeatable() && !d.markRunning(x, r, e) {
-		return refuse(ReasonClaimUnreachable, RanNo, comeBackSoon, "too few replicas took note of the run")
+		return refuse(ReasonClaimUnreachable, RanNo, retryAfterShort, "too few replicas took note of the run")
 	}
 	if p := s.Pool(pool); p != nil {
 		d.Budgets.Paid(pool, p.RetryShare())
@@ -42,7 +42,7 @@
 			return last
 		}
 		if err != nil {
-			return refuse(ReasonNoServer, RanNo, comeBackSoon, "%v", err)
+			return refuse(ReasonNoServer, RanNo, retryAfterShort, "%v", err)
 		}
 		tried[attempt.Server().Name] = true
 		record.SetServer(r.Plain.Service.Name, "", attempt.Server().Name)
@@ -61,8 +61,8 @@
 	}
 }
 
-// markRunning makes known, here and at most of the replicas, that a call that
-// may not be repeated is about to run.
+// markRunning records, here and at most of the replicas, that a call that may not be repeated
+// is about to run. It reports whether most replicas know.
 func (d *Dispatcher) markRunning(x *answer.Response, r *Request, e *claim.Entry) bool {
 	d.Responses.MarkRan(x.Attempt(), r.Plain.Call.ClaimLife())
 	return d.advance(e, claim.StateRunning, nil)
@@ -70,7 +70,7 @@
 
 func (d *Dispatcher) callOnce(ctx context.Context, r *Request, x *answer.Response, attempt *route.Attempt) *Refusal {
 	start := d.Timers.Now()
-	got, err := d.Services.Call(ctx, attempt.Server(), ServiceCall{
+	resp, err := d.Services.Call(ctx, attempt.Server(), ServiceCall{
 		RequestID:   r.ID,
 		Method:      r.Plain.Method,
 		Path:        r.Plain.Path,
@@ -80,17 +80,17 @@
 	})
 	took := d.Timers.Now().Sub(start)
 	attempt.End(outcomeOf(ctx, err), took)
-	r.reached = r.reached || !errorx.IsOfType(err, NotRun)
+	r.mayHaveRun = r.mayHaveRun || !errorx.IsOfType(err, NotRun)
 	if err != nil {
 		return backendRefusal(ctx, err, r.Repeatable())
 	}
-	x.SetHead(answer.Head{Status: got.Status, ContentType: got.ContentType, Model: r.Plain.Service.Name})
-	x.Append(got.Body)
+	x.SetHead(answer.Head{Status: resp.Status, ContentType: resp.ContentType, Model: r.Plain.Service.Name})
+	x.Append(resp.Body)
 	d.Counters.Answered(r.Plain.Service.Name, "", took, took)
 	return nil
 }
 
-// outcomeOf tells what an attempt's error says about the server.
+// outcomeOf returns what an attempt's error says about the server.
 func outcomeOf(ctx context.Context, err error) route.Outcome {
 	switch {
 	case err == nil:
@@ -104,11 +104,11 @@
 	}
 }
 
-// ErrDeclined is the cause of a NotRun error by which a server itself said
-// that it does not run the request now.
+// ErrDeclined is the cause of a NotRun error if the server itself refused to run the request
+// for now.
 var ErrDeclined = errors.New("declined by the server")
 
-// backendRefusal tells the caller what is known of a failed attempt.
+// backendRefusal returns the refusal for a failed attempt.
 func backendRefusal(ctx context.Context, err error, repeatable bool) *Refusal {
 	ran := RanUnknown
 	if errorx.IsOfType(err, NotRun) {
@@ -118,17 +118,18 @@
 	case errors.Is(ctx.Err(), context.Canceled):
 		return refuse(ReasonCancelled, ran, 0, "the request was cancelled")
 	case errors.Is(ctx.Err(), context.DeadlineExceeded) && (repeatable || ran == RanNo):
-		return refuse(ReasonDeadline, ran, comeBackSoon, "the deadline passed while the request ran")
+		return refuse(ReasonDeadline, ran, retryAfterShort, "the deadline passed while the request ran")
 	case errorx.IsOfType(err, TooLarge):
 		return refuse(ReasonAnswerTooLarge, RanYes, 0, "%v", err)
 	case ran == RanUnknown && !repeatable:
 		return refuse(ReasonOutcomeUnknown, RanUnknown, 0, "%v", err)
 	default:
-		return refuse(ReasonServerFailed, ran, comeBackSoon, "%v", err)
+		return refuse(ReasonServerFailed, ran, retryAfterShort, "%v", err)
 	}
 }
 
-// admit waits for the pool's capacity, or refuses at once.
+// admit waits for the pool's capacity. The request is refused at once if the queue is full or
+// the deadline cannot be met.
 func (d *Dispatcher) admit(ctx context.Context, r *Request, pool string, record *decision.Record) (release func(), _ *Refusal) {
 	start := d.Timers.Now()
 	ticket := admit.Ticket{Account: r.Account.Name, Priority: r.Account.Priority, Deadline: r.Deadline}
@@ -148,6 +149,6 @@
 	case errorx.IsOfType(err, admit.Late):
 		return nil, refuse(ReasonDeadline, RanNo, admit.RetryAfter(err), "%v", err)
 	default:
-		return nil, refuse(ReasonDeadline, RanNo, comeBackSoon, "%v", err)
+		return nil, refuse(ReasonDeadline, RanNo, retryAfterShort, "%v", err)
 	}
 }
--- a/dispatch/refusal.go
+++ b/dispatch/refusal.go
@@ -10,7 +10,7 @@
 
 //go:generate go tool enumer -type=Reason,Ran -trimprefix=Reason,Ran -transform=snake -output=dispatch_enumer.go
 
-// Reason is the stable code of a refusal. Each is counted.
+// Reason is the stable code of a refusal. Refusals are counted by reason.
 type Reason int
 
 // The reasons.
@@ -43,18 +43,18 @@
 	ReasonBodyTooLarge
 )
 
-// Ran tells whether a refused request has run. RanNo is said only when it is
-// known.
+// Ran tells whether a refused request has run. RanNo is used only if it is
+// known that the request did not run.
 type Ran int
 
-// What is known of a refused request.
+// The values of Ran.
 const (
 	RanNo Ran = iota
 	RanUnknown
 	RanYes
 )
 
-// statuses maps reasons to HTTP statuses; what is missing is 503.
+// statuses maps reasons to HTTP statuses. The default is 503.
 var statuses = map[Reason]int{
 	ReasonModelNotFound:    http.StatusNotFound,
 	ReasonVersionWithdrawn: http.StatusGone,
@@ -74,8 +74,8 @@
 	ReasonBodyTooLarge:     http.StatusRequestEntityTooLarge,
 }
 
-// Refusal is the error type of this package: why a request gets no answer,
-// whether it ran, and when to come back.
+// Refusal is the error type of this package. It tells why a request gets no response, whether
+// it ran, and when to retry.
 type Refusal struct {
 	reason     Reason
 	ran        Ran
@@ -87,25 +87,24 @@
 	return &Refusal{reason: reason, ran: ran, retryAfter: retryAfter, message: fmt.Sprintf(format, args...)}
 }
 
-// NewRefusal returns a refusal that an adapter found before the request's path
-// began, so it has not run.
+// NewRefusal returns a refusal by an adapter, made before the request reached the dispatcher,
+// so the request has not run.
 func NewRefusal(reason Reason, retryAfter time.Duration, format string, args ...any) *Refusal {
 	return refuse(reason, RanNo, retryAfter, format, args...)
 }
 
-// NoConfiguration refuses while a node that has just started has no
-// configuration.
+// NoConfiguration returns the refusal of a node that has started and has no configuration yet.
 func NoConfiguration(ran Ran) *Refusal {
-	return refuse(ReasonNoConfiguration, ran, comeBackSoon, "no configuration is in force")
+	return refuse(ReasonNoConfiguration, ran, retryAfterShort, "no configuration is in force")
 }
 
-// holderUnreachable refuses for as long as nobody knows what became of the node
-// that has the request.
+// holderUnreachable returns the refusal for a request whose holder does not respond, while it
+// is not known what became of the request.
 func holderUnreachable(holder string) *Refusal {
-	return refuse(ReasonHolderUnreachable, RanUnknown, comeBackSoon, "node %s, which has the request, does not answer now", holder)
+	return refuse(ReasonHolderUnreachable, RanUnknown, retryAfterShort, "node %s, which has the request, does not answer now", holder)
 }
 
-// Error reads as code and message.
+// Error returns the code and the message.
 func (r *Refusal) Error() string { return r.reason.String() + ": " + r.message }
 
 // Reason returns the stable code.
@@ -114,13 +113,13 @@
 // Ran tells whether the request has run.
 func (r *Refusal) Ran() Ran { return r.ran }
 
-// RetryAfter returns when to come back; zero if coming back will not help.
+// RetryAfter returns the delay before a retry, or zero if a retry does not help.
 func (r *Refusal) RetryAfter() time.Duration { return r.retryAfter }
 
-// after returns the refusal as it is true of a request that a backend server
-// may have run before.
-func (r *Refusal) after(reached bool) *Refusal {
-	if r == nil || !reached || r.ran != RanNo {
+// after corrects the refusal for a request that a backend server may have run earlier: RanNo
+// becomes RanUnknown.
+func (r *Refusal) after(mayHaveRun bool) *Refusal {
+	if r == nil || !mayHaveRun || r.ran != RanNo {
 		return r
 	}
 	corrected := *r
@@ -128,7 +127,7 @@
 	return &corrected
 }
 
-// Failure returns the form in which an exchange carries the refusal.
+// Failure returns the refusal in its wire form.
 func (r *Refusal) Failure() *answer.Failure {
 	status, ok := statuses[r.reason]
 	if !ok {
--- a/dispatch/given_test.go
+++ b/dispatch/refusal_test.go
@@ -14,15 +14,15 @@
 	"github.com/violettally/violettally/dispatch"
 )
 
-// movingClaims are replicas of which too few answer until some lookups have
-// been made, as while one of them leaves.
-type movingClaims struct {
+// incompleteClaims returns incomplete results for the first lookups, like replicas of which too
+// few respond while one of them is replaced.
+type incompleteClaims struct {
 	dispatch.Claims
 	incomplete int
 	found      *claim.Entry
 }
 
-func (c *movingClaims) Lookup(context.Context, claim.Key) (*claim.Entry, bool) {
+func (c *incompleteClaims) Lookup(context.Context, claim.Key) (*claim.Entry, bool) {
 	if c.incomplete > 0 {
 		c.incomplete--
 		return nil, false
@@ -34,18 +34,19 @@
 
 func (noCounters) Refused(dispatch.Reason, string) {}
 
-// TestRefusedWhileReplicasMove: a refusal found before the claim waits a little
-// for replicas that are being replaced before it leaves the caller in doubt.
-func TestRefusedWhileReplicasMove(t *testing.T) {
+// TestRefusalDuringReplicaChange checks that a refusal made before the claim waits a short time
+// for a replica that is being replaced. Otherwise it says "unknown" to the client although it
+// could be known that the request did not run.
+func TestRefusalDuringReplicaChange(t *testing.T) {
 	tests := []struct {
 		name   string
-		claims movingClaims
+		claims incompleteClaims
 		want   dispatch.Ran
 	}{
-		{"all answer", movingClaims{}, dispatch.RanNo},
-		{"a replica is being replaced", movingClaims{incomplete: 3}, dispatch.RanNo},
-		{"replaced, and the id has been claimed", movingClaims{incomplete: 3, found: &claim.Entry{}}, dispatch.RanUnknown},
-		{"too few answer for long", movingClaims{incomplete: 1 << 20}, dispatch.RanUnknown},
+		{"all replicas respond", incompleteClaims{}, dispatch.RanNo},
+		{"a replica is being replaced", incompleteClaims{incomplete: 3}, dispatch.RanNo},
+		{"a replica is being replaced and the ID is claimed", incompleteClaims{incomplete: 3, found: &claim.Entry{}}, dispatch.RanUnknown},
+		{"too few replicas respond until the timeout", incompleteClaims{incomplete: 1 << 20}, dispatch.RanUnknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// keptAnswer is the largest answer that is kept at the claim's replicas,
-	// so that it outlives its node.
-	keptAnswer = 64 << 10
-	// patientPause lies between two tries of patient work.
-	patientPause = time.Second
-	// advanceTime bounds telling the replicas how far a claim has come.
-	advanceTime = time.Second
+	// maxStoredResponseBytes is the size of the largest response that is stored at the claim's
+	// replicas, so that it outlives its node.
+	maxStoredResponseBytes = 64 << 10
+	// asyncRetryDelay is the shortest delay between two tries of an asynchronous request.
+	asyncRetryDelay = time.Second
+	// advanceTimeout bounds an update of a claim's state at the replicas.
+	advanceTimeout = time.Second
 )
 
-// run takes a request to its end beside its callers. The claim is nil for a
-// request whose id nobody can come back with before its answer.
+// run runs a request in the background. The claim is nil for a request with a generated ID
+// whose run does not wait for its claim.
 func (d *Dispatcher) run(ctx context.Context, r *Request, x *answer.Response, record *decision.Record, e *claim.Entry) {
 	d.runs.Go(func() {
 		defer x.Close()
@@ -30,22 +30,22 @@
 			defer cancel()
 		}
 		refusal := d.execute(ctx, r, x, record, e)
-		d.conclude(r, x, record, e, refusal)
+		d.finish(r, x, record, e, refusal)
 	})
 }
 
-// execute runs a request; patient work is tried again until its deadline.
+// execute runs a request. An asynchronous request is tried again until its deadline.
 func (d *Dispatcher) execute(ctx context.Context, r *Request, x *answer.Response, record *decision.Record, e *claim.Entry) *Refusal {
 	for {
-		refusal := d.executeOnce(ctx, r, x, record, e).after(r.reached)
-		if refusal == nil || !r.Async || !passes(refusal.reason) || (refusal.ran != RanNo && !r.Repeatable()) {
+		refusal := d.executeOnce(ctx, r, x, record, e).after(r.mayHaveRun)
+		if refusal == nil || !r.Async || !isTransient(refusal.reason) || (refusal.ran != RanNo && !r.Repeatable()) {
 			return refusal
 		}
 		record.AddStep("wait", "patient work waits: %s", refusal.Error())
 		select {
 		case <-ctx.Done():
 			return refusal
-		case <-time.After(max(patientPause, min(refusal.retryAfter, 10*patientPause))):
+		case <-time.After(max(asyncRetryDelay, min(refusal.retryAfter, 10*asyncRetryDelay))):
 		}
 	}
 }
@@ -57,8 +57,8 @@
 	return d.runChat(ctx, r, x, record)
 }
 
-// passes reports whether a refusal's cause goes away by itself.
-func passes(reason Reason) bool {
+// isTransient reports whether the cause of a refusal passes without action.
+func isTransient(reason Reason) bool {
 	switch reason {
 	case ReasonOverloaded, ReasonNoServer, ReasonServerFailed, ReasonClaimUnreachable, ReasonCutOff, ReasonNoVersion:
 		return true
@@ -67,12 +67,12 @@
 	}
 }
 
-// conclude ends the exchange and tells the replicas.
-func (d *Dispatcher) conclude(r *Request, x *answer.Response, record *decision.Record, e *claim.Entry, refusal *Refusal) {
+// finish ends the response and updates the claim.
+func (d *Dispatcher) finish(r *Request, x *answer.Response, record *decision.Record, e *claim.Entry, refusal *Refusal) {
 	if refusal == nil {
 		x.Finish()
 		record.End("answered")
-		d.keep(r, x, e)
+		d.storeResult(r, x, e)
 		return
 	}
 	record.AddStep("refused", "%s", refusal.Error())
@@ -87,11 +87,11 @@
 	x.Fail(refusal.Failure())
 }
 
-// endClaim ends the claim of a request that gave no answer. A later retry may
-// win the id and run, unless what may have run may not be repeated.
+// endClaim ends the claim of a request that gave no response. A retry may then win the ID and
+// run, unless the request may have run and may not be repeated.
 func (d *Dispatcher) endClaim(r *Request, e *claim.Entry) {
 	switch {
-	case !r.reached:
+	case !r.mayHaveRun:
 		d.Claims.Release(e.Key, e.Token)
 	case r.Repeatable():
 		d.advance(e, claim.StateFailed, nil)
@@ -100,40 +100,39 @@
 	}
 }
 
-// keep tells the replicas that the work is done, with the answer if others
-// may have to hand it out.
-func (d *Dispatcher) keep(r *Request, x *answer.Response, e *claim.Entry) {
+// storeResult marks the claim as done at the replicas. It stores the response with it if other
+// nodes may have to serve it.
+func (d *Dispatcher) storeResult(r *Request, x *answer.Response, e *claim.Entry) {
 	if e == nil {
 		return
 	}
-	var kept []byte
-	if data := encodeAnswer(x.StateFrom(0)); len(data) <= keptAnswer && (r.Async || !r.Repeatable()) {
-		kept = data
+	var stored []byte
+	if data := encodeResponse(x.StateFrom(0)); len(data) <= maxStoredResponseBytes && (r.Async || !r.Repeatable()) {
+		stored = data
 	}
-	d.advance(e, claim.StateDone, kept)
+	d.advance(e, claim.StateDone, stored)
 }
 
-// advance tells the replicas how far a claim has come and returns whether
-// most of them know.
-func (d *Dispatcher) advance(e *claim.Entry, state claim.State, kept []byte) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), advanceTime)
+// advance updates the claim's state at the replicas and reports whether most of them took it.
+func (d *Dispatcher) advance(e *claim.Entry, state claim.State, response []byte) bool {
+	ctx, cancel := context.WithTimeout(context.Background(), advanceTimeout)
 	defer cancel()
 	next := *e
-	next.State, next.Answer, next.Value = state, kept, nil
+	next.State, next.Answer, next.Value = state, response, nil
 	took, of := d.Claims.Advance(ctx, next)
 	return took > of/2
 }
 
-// TakeOver runs patient work whose holder is gone.
+// TakeOver runs an asynchronous request whose holder is gone.
 func (d *Dispatcher) TakeOver(ctx context.Context, e claim.Entry) {
 	s := d.Config()
 	r := decodeRequest(e.Value, s.Account(e.Key.Account), s)
-	if r == nil || d.ready(r) != nil {
+	if r == nil || d.checkReady(r) != nil {
 		return
 	}
 	record := d.Records.Start(r.ID, r.Account.Name)
 	record.AddStep("take-over", "holder %s is gone", e.Holder.ID)
-	if _, refusal := d.startGiven(ctx, r, record); refusal != nil {
+	if _, refusal := d.startWithClaim(ctx, r, record); refusal != nil {
 		record.AddStep("refused", "%s", refusal.Error())
 	}
 }
--- a/dispatch/target.go
+++ b/dispatch/target.go
@@ -13,16 +13,15 @@
 	"github.com/violettally/violettally/session"
 )
 
-// target is what a caller's model name stands for.
+// target is what a model name in a request stands for: a cascade, or one model.
 type target struct {
 	cascade *config.Cascade
 	models  []string
-	// version is set if the caller asked for one.
+	// version is set if the client asked for one.
 	version string
 }
 
-// resolve finds what a model name stands for, as far as the account may use
-// it.
+// resolve returns the target of a model name, and whether the account may use it.
 func resolve(s *config.Snapshot, account *config.Account, name string) (target, bool) {
 	if c := s.Cascade(name); c != nil {
 		return target{cascade: c, models: c.Models}, slices.Contains(account.Models, name)
@@ -41,7 +40,7 @@
 	return target{}, false
 }
 
-// AllowedModels lists what an account may use: cascades, models and versions.
+// AllowedModels lists the names that an account may use: cascades, models and versions.
 func AllowedModels(s *config.Snapshot, account *config.Account) []string {
 	var names []string
 	for _, c := range s.Cascades() {
@@ -63,15 +62,15 @@
 	return names
 }
 
-// versionOf decides which version of a model serves the request.
-func (d *Dispatcher) versionOf(ctx context.Context, r *Request, t target, model string, record *decision.Record) (string, *Refusal) {
+// chooseVersion chooses the version of a model that serves the request.
+func (d *Dispatcher) chooseVersion(ctx context.Context, r *Request, t target, model string, record *decision.Record) (string, *Refusal) {
 	s := d.Config()
 	m := s.Model(model)
 	if m == nil {
 		return "", refuse(ReasonModelNotFound, RanNo, 0, "model %q is not declared any more", model)
 	}
 	if t.version != "" {
-		return d.askedVersion(s, r, m, t.version, record)
+		return d.checkRequestedVersion(s, r, m, t.version, record)
 	}
 	allowed := func(version string) bool { return s.Allows(r.Account, t.cascadeName(), model, version) }
 	pick := func() (string, error) {
@@ -79,7 +78,7 @@
 		if r.Chat.Session != "" {
 			key = r.Chat.Session
 		}
-		v, err := d.pick(s, m, r.Account.Name+"/"+key, allowed)
+		v, err := d.pickVersion(s, m, r.Account.Name+"/"+key, allowed)
 		if err != nil {
 			return "", err
 		}
@@ -88,7 +87,7 @@
 	if r.Chat.Session == "" {
 		version, err := pick()
 		if err != nil {
-			return "", refuse(ReasonNoVersion, RanNo, comeBackLater, "%v", err)
+			return "", refuse(ReasonNoVersion, RanNo, retryAfterLong, "%v", err)
 		}
 		record.AddStep("version", "%s@%s by roll-out stage", model, version)
 		return version, nil
@@ -99,7 +98,7 @@
 		Session: r.Chat.Session,
 		Model:   model,
 		Pick:    pick,
-		Usable:  func(version string) bool { return usable(s, m, version) && allowed(version) },
+		Usable:  func(version string) bool { return versionUsable(s, m, version) && allowed(version) },
 		MayMove: m.MoveSessions,
 	})
 	if err != nil {
@@ -109,9 +108,9 @@
 	return version, nil
 }
 
-// pick picks by the roll-out's stage. A version that is being rolled out and
-// that no server holds yet gives way to the one in service.
-func (d *Dispatcher) pick(s *config.Snapshot, m *config.Model, key string, allowed func(string) bool) (*config.Version, error) {
+// pickVersion picks a version by the rollout's stage. A version that is being rolled out is
+// replaced by the one in service while no server holds it.
+func (d *Dispatcher) pickVersion(s *config.Snapshot, m *config.Model, key string, allowed func(string) bool) (*config.Version, error) {
 	picked, err := d.Picker.Pick(m, key, allowed)
 	if err != nil || picked.State != config.VersionRollingOut {
 		return picked, err
@@ -138,15 +137,15 @@
 	case errorx.IsOfType(err, session.Withdrawn):
 		return refuse(ReasonVersionWithdrawn, RanNo, 0, "%v", err)
 	case errorx.IsOfType(err, rollout.NoVersion):
-		return refuse(ReasonNoVersion, RanNo, comeBackLater, "%v", err)
+		return refuse(ReasonNoVersion, RanNo, retryAfterLong, "%v", err)
 	default:
-		return refuse(ReasonClaimUnreachable, RanNo, comeBackSoon, "%v", err)
+		return refuse(ReasonClaimUnreachable, RanNo, retryAfterShort, "%v", err)
 	}
 }
 
-// askedVersion checks a version that the caller named. A retired version only
-// keeps the sessions that it has.
-func (d *Dispatcher) askedVersion(s *config.Snapshot, r *Request, m *config.Model, version string, record *decision.Record) (string, *Refusal) {
+// checkRequestedVersion checks a version that the client named. A retired version serves only
+// the sessions that it has.
+func (d *Dispatcher) checkRequestedVersion(s *config.Snapshot, r *Request, m *config.Model, version string, record *decision.Record) (string, *Refusal) {
 	v := s.Version(m.Name, version)
 	switch {
 	case v == nil || !s.Allows(r.Account, "", m.Name, version):
@@ -160,25 +159,25 @@
 	return version, nil
 }
 
-func usable(s *config.Snapshot, m *config.Model, version string) bool {
+func versionUsable(s *config.Snapshot, m *config.Model, version string) bool {
 	v := s.Version(m.Name, version)
 	return v != nil && v.State != config.VersionWithdrawn
 }
 
-// stillAllowed checks, at the moment before the work goes to a server, that
-// the configuration now in force allows it. The request may have waited since
-// its version was chosen.
-func (d *Dispatcher) stillAllowed(r *Request, t target, model, version string) (*config.Version, *Refusal) {
+// recheckAllowed checks again, right before the request goes to a server, that the
+// configuration in force allows it, since the request may have waited after its version was
+// chosen.
+func (d *Dispatcher) recheckAllowed(r *Request, t target, model, version string) (*config.Version, *Refusal) {
 	s := d.Config()
 	v := s.Version(model, version)
 	account := s.Account(r.Account.Name)
 	switch {
 	case !d.ReceivesUpdates():
-		return nil, refuse(ReasonCutOff, RanNo, comeBackSoon, "this node is cut off and may have missed a withdrawal; ask another")
+		return nil, refuse(ReasonCutOff, RanNo, retryAfterShort, "this node is cut off and may have missed a withdrawal; ask another")
 	case account == nil || !s.Allows(account, t.cascadeName(), model, version):
 		return nil, refuse(ReasonModelNotFound, RanNo, 0, "%s@%s is not one that account %q may use", model, version, r.Account.Name)
 	case v == nil || v.State == config.VersionWithdrawn:
-		return nil, refuse(ReasonVersionWithdrawn, RanNo, comeBackSoon, "%s@%s was withdrawn meanwhile", model, version)
+		return nil, refuse(ReasonVersionWithdrawn, RanNo, retryAfterShort, "%s@%s was withdrawn meanwhile", model, version)
 	}
 	return v, nil
 }
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -8,7 +8,7 @@
 	"github.com/violettally/violettally/config"
 )
 
-// usage is what an engine says that an answer took, in tokens.
+// usage is the token usage that an engine reports for a response.
 type usage struct {
 	Prompt     int64 `json:"prompt_tokens"`
 	Completion int64 `json:"completion_tokens"`
@@ -16,9 +16,9 @@
 
 func (u usage) known() bool { return u.Prompt > 0 || u.Completion > 0 }
 
-// complete estimates what the engine did not say: a token per part of a
-// stream, a token per word of the prompt.
-func (u *usage) complete(prompt string, parts int) {
+// estimateMissing estimates a usage that the engine did not report: one completion token per
+// part of the response, one prompt token per word of the prompt.
+func (u *usage) estimateMissing(prompt string, parts int) {
 	if u.known() {
 		return
 	}
@@ -26,49 +26,49 @@
 	u.Completion = int64(parts)
 }
 
-// pricedTokens is how many tokens a declared price is for.
-const pricedTokens = 1000
+// tokensPerPrice is the number of tokens that a declared price is for.
+const tokensPerPrice = 1000
 
 // cost returns the price in millionths of the currency unit, rounded up.
 func (u usage) cost(v *config.Version) int64 {
 	total := u.Prompt*v.PromptPrice + u.Completion*v.CompletionPrice
-	return (total + pricedTokens - 1) / pricedTokens
+	return (total + tokensPerPrice - 1) / tokensPerPrice
 }
 
-// running marks a chunk in the middle of an answer as engines write it. Most
-// parts are such, and need no decoding.
+// These byte sequences tell a chunk in the middle of a response from the last ones, as engines
+// write them. Most chunks are in the middle and need no decoding.
 var (
-	running  = []byte(`"finish_reason":null`)
-	hasUsage = []byte(`"usage":{`)
+	finishReasonNull = []byte(`"finish_reason":null`)
+	usageMarker      = []byte(`"usage":{`)
 )
 
-// isRunning reports whether a chunk surely is in the middle of its answer.
-func isRunning(part []byte) bool {
-	return bytes.Contains(part, running) && !bytes.Contains(part, hasUsage)
+// isMidChunk reports whether a chunk is certainly in the middle of its response.
+func isMidChunk(part []byte) bool {
+	return bytes.Contains(part, finishReasonNull) && !bytes.Contains(part, usageMarker)
 }
 
-// textOf returns the text of an answer's parts.
+// textOf returns the text of a response's parts.
 func textOf(parts [][]byte, streamed bool) string {
 	var text strings.Builder
 	for _, part := range parts {
-		text.WriteString(inspect(part, streamed).text)
+		text.WriteString(parsePart(part, streamed).text)
 	}
 	return text.String()
 }
 
-// partInfo is what the path needs to know of a part.
+// partInfo holds what this package needs to know of a part.
 type partInfo struct {
 	text  string
 	usage usage
-	// last marks the chunk that ends an answer, and the usage after it.
+	// last marks the chunk that ends a response, and the usage chunk after it.
 	last bool
-	// empty chunks have no choice.
+	// empty marks a chunk without choices.
 	empty bool
 }
 
-// inspect reads the text and the usage out of a part: a whole completion or a
-// chunk of one, as the OpenAI API defines them.
-func inspect(part []byte, streamed bool) partInfo {
+// parsePart reads the text and the usage of a part, which is a whole completion or a chunk of
+// one as defined by the OpenAI API.
+func parsePart(part []byte, streamed bool) partInfo {
 	var in struct {
 		Choices []struct {
 			Delta   struct{ Content string }
@@ -95,12 +95,12 @@
 	return info
 }
 
-// UsageOnly reports whether a chunk holds nothing but the usage, which goes
-// only to callers who asked for it.
+// UsageOnly reports whether a chunk holds nothing but the usage. Such a chunk goes only to
+// clients that asked for it.
 func UsageOnly(part []byte) bool {
-	if isRunning(part) {
+	if isMidChunk(part) {
 		return false
 	}
-	info := inspect(part, true)
+	info := parsePart(part, true)
 	return info.empty && info.usage.known()
 }
