--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -276,15 +276,15 @@
 	// This comes last, so that once the gateway reports that it is not ready, every
 	// response closes its connection.
 	g.leaving.Store(true)
-	slog.Info("gateway is draining", "grace_ms", grace.Milliseconds(), "under_way", len(g.decisions.Open()))
+	slog.Info("gateway is draining", "grace_ms", grace.Milliseconds(), "under_way", len(g.decisions.Unfinished()))
 	// The call to the store may take a second. The listener is closed on time all the
 	// same, since requests that arrive later can't be completed.
 	go g.membership.announceLeaving()
 	g.sleepUntil(closeAt)
-	slog.Info("closing client listener", "after_ms", g.timers.Now().Sub(signaled).Milliseconds(), "under_way", len(g.decisions.Open()))
+	slog.Info("closing client listener", "after_ms", g.timers.Now().Sub(signaled).Milliseconds(), "under_way", len(g.decisions.Unfinished()))
 	g.shutdown(end)
 	g.membership.deregister()
-	for _, record := range g.decisions.Open() {
+	for _, record := range g.decisions.Unfinished() {
 		record.End("left under way")
 	}
 	slog.Info("gateway stopped", "after_ms", g.timers.Now().Sub(signaled).Milliseconds())
@@ -305,7 +305,7 @@
 	if g.clientServer.Shutdown(ctx) == nil {
 		return
 	}
-	slog.Warn("aborting remaining requests", "count", len(g.decisions.Open()))
+	slog.Warn("aborting remaining requests", "count", len(g.decisions.Unfinished()))
 	g.relay.Close()
 	flushCtx, cancelFlush := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancelFlush()
--- a/relay/choose.go
+++ b/relay/choose.go
@@ -49,10 +49,10 @@
 	switch {
 	case first <= x.modelIndex:
 	case !x.worthAsking(first, confidenceUnknown):
-		x.record.Note("model", "%s, though nothing may follow: %s would be late", x.model(), x.route.Models[first])
+		x.record.AddStep("model", "%s, though nothing may follow: %s would be late", x.model(), x.route.Models[first])
 	default:
 		x.modelIndex = first
-		x.record.Note("model", "%s at once, since nothing may follow", x.model())
+		x.record.AddStep("model", "%s at once, since nothing may follow", x.model())
 	}
 }
 
@@ -73,7 +73,7 @@
 	}
 	length, known := x.bodyDuration()
 	pays := x.relay.Cascade.WorthEscalating(offer) && x.relay.endsInTime(x.deadline, forecast.Latency()+length, known)
-	x.record.Note("offer", "%s for confidence %.0f: %d ms, of it %d waiting, %d left: %t", x.model(), confidence,
+	x.record.AddStep("offer", "%s for confidence %.0f: %d ms, of it %d waiting, %d left: %t", x.model(), confidence,
 		forecast.Latency().Milliseconds(), forecast.Wait.Milliseconds(), offer.Remaining.Milliseconds(), pays)
 	return pays
 }
@@ -95,7 +95,7 @@
 		return nil, "", refusalf(ReasonNoServer, retrySoon, "service %s, %d known, %d tried: %v", x.service, x.knownServers, len(x.tried), err)
 	}
 	x.tried[use.Server().Incarnation()] = true
-	x.record.Choose(x.model(), version, use.Server().ID)
+	x.record.SetServer(x.model(), version, use.Server().ID)
 	return use, version, nil
 }
 
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -78,7 +78,7 @@
 			return nil
 		}
 		if !f.escalates {
-			x.record.Note("failed", "%s at %s: %s", f.reason, use.Server().ID, f.cause)
+			x.record.AddStep("failed", "%s at %s: %s", f.reason, use.Server().ID, f.cause)
 		}
 		if refusal := x.afterFailure(ctx, f); refusal != nil {
 			return x.deliver(refusal)
@@ -99,7 +99,7 @@
 	x.fromFirstEvent = x.lastEventID == ""
 	age := x.relay.StoreView.Age()
 	x.relay.Counters.Sent(age)
-	x.record.Note("send", "to %s in %s, model %s, %d of %d tokens held, after event %q, %d ms left, by revision %d, %d ms old",
+	x.record.AddStep("send", "to %s in %s, model %s, %d of %d tokens held, after event %q, %d ms left, by revision %d, %d ms old",
 		server.ID, server.DataHall, x.model(), use.CachedTokens(), x.request.Prompt.Tokens, x.lastEventID, time.Until(x.deadline).Milliseconds(),
 		x.relay.StoreView.Revision(), age.Milliseconds())
 	sent := time.Now()
@@ -137,7 +137,7 @@
 // finish ends the decision record of the request.
 func (x *exchange) finish(outcome string) {
 	if x.firstByte > 0 {
-		x.record.Note("first byte", "after %d ms", x.firstByte.Milliseconds())
+		x.record.AddStep("first byte", "after %d ms", x.firstByte.Milliseconds())
 	}
 	x.record.End(outcome)
 }
--- a/relay/failure.go
+++ b/relay/failure.go
@@ -100,7 +100,7 @@
 		}
 		return refusal
 	}
-	x.record.Note("broken off", "%s", refusal.Error())
+	x.record.AddStep("broken off", "%s", refusal.Error())
 	x.finish("broken off: " + refusal.reason.String())
 	x.relay.Counters.Refused(refusal.reason, x.account)
 	x.writer.Abort()
--- a/relay/forecast.go
+++ b/relay/forecast.go
@@ -29,7 +29,7 @@
 	forecast := x.relay.Balancer.Forecast(x.task(servers))
 	length, known := x.bodyDuration()
 	ok := check(x.deadline, forecast.Latency()+length, known)
-	x.record.Note("fits", "%d ms to the answer's head and %d ms from there (seen: %t): %t",
+	x.record.AddStep("fits", "%d ms to the answer's head and %d ms from there (seen: %t): %t",
 		forecast.Latency().Milliseconds(), length.Milliseconds(), known, ok)
 	return ok
 }
--- a/relay/forward.go
+++ b/relay/forward.go
@@ -117,7 +117,7 @@
 	use.End(route.OutcomeNeutral)
 	x.reportAbandoned(use)
 	x.learnDuration(x.relay.durations.learnTruncated)
-	x.record.Note("client left", "after event %q", x.lastEventID)
+	x.record.AddStep("client left", "after event %q", x.lastEventID)
 	return nil
 }
 
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -60,7 +60,7 @@
 		return &failure{reason: ReasonDeclined, retryAfter: resp.RetryAfter(), cause: http.StatusText(resp.Status())}
 	}
 	x.reportProgress(use, sent, resp)
-	x.record.Note("head", "after %d ms, expected %d, of it %d waiting; confidence %s of %s",
+	x.record.AddStep("head", "after %d ms, expected %d, of it %d waiting; confidence %s of %s",
 		time.Since(sent).Milliseconds(), use.ExpectedLatency().Milliseconds(), use.ExpectedWait().Milliseconds(), formatConfidence(resp), x.model())
 	x.headerReceived = time.Now()
 	use.RecordResponseStart()
@@ -154,13 +154,13 @@
 	}()
 	switch {
 	case !x.worthAsking(next, confidence):
-		x.record.Note("keep", "confidence %.0f of %s, but %s does not pay", confidence, x.model(), x.route.Models[next])
+		x.record.AddStep("keep", "confidence %.0f of %s, but %s does not pay", confidence, x.model(), x.route.Models[next])
 		return 0, false
 	case !x.relay.Budgets.Take(x.service, retryReserve):
-		x.record.Note("keep", "confidence %.0f of %s, but the budget for repeats is used up", confidence, x.model())
+		x.record.AddStep("keep", "confidence %.0f of %s, but the budget for repeats is used up", confidence, x.model())
 		return 0, false
 	}
-	x.record.Note("escalate", "confidence %.0f of %s", confidence, x.model())
+	x.record.AddStep("escalate", "confidence %.0f of %s", confidence, x.model())
 	x.relay.Counters.Escalated(x.route.Models[next])
 	return next, true
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -292,7 +292,7 @@
 	}
 	if refusal != nil {
 		r.Counters.Refused(refusal.reason, record.Account())
-		record.Note("refused", "%s", refusal.Error())
+		record.AddStep("refused", "%s", refusal.Error())
 		record.End("refused: " + refusal.reason.String())
 		w.Refuse(refusal)
 	}
@@ -317,7 +317,7 @@
 		account = owner.Name
 	}
 	record.SetAccount(account)
-	record.Note("route", "%s of version %d, at most %d tokens to make", matched.Name, c.Version(), q.Prompt.MaxOutput)
+	record.AddStep("route", "%s of version %d, at most %d tokens to make", matched.Name, c.Version(), q.Prompt.MaxOutput)
 	timeout := matched.Timeout
 	if q.TimeLeft > 0 {
 		timeout = min(timeout, q.TimeLeft)
--- a/relay/shutdown.go
+++ b/relay/shutdown.go
@@ -67,7 +67,7 @@
 		return
 	}
 	sinceSignal, untilEnd := x.request.Arrived.Sub(shutdown.signaled), shutdown.end.Sub(x.request.Arrived)
-	x.record.Note("leaving", "came %d ms after the signal, %d ms before the end", sinceSignal.Milliseconds(), untilEnd.Milliseconds())
+	x.record.AddStep("leaving", "came %d ms after the signal, %d ms before the end", sinceSignal.Milliseconds(), untilEnd.Milliseconds())
 }
 
 // shutdownRefusal returns the refusal of a request that this process can't complete before it
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -38,7 +38,7 @@
 		return false
 	}
 	x.testSent = true
-	x.record.Note("test", "content %016x is refused and sent to one server", x.contentDigest())
+	x.record.AddStep("test", "content %016x is refused and sent to one server", x.contentDigest())
 	return true
 }
 
@@ -50,7 +50,7 @@
 		return
 	}
 	x.relay.Suspects.ReportLost(x.contentDigest(), use.Server().Incarnation().Hash())
-	x.record.Note("lost", "at %s; content %016x, lost at %d servers", use.Server().ID, x.contentDigest(), x.relay.Suspects.Ends(x.contentDigest()))
+	x.record.AddStep("lost", "at %s; content %016x, lost at %d servers", use.Server().ID, x.contentDigest(), x.relay.Suspects.Ends(x.contentDigest()))
 }
 
 // delayAfterLoss is the delay between a lost attempt and the next one. Servers that crash
