--- a/accuracy/accuracy.go
+++ b/accuracy/accuracy.go
@@ -67,7 +67,7 @@
 
 // Table is what the decisions of a system's logs add up to.
 type Table struct {
-	models    map[string]*Model
+	models    map[string]*ModelStats
 	bands     []Band
 	decisions int
 	broken    int
@@ -76,7 +76,7 @@
 
 // New returns a table of no decisions.
 func New() *Table {
-	return &Table{models: make(map[string]*Model), bands: newBands()}
+	return &Table{models: make(map[string]*ModelStats), bands: newBands()}
 }
 
 // Read adds the decisions of one log. The name is for errors.
@@ -139,26 +139,26 @@
 
 // model returns the sums of a model, those of all others once too many are
 // named.
-func (t *Table) model(name string) *Model {
+func (t *Table) model(name string) *ModelStats {
 	if m := t.models[name]; m != nil {
 		return m
 	}
 	if len(t.models) >= maxModels && name != "" && name != others {
 		return t.model(others)
 	}
-	m := &Model{name: name}
+	m := &ModelStats{name: name}
 	t.models[name] = m
 	return m
 }
 
 // Models returns the sums of each model by its name, those of requests for
 // which the system chose none at the end.
-func (t *Table) Models() []*Model {
-	models := make([]*Model, 0, len(t.models))
+func (t *Table) Models() []*ModelStats {
+	models := make([]*ModelStats, 0, len(t.models))
 	for _, m := range t.models {
 		models = append(models, m)
 	}
-	slices.SortFunc(models, func(a, b *Model) int {
+	slices.SortFunc(models, func(a, b *ModelStats) int {
 		if (a.name == "") != (b.name == "") {
 			return strings.Compare(b.name, a.name)
 		}
@@ -167,15 +167,15 @@
 	return models
 }
 
-// Offers returns the offers of costlier models by bands of the confidence that
+// Escalations returns the offers of costlier models by bands of the confidence that
 // they would replace.
-func (t *Table) Offers() []Band { return slices.Clone(t.bands) }
+func (t *Table) Escalations() []Band { return slices.Clone(t.bands) }
 
 // Decisions returns how many decisions were read.
 func (t *Table) Decisions() int { return t.decisions }
 
-// Broken returns how many lines held a brace and no JSON, or were too long.
-func (t *Table) Broken() int { return t.broken }
+// BrokenLines returns how many lines held a brace and no JSON, or were too long.
+func (t *Table) BrokenLines() int { return t.broken }
 
-// Unread returns how many steps were not in the form that the relay writes.
-func (t *Table) Unread() int { return t.unread }
+// UnknownSteps returns how many steps were not in the form that the relay writes.
+func (t *Table) UnknownSteps() int { return t.unread }
--- a/accuracy/accuracy_test.go
+++ b/accuracy/accuracy_test.go
@@ -114,9 +114,9 @@
 			var got told
 			switch {
 			case answer != nil:
-				got = told{model: answer.Model(), came: answer.Came(), expected: answer.Expected(), waiting: answer.Waiting()}
+				got = told{model: answer.Model(), came: answer.Actual(), expected: answer.Expected(), waiting: answer.Waiting()}
 			case offer != nil:
-				got = told{model: offer.Model(), confidence: offer.Confidence(), pays: offer.Pays()}
+				got = told{model: offer.Model(), confidence: offer.Confidence(), pays: offer.Worthwhile()}
 			}
 			must.Eq(t, tt.want, got)
 		})
@@ -154,8 +154,8 @@
 			must.NoError(t, table.Read("log", strings.NewReader(tt.log)))
 			must.Eq(t, tt.decisions, table.Decisions())
 			must.Eq(t, tt.answers, answers(table))
-			must.Eq(t, tt.broken, table.Broken())
-			must.Eq(t, tt.unread, table.Unread())
+			must.Eq(t, tt.broken, table.BrokenLines())
+			must.Eq(t, tt.unread, table.UnknownSteps())
 		})
 	}
 }
@@ -164,7 +164,7 @@
 func answers(t *accuracy.Table) int {
 	n := 0
 	for _, m := range t.Models() {
-		n += m.Whole().Answers()
+		n += m.Total().Responses()
 	}
 	return n
 }
@@ -202,13 +202,13 @@
 				{Name: "head", Detail: "after 2 ms, expected 1, of it 0 waiting; confidence 3 of m"},
 				{Name: "offer", Detail: fmt.Sprintf("n for confidence %d: 1 ms, of it 0 waiting, 1 left: true", tt.confidence)},
 			})
-			for _, b := range table.Offers() {
+			for _, b := range table.Escalations() {
 				want := 0
 				if b.Name() == tt.want {
 					want = 1
 				}
-				must.Eq(t, want, b.Offers(), must.Sprint(b.Name()))
-				must.Eq(t, want, b.Paid(), must.Sprint(b.Name()))
+				must.Eq(t, want, b.Escalations(), must.Sprint(b.Name()))
+				must.Eq(t, want, b.Worthwhile(), must.Sprint(b.Name()))
 			}
 		})
 	}
@@ -225,7 +225,7 @@
 	must.Eq(t, 1001, answers(table))
 	must.Eq(t, 258, len(table.Models()))
 	must.Eq(t, "", table.Models()[257].Name())
-	must.Eq(t, 1, table.Models()[257].Whole().Answers())
+	must.Eq(t, 1, table.Models()[257].Total().Responses())
 }
 
 // FuzzRead: the table is the same however the log is cut to pieces, holds only
@@ -244,11 +244,11 @@
 		must.NoError(t, bytewise.Print(&again))
 		must.Eq(t, printed.String(), again.String())
 		for _, m := range whole.Models() {
-			s := m.Whole()
-			must.Positive(t, s.Answers())
+			s := m.Total()
+			must.Positive(t, s.Responses())
 			must.Between(t, 0, s.Expected(), 1e15)
-			must.Between(t, 0, s.Came(), 1e15)
-			must.Between(t, 0, s.Late(), 1)
+			must.Between(t, 0, s.Actual(), 1e15)
+			must.Between(t, 0, s.LateShare(), 1)
 		}
 		followed := accuracy.New()
 		must.NoError(t, followed.Read("log", strings.NewReader(log+"\n"+head)))
--- a/accuracy/print.go
+++ b/accuracy/print.go
@@ -41,22 +41,22 @@
 
 // printModel writes a model's lines: all its answers, then the parts that there
 // are by what waited.
-func (p *printer) printModel(m *Model) {
+func (p *printer) printModel(m *ModelStats) {
 	name := m.name
 	if name == "" {
 		name = plain
 	}
-	p.printSums(name, "all", m.Whole())
+	p.printSums(name, "all", m.Total())
 	for _, w := range WaitingValues() {
-		if s := m.Part(w); s.Answers() > 0 {
+		if s := m.ByWaiting(w); s.Responses() > 0 {
 			p.printSums("", w.String(), s)
 		}
 	}
 }
 
 func (p *printer) printSums(name, waiting string, s Sums) {
-	p.printf("%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\n", name, waiting, s.Answers(), figure("%.0f", s.Expected()),
-		figure("%.0f", s.Came()), figure("%.2f", s.Error()), figure("%+.2f", s.Bias()), figure("%.3f", s.Late()))
+	p.printf("%s\t%s\t%d\t%s\t%s\t%s\t%s\t%s\n", name, waiting, s.Responses(), figure("%.0f", s.Expected()),
+		figure("%.0f", s.Actual()), figure("%.2f", s.RelativeError()), figure("%+.2f", s.Bias()), figure("%.3f", s.LateShare()))
 }
 
 // figure shows a value, or a dash where there was nothing to divide by.
--- a/accuracy/step.go
+++ b/accuracy/step.go
@@ -24,23 +24,23 @@
 	offerForm = regexp.MustCompile(`^(.*) for confidence (-?\d{1,15}): \d+ ms, of it \d+ waiting, -?\d+ left: (true|false)$`)
 )
 
-// Answer is what a "head" step tells. Times are in milliseconds.
-type Answer struct {
+// Response is what a "head" step tells. Times are in milliseconds.
+type Response struct {
 	model                 string
 	came, expected, waits float64
 }
 
 // Model returns the model that the system chose, "" if it chose none.
-func (a *Answer) Model() string { return a.model }
+func (a *Response) Model() string { return a.model }
 
-// Came returns after how many milliseconds the answer began.
-func (a *Answer) Came() float64 { return a.came }
+// Actual returns after how many milliseconds the answer began.
+func (a *Response) Actual() float64 { return a.came }
 
 // Expected returns after how many it was expected to.
-func (a *Answer) Expected() float64 { return a.expected }
+func (a *Response) Expected() float64 { return a.expected }
 
 // Waiting returns how much of that the request would wait.
-func (a *Answer) Waiting() Waiting {
+func (a *Response) Waiting() Waiting {
 	switch {
 	case a.waits == 0:
 		return WaitingNothing
@@ -51,38 +51,38 @@
 	}
 }
 
-// Offer is what an "offer" step tells.
-type Offer struct {
+// Escalation is what an "offer" step tells.
+type Escalation struct {
 	model      string
 	confidence float64
 	pays       bool
 }
 
 // Model returns the costlier model.
-func (o *Offer) Model() string { return o.model }
+func (o *Escalation) Model() string { return o.model }
 
 // Confidence returns that of the answer which would be replaced.
-func (o *Offer) Confidence() float64 { return o.confidence }
+func (o *Escalation) Confidence() float64 { return o.confidence }
 
-// Pays reports whether asking the model paid.
-func (o *Offer) Pays() bool { return o.pays }
+// Worthwhile reports whether asking the model paid.
+func (o *Escalation) Worthwhile() bool { return o.pays }
 
 // ParseStep reads what a step tells of an answer or of an offer. Both are nil
 // for steps that tell of neither.
-func ParseStep(step decision.Step) (*Answer, *Offer, error) {
+func ParseStep(step decision.Step) (*Response, *Escalation, error) {
 	switch step.Name {
 	case stepHead:
 		m := headForm.FindStringSubmatch(step.Detail)
 		if m == nil {
 			return nil, nil, malformed(step)
 		}
-		return &Answer{model: m[4], came: number(m[1]), expected: number(m[2]), waits: number(m[3])}, nil, nil
+		return &Response{model: m[4], came: number(m[1]), expected: number(m[2]), waits: number(m[3])}, nil, nil
 	case stepOffer:
 		m := offerForm.FindStringSubmatch(step.Detail)
 		if m == nil {
 			return nil, nil, malformed(step)
 		}
-		return nil, &Offer{model: m[1], confidence: number(m[2]), pays: m[3] == "true"}, nil
+		return nil, &Escalation{model: m[1], confidence: number(m[2]), pays: m[3] == "true"}, nil
 	default:
 		return nil, nil, nil
 	}
--- a/accuracy/sums.go
+++ b/accuracy/sums.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// Model is how good the estimates of one model's answers were.
-type Model struct {
+// ModelStats is how good the estimates of one model's answers were.
+type ModelStats struct {
 	name  string
 	parts [WaitingMore + 1]Sums
 }
 
-func (m *Model) add(a *Answer) { m.parts[a.Waiting()].add(a) }
+func (m *ModelStats) add(a *Response) { m.parts[a.Waiting()].add(a) }
 
 // Name returns the model's name, "" for requests for which the system chose
 // none.
-func (m *Model) Name() string { return m.name }
+func (m *ModelStats) Name() string { return m.name }
 
-// Part returns the sums of the answers that were expected to wait so long.
-func (m *Model) Part(w Waiting) Sums { return m.parts[w] }
+// ByWaiting returns the sums of the answers that were expected to wait so long.
+func (m *ModelStats) ByWaiting(w Waiting) Sums { return m.parts[w] }
 
-// Whole returns the sums of all answers.
-func (m *Model) Whole() Sums {
+// Total returns the sums of all answers.
+func (m *ModelStats) Total() Sums {
 	var whole Sums
 	for _, s := range m.parts {
 		whole.answers += s.answers
@@ -38,7 +38,7 @@
 	expected, came, off float64
 }
 
-func (s *Sums) add(a *Answer) {
+func (s *Sums) add(a *Response) {
 	s.answers++
 	s.expected += a.expected
 	s.came += a.came
@@ -48,24 +48,24 @@
 	}
 }
 
-// Answers returns how many answers there are.
-func (s Sums) Answers() int { return s.answers }
+// Responses returns how many answers there are.
+func (s Sums) Responses() int { return s.answers }
 
 // Expected returns the mean time that was expected, in milliseconds.
 func (s Sums) Expected() float64 { return s.expected / float64(s.answers) }
 
-// Came returns the mean time after which answers began, in milliseconds.
-func (s Sums) Came() float64 { return s.came / float64(s.answers) }
+// Actual returns the mean time after which answers began, in milliseconds.
+func (s Sums) Actual() float64 { return s.came / float64(s.answers) }
 
-// Error returns the sum of |came - expected| over the sum of came.
-func (s Sums) Error() float64 { return s.off / s.came }
+// RelativeError returns the sum of |came - expected| over the sum of came.
+func (s Sums) RelativeError() float64 { return s.off / s.came }
 
 // Bias returns the sum of came - expected over the sum of came: above zero if
 // answers come later than expected.
 func (s Sums) Bias() float64 { return (s.came - s.expected) / s.came }
 
-// Late returns the share of the answers that came later than twice the expected.
-func (s Sums) Late() float64 { return float64(s.late) / float64(s.answers) }
+// LateShare returns the share of the answers that came later than twice the expected.
+func (s Sums) LateShare() float64 { return float64(s.late) / float64(s.answers) }
 
 // Band is the offers of costlier models in place of answers of some confidence.
 type Band struct {
@@ -110,8 +110,8 @@
 // Name returns the band's confidences as they are shown.
 func (b Band) Name() string { return b.name }
 
-// Offers returns how many offers were weighed.
-func (b Band) Offers() int { return b.offers }
+// Escalations returns how many offers were weighed.
+func (b Band) Escalations() int { return b.offers }
 
-// Paid returns how many of them paid.
-func (b Band) Paid() int { return b.paid }
+// Worthwhile returns how many of them paid.
+func (b Band) Worthwhile() int { return b.paid }
--- a/command/estimates.go
+++ b/command/estimates.go
@@ -13,7 +13,7 @@
 type logTable interface {
 	Read(name string, log io.Reader) error
 	Print(w io.Writer) error
-	Broken() int
+	BrokenLines() int
 }
 
 // estimates needs no node: it reads logs alone.
@@ -35,7 +35,7 @@
 		return ExitFailure
 	}
 	if !held() {
-		fmt.Fprintf(r.stderr, "no %s in these logs; %d broken lines\n", what, table.Broken())
+		fmt.Fprintf(r.stderr, "no %s in these logs; %d broken lines\n", what, table.BrokenLines())
 		return ExitFailure
 	}
 	if err := table.Print(r.stdout); err != nil {
--- a/control/control.go
+++ b/control/control.go
@@ -35,8 +35,8 @@
 	Malformed = namespace.NewType("malformed")
 )
 
-// Shared changes the configuration at the platform and puts it in force.
-type Shared interface {
+// DocumentStore changes the configuration at the platform and puts it in force.
+type DocumentStore interface {
 	Update(ctx context.Context, name string, change func(old []byte) ([]byte, error)) (document.Item, error)
 }
 
@@ -63,7 +63,7 @@
 
 // Apply puts a checked change in force. The source must have passed
 // config.Parse.
-func Apply(ctx context.Context, shared Shared, name string, c Change, now time.Time) (Result, error) {
+func Apply(ctx context.Context, shared DocumentStore, name string, c Change, now time.Time) (Result, error) {
 	var before config.Document
 	_, err := shared.Update(ctx, name, func(old []byte) ([]byte, error) {
 		var err error
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -164,7 +164,7 @@
 func (g *Gateway) makeRollouts() {
 	g.picker = rollout.NewPicker()
 	g.services = rollout.NewServices(g.picker, canaryMargin*g.settings.Bounds.CanaryShare)
-	g.leases = lease.New(driverLease, g.self.ID, g.store, g.timers, leaseTime, lease.WithCandidates(g.mayDrive))
+	g.leases = lease.New(driverLease, g.self.ID, g.store, g.timers, leaseTime, lease.WithEligibility(g.mayDrive))
 	g.driver = rollout.NewDriver(stagesKey, stages{g}, collector{g}, g.leases, g.services.Models, g.timers)
 }
 
--- a/lag/lag.go
+++ b/lag/lag.go
@@ -140,30 +140,30 @@
 	}
 }
 
-// Learned is how late one node was with one piece of news.
-type Learned struct {
+// Sample is how late one node was with one piece of news.
+type Sample struct {
 	kind Kind
 	node string
 	late time.Duration
 }
 
 // Kind is what it learned, Node which one it is, Late how long after the first node.
-func (l Learned) Kind() Kind          { return l.kind }
-func (l Learned) Node() string        { return l.node }
-func (l Learned) Late() time.Duration { return l.late }
+func (l Sample) Kind() Kind         { return l.kind }
+func (l Sample) Node() string       { return l.node }
+func (l Sample) Lag() time.Duration { return l.late }
 
-// Learned returns what nodes learned while they ran, the latest last.
-func (t *Table) Learned() []Learned {
-	var all []Learned
+// Samples returns what nodes learned while they ran, the latest last.
+func (t *Table) Samples() []Sample {
+	var all []Sample
 	for n, nodes := range t.learned {
 		first := earliest(nodes)
 		for node, at := range nodes {
 			if !t.startedBetween(node, first, at) {
-				all = append(all, Learned{n.kind, node, at.Sub(first)})
+				all = append(all, Sample{n.kind, node, at.Sub(first)})
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b Learned) int { return cmp.Compare(a.late, b.late) })
+	slices.SortFunc(all, func(a, b Sample) int { return cmp.Compare(a.late, b.late) })
 	return all
 }
 
@@ -185,5 +185,5 @@
 // Changes returns how many changes of the store nodes learned of.
 func (t *Table) Changes() int { return len(t.learned) }
 
-// Broken returns how many lines held a brace and no JSON, or were too long.
-func (t *Table) Broken() int { return t.broken }
+// BrokenLines returns how many lines held a brace and no JSON, or were too long.
+func (t *Table) BrokenLines() int { return t.broken }
--- a/lag/lag_test.go
+++ b/lag/lag_test.go
@@ -62,8 +62,8 @@
 	f.Fuzz(func(t *testing.T, log string) {
 		table := lag.New()
 		must.NoError(t, table.Read("log", strings.NewReader(log)))
-		for _, l := range table.Learned() {
-			must.True(t, l.Late() >= 0)
+		for _, l := range table.Samples() {
+			must.True(t, l.Lag() >= 0)
 		}
 	})
 }
--- a/lag/print.go
+++ b/lag/print.go
@@ -16,7 +16,7 @@
 
 // Print writes how late nodes were by kind of news, and the nodes that were latest.
 func (t *Table) Print(w io.Writer) error {
-	all := t.Learned()
+	all := t.Samples()
 	byKind, byNode := make(map[string][]time.Duration), make(map[string][]time.Duration)
 	for _, l := range all {
 		byKind[l.kind.String()] = append(byKind[l.kind.String()], l.late)
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -60,9 +60,9 @@
 // Option changes a Holder as New makes it.
 type Option func(*Holder)
 
-// WithCandidates lets a node compete only while wanted reports true, so that
+// WithEligibility lets a node compete only while wanted reports true, so that
 // not every node of a large fleet asks the platform.
-func WithCandidates(wanted func() bool) Option { return func(h *Holder) { h.wanted = wanted } }
+func WithEligibility(wanted func() bool) Option { return func(h *Holder) { h.wanted = wanted } }
 
 // New returns a holder that does not hold the lease yet.
 func New(name, self string, store Store, timers *timer.Service, ttl time.Duration, options ...Option) *Holder {
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -193,7 +193,7 @@
 func TestSuspendedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asleep := time.Duration(0)
-		timers := timer.New(timer.WithSuspended(func() time.Duration { return asleep }))
+		timers := timer.New(timer.WithSuspendedTime(func() time.Duration { return asleep }))
 		defer timers.Close()
 		ctx, cancel := context.WithCancel(t.Context())
 		holder := lease.New("driver", "a", &service{}, timers, ttl)
--- a/member/member.go
+++ b/member/member.go
@@ -39,19 +39,19 @@
 	StatusFaulty
 )
 
-// Rumor is news of one member. Life is raised by the member itself alone, to
+// Update is news of one member. Life is raised by the member itself alone, to
 // refute a suspicion.
-type Rumor struct {
-	ID     string `cbor:"1,keyasint"`
-	Status Status `cbor:"2,keyasint"`
-	Life   uint64 `cbor:"3,keyasint"`
+type Update struct {
+	ID          string `cbor:"1,keyasint"`
+	Status      Status `cbor:"2,keyasint"`
+	Incarnation uint64 `cbor:"3,keyasint"`
 }
 
 // Heartbeat is sent with each probe and with each answer to one.
 type Heartbeat struct {
 	From      string           `cbor:"1,keyasint"`
 	Peer      string           `cbor:"2,keyasint"`
-	Rumors    []Rumor          `cbor:"3,keyasint"`
+	Updates   []Update         `cbor:"3,keyasint"`
 	Revisions map[string]int64 `cbor:"4,keyasint"`
 	// Folded is the sequence up to which the bills of the sender's journal
 	// are kept elsewhere (package ledger).
@@ -123,7 +123,7 @@
 
 // pending is a rumor that still has to be passed on.
 type pending struct {
-	rumor Rumor
+	rumor Update
 	sends int
 }
 
@@ -218,7 +218,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if peer := p.peers[target.ID]; peer != nil && peer.status < StatusSuspect {
-		p.believe(peer, Rumor{ID: target.ID, Status: StatusSuspect, Life: peer.life})
+		p.believe(peer, Update{ID: target.ID, Status: StatusSuspect, Incarnation: peer.life})
 	}
 }
 
@@ -264,20 +264,20 @@
 
 func (p *Prober) receive(h Heartbeat) {
 	p.mu.Lock()
-	for _, r := range h.Rumors {
+	for _, r := range h.Updates {
 		p.hear(r)
 	}
 	// A peer that speaks is there; what is suspected of it, it will refute
 	// itself as soon as it hears of it.
 	if peer := p.peers[h.From]; peer != nil && peer.status >= StatusSuspect {
-		p.spread(Rumor{ID: h.From, Status: peer.status, Life: peer.life})
+		p.spread(Update{ID: h.From, Status: peer.status, Incarnation: peer.life})
 	}
 	p.mu.Unlock()
 	p.heard(h)
 }
 
 // hear weighs one rumor against the present opinion.
-func (p *Prober) hear(r Rumor) {
+func (p *Prober) hear(r Update) {
 	if r.ID == p.self.ID {
 		p.refute(r)
 		return
@@ -286,34 +286,34 @@
 	if peer == nil {
 		return
 	}
-	if r.Life > peer.life || (r.Life == peer.life && r.Status > peer.status) {
+	if r.Incarnation > peer.life || (r.Incarnation == peer.life && r.Status > peer.status) {
 		p.believe(peer, r)
 	}
 }
 
 // refute answers a wrong rumor of this node with a higher life.
-func (p *Prober) refute(r Rumor) {
-	if r.Life < p.life || r.Status < StatusSuspect {
+func (p *Prober) refute(r Update) {
+	if r.Incarnation < p.life || r.Status < StatusSuspect {
 		return
 	}
-	p.life = r.Life + 1
+	p.life = r.Incarnation + 1
 	p.spread(p.own())
 }
 
-func (p *Prober) own() Rumor {
+func (p *Prober) own() Update {
 	status := StatusAlive
 	if p.leaving {
 		status = StatusLeaving
 	}
-	return Rumor{ID: p.self.ID, Status: status, Life: p.life}
+	return Update{ID: p.self.ID, Status: status, Incarnation: p.life}
 }
 
-func (p *Prober) believe(peer *peer, r Rumor) {
+func (p *Prober) believe(peer *peer, r Update) {
 	if peer.status != r.Status {
 		peer.since = p.timers.Now()
 		p.count(r.Status)
 	}
-	peer.status, peer.life = r.Status, r.Life
+	peer.status, peer.life = r.Status, r.Incarnation
 	p.spread(r)
 }
 
@@ -324,13 +324,13 @@
 	deadline := p.timers.Now().Add(-suspicionRounds * p.interval)
 	for id, peer := range p.peers {
 		if peer.status == StatusSuspect && peer.since.Before(deadline) {
-			p.believe(peer, Rumor{ID: id, Status: StatusFaulty, Life: peer.life})
+			p.believe(peer, Update{ID: id, Status: StatusFaulty, Incarnation: peer.life})
 		}
 	}
 }
 
 // spread queues a rumor in place of an older one of the same member.
-func (p *Prober) spread(r Rumor) {
+func (p *Prober) spread(r Update) {
 	sends := rumorSends
 	for n := len(p.peers); n > 0; n /= 2 {
 		sends += rumorSends
@@ -349,11 +349,11 @@
 	p.mu.Lock()
 	// The own rumor goes along each time: it costs a few bytes and brings a
 	// leaving node out of the answers at once.
-	h.Rumors = append(h.Rumors, p.own())
+	h.Updates = append(h.Updates, p.own())
 	kept := p.rumors[:0]
 	for _, queued := range p.rumors {
-		if len(h.Rumors) < rumorsPerProbe {
-			h.Rumors = append(h.Rumors, queued.rumor)
+		if len(h.Updates) < rumorsPerProbe {
+			h.Updates = append(h.Updates, queued.rumor)
 			queued.sends--
 		}
 		if queued.sends > 0 {
@@ -409,15 +409,15 @@
 	return peer.since, peer.status == StatusFaulty
 }
 
-// Reaches reports whether a peer reaches this node.
-func (p *Prober) Reaches(ctx context.Context, via view.Member) bool {
+// ReachableFrom reports whether a peer reaches this node.
+func (p *Prober) ReachableFrom(ctx context.Context, via view.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, p.interval)
 	defer cancel()
 	return p.transport.ProbeVia(ctx, via.Peer, p.self.Peer) == nil
 }
 
-// Answers reports whether a member is neither suspected nor faulty.
-func (p *Prober) Answers(id string) bool {
+// Responsive reports whether a member is neither suspected nor faulty.
+func (p *Prober) Responsive(id string) bool {
 	status, _ := p.Status(id)
 	return status < StatusSuspect
 }
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -126,7 +126,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, _ := run(t)
 		asleep := time.Duration(0)
-		timers := timer.New(timer.WithSuspended(func() time.Duration { return asleep }))
+		timers := timer.New(timer.WithSuspendedTime(func() time.Duration { return asleep }))
 		defer timers.Close()
 		store := newStore()
 		store.put("a", false)
--- a/node/node.go
+++ b/node/node.go
@@ -195,7 +195,7 @@
 	n.picker = rollout.NewPicker()
 	n.spreader.Subscribe(spread.Rollouts, n.takeRollouts)
 	n.leases = lease.New(driverLease, n.self.ID, n.store, n.timers, settings.Millis(s.Times.LeaseMillis),
-		lease.WithCandidates(n.mayDrive))
+		lease.WithEligibility(n.mayDrive))
 	n.driver = rollout.NewDriver(spread.Rollouts, n.spreader, collector{n}, n.leases, func() []config.Model { return n.Config().Models() }, n.timers)
 	engines := engine.New(engine.WithMaxBytes(s.Bounds.AnswerBytes))
 	chooser := route.New(n.self.ID,
--- a/node/peers.go
+++ b/node/peers.go
@@ -120,7 +120,7 @@
 	return h.n.client.Cancel(ctx, holder, attempt)
 }
 
-func (h holders) Answers(id string) bool { return h.n.prober.Answers(id) }
+func (h holders) Answers(id string) bool { return h.n.prober.Responsive(id) }
 
 func (h holders) Gone(id string) bool {
 	status, _ := h.n.prober.Status(id)
@@ -259,7 +259,7 @@
 		if m.ID == n.self.ID {
 			return true
 		}
-		if n.prober.Answers(m.ID) {
+		if n.prober.Responsive(m.ID) {
 			return false
 		}
 	}
--- a/relay/estimates_test.go
+++ b/relay/estimates_test.go
@@ -37,16 +37,16 @@
 			must.True(t, ok)
 			table := accuracy.New()
 			table.Add(summary.Steps)
-			must.Zero(t, table.Unread(), must.Sprint(summary.Steps))
+			must.Zero(t, table.UnknownSteps(), must.Sprint(summary.Steps))
 			var models []string
 			for _, m := range table.Models() {
 				models = append(models, m.Name())
-				must.Eq(t, 1, m.Whole().Answers())
+				must.Eq(t, 1, m.Total().Responses())
 			}
 			must.Eq(t, tt.models, models)
-			for _, b := range table.Offers() {
-				must.Eq(t, tt.offers[b.Name()], b.Offers(), must.Sprint(b.Name()))
-				must.Eq(t, tt.offers[b.Name()], b.Paid(), must.Sprint(b.Name()))
+			for _, b := range table.Escalations() {
+				must.Eq(t, tt.offers[b.Name()], b.Escalations(), must.Sprint(b.Name()))
+				must.Eq(t, tt.offers[b.Name()], b.Worthwhile(), must.Sprint(b.Name()))
 			}
 		})
 	}
--- a/session/session.go
+++ b/session/session.go
@@ -32,10 +32,10 @@
 )
 
 const (
-	// Life of a pin since its last use.
-	Life = 30 * time.Minute
+	// PinTTL of a pin since its last use.
+	PinTTL = 30 * time.Minute
 	// extendAfter is the age at which a pin in use is extended.
-	extendAfter    = Life / 3
+	extendAfter    = PinTTL / 3
 	maxGenerations = 16
 	// cacheMax bounds the pins that a node remembers.
 	cacheMax = 20_000
@@ -118,7 +118,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	known := p.known[name]
-	if known == nil || p.timers.Now().Sub(known.extended) > Life {
+	if known == nil || p.timers.Now().Sub(known.extended) > PinTTL {
 		return nil
 	}
 	return known
@@ -146,7 +146,7 @@
 		Token:   p.token(),
 		Holder:  p.holder,
 		State:   claim.StateDone,
-		Expires: now.Add(Life),
+		Expires: now.Add(PinTTL),
 	}
 	version, err := r.Pick()
 	if err != nil {
@@ -185,6 +185,6 @@
 	}
 	known.extended = now
 	e := known.entry
-	e.Expires = now.Add(Life)
+	e.Expires = now.Add(PinTTL)
 	go p.claims.Advance(context.Background(), e)
 }
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -54,8 +54,8 @@
 // Option changes a Service as New makes it.
 type Option func(*Service)
 
-// WithSuspended sets what tells for how long the machine has been suspended so far.
-func WithSuspended(suspended func() time.Duration) Option {
+// WithSuspendedTime sets what tells for how long the machine has been suspended so far.
+func WithSuspendedTime(suspended func() time.Duration) Option {
 	return func(s *Service) { s.suspended = suspended }
 }
 
--- a/timer/timer_test.go
+++ b/timer/timer_test.go
@@ -15,7 +15,7 @@
 func TestSteadyCountsSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asleep := time.Hour // before this process
-		timers := timer.New(timer.WithSuspended(func() time.Duration { return asleep }))
+		timers := timer.New(timer.WithSuspendedTime(func() time.Duration { return asleep }))
 		defer timers.Close()
 		begun := timers.Steady()
 		for _, tt := range []struct{ asleep, runs, want time.Duration }{
--- a/view/keeper.go
+++ b/view/keeper.go
@@ -26,8 +26,8 @@
 	// RegionRank returns this node's place among the answering members of its
 	// region.
 	RegionRank() int
-	// Reaches reports whether a peer reaches this node.
-	Reaches(ctx context.Context, via Member) bool
+	// ReachableFrom reports whether a peer reaches this node.
+	ReachableFrom(ctx context.Context, via Member) bool
 }
 
 // VMList is the platform's list, which lags.
@@ -171,7 +171,7 @@
 		return true
 	}
 	for _, m := range alive {
-		if k.opinions.Reaches(ctx, m) {
+		if k.opinions.ReachableFrom(ctx, m) {
 			return true
 		}
 	}
