--- a/lease/lease.go
+++ b/lease/lease.go
@@ -1,12 +1,12 @@
-// Package lease picks one node for work that needs a single actor, such as
-// driving a roll-out or ordering model loads.
+// Package lease elects one node for work that needs a single actor, such as
+// driving a rollout or ordering model loads.
 //
-// A lease is a key at the platform that is bound to an etcd lease. The
-// revision at which the key was written is the fencing token: it grows with
-// every holder, and every effect carries it. A holder may be paused and
-// unaware that its lease lapsed, so it trusts the lease only for as long as
-// it surely lasts, counted from before the call that renewed it; what that
-// cannot rule out, the token does.
+// A lease is a key in the platform's store that is bound to an etcd lease. The
+// revision at which the key was written is the fencing token: it increases
+// with every holder and is sent along with every operation. A paused holder
+// may not notice that its lease expired, so a holder relies on the lease only
+// for its TTL counted from before the call that renewed it. The fencing token
+// covers the remaining cases.
 //
 // # Usage
 //
@@ -26,10 +26,10 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// Prefix starts the keys of all leases at the platform.
+// Prefix is the key prefix of all leases in the platform's store.
 const Prefix = "lease/"
 
-// Store is what the package needs of the key-value service.
+// Store is the part of the key-value service that the package uses.
 type Store interface {
 	Get(ctx context.Context, key string) (data []byte, revision int64, err error)
 	SwapLeased(ctx context.Context, key string, data []byte, expected, lease int64) (revision int64, won bool, err error)
@@ -38,41 +38,44 @@
 	Revoke(ctx context.Context, lease int64) error
 }
 
-// renewals is how often a lease is renewed within its life.
-const renewals = 3
+// renewalsPerTTL is how often a lease is renewed within its TTL.
+const renewalsPerTTL = 3
 
 // Holder competes for one lease. It is safe for concurrent use.
 type Holder struct {
-	name   string
-	self   string
-	store  Store
-	timers *timer.Service
-	ttl    time.Duration
-	wanted func() bool
-
-	mu    sync.Mutex
-	id    int64
-	token int64
-	until time.Time
-	since time.Time
+	name     string
+	self     string
+	store    Store
+	timers   *timer.Service
+	ttl      time.Duration
+	eligible func() bool
+
+	mu         sync.Mutex
+	id         int64
+	token      int64
+	validUntil time.Time
+	acquiredAt time.Time
 }
 
-// Option changes a Holder as New makes it.
+// Option configures a Holder in New.
 type Option func(*Holder)
 
-// WithEligibility lets a node compete only while wanted reports true, so that
-// not every node of a large fleet asks the platform.
-func WithEligibility(wanted func() bool) Option { return func(h *Holder) { h.wanted = wanted } }
+// WithEligibility lets a node compete only while eligible reports true, so that
+// not every node of a large fleet polls the platform.
+func WithEligibility(eligible func() bool) Option {
+	return func(h *Holder) { h.eligible = eligible }
+}
 
-// New returns a holder that does not hold the lease yet.
+// New returns a holder that does not hold the lease yet. The name identifies the
+// lease, self the node.
 func New(name, self string, store Store, timers *timer.Service, ttl time.Duration, options ...Option) *Holder {
 	h := &Holder{
-		name:   name,
-		self:   self,
-		store:  store,
-		timers: timers,
-		ttl:    ttl,
-		wanted: func() bool { return true },
+		name:     name,
+		self:     self,
+		store:    store,
+		timers:   timers,
+		ttl:      ttl,
+		eligible: func() bool { return true },
 	}
 	for _, option := range options {
 		option(h)
@@ -80,34 +83,36 @@
 	return h
 }
 
-// Held returns the fencing token if the lease surely lasts for another d.
+// Held returns the fencing token, and whether the lease is certain to remain
+// valid for another d.
 func (h *Holder) Held(d time.Duration) (token int64, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.token, h.token != 0 && h.timers.Steady().Add(d).Before(h.until)
+	return h.token, h.token != 0 && h.timers.Steady().Add(d).Before(h.validUntil)
 }
 
-// HeldFor returns how long the lease has been held without a gap. A new
-// holder waits this way for the last order of the one before.
+// HeldFor returns how long the lease has been held without interruption, or
+// zero if it is not held. A new holder uses it to wait until the last operation
+// of the previous holder is over.
 func (h *Holder) HeldFor() time.Duration {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.token == 0 {
 		return 0
 	}
-	return h.timers.Steady().Sub(h.since)
+	return h.timers.Steady().Sub(h.acquiredAt)
 }
 
 // Run competes for the lease and renews it until the context ends, then
-// gives it up.
+// revokes it.
 func (h *Holder) Run(ctx context.Context) {
-	ticks := h.timers.Subscribe(h.ttl / renewals)
+	ticks := h.timers.Subscribe(h.ttl / renewalsPerTTL)
 	defer ticks.Stop()
 	for {
 		h.step(ctx)
 		select {
 		case <-ctx.Done():
-			h.giveUp()
+			h.release()
 			return
 		case <-ticks.C():
 		}
@@ -121,13 +126,13 @@
 	switch {
 	case token != 0:
 		h.renew(ctx, id)
-	case h.wanted():
+	case h.eligible():
 		h.acquire(ctx)
 	}
 }
 
-// renew counts the lease's life from before the call, since the service may
-// have renewed it at any moment of the call.
+// renew counts the TTL from before the call, since the service may have renewed
+// the lease at any moment during the call.
 func (h *Holder) renew(ctx context.Context, id int64) {
 	start := h.timers.Steady()
 	alive, err := h.store.KeepAlive(ctx, id)
@@ -135,11 +140,11 @@
 	defer h.mu.Unlock()
 	switch {
 	case err == nil && alive:
-		h.until = start.Add(h.ttl)
+		h.validUntil = start.Add(h.ttl)
 	case err == nil:
-		slog.Warn("lease lapsed", "lease", h.name)
+		slog.Warn("lease expired", "lease", h.name)
 		h.token, h.id = 0, 0
-	case h.timers.Steady().After(h.until):
+	case h.timers.Steady().After(h.validUntil):
 		h.token, h.id = 0, 0
 	}
 }
@@ -156,18 +161,18 @@
 	}
 	token, won, err := h.store.SwapLeased(ctx, Prefix+h.name, []byte(h.self), 0, id)
 	if err != nil || !won {
-		// After a lost answer the key may be ours; it goes with its lease,
-		// which nobody renews.
+		// The response may have been lost after the key was written. Revoking
+		// the etcd lease deletes the key.
 		h.revoke(id)
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.id, h.token, h.until, h.since = id, token, start.Add(h.ttl), h.timers.Steady()
+	h.id, h.token, h.validUntil, h.acquiredAt = id, token, start.Add(h.ttl), h.timers.Steady()
 	slog.Info("lease acquired", "lease", h.name, "token", token)
 }
 
-func (h *Holder) giveUp() {
+func (h *Holder) release() {
 	h.mu.Lock()
 	id := h.id
 	h.id, h.token = 0, 0
@@ -177,10 +182,11 @@
 	}
 }
 
-// revokeTimeout bounds a call that may be a node's last one.
+// revokeTimeout bounds a call that is also made during the node's shutdown.
 const revokeTimeout = time.Second
 
-// revoke ends a lease, also where the node stops: the context of Run is over then.
+// revoke ends a lease. It uses its own context, since that of Run is canceled
+// while the node shuts down.
 func (h *Holder) revoke(id int64) {
 	ctx, cancel := context.WithTimeout(context.Background(), revokeTimeout)
 	defer cancel()
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -17,14 +17,15 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// TestContract holds the etcd adapter to the stand-in, fault by fault.
+// TestContract runs the etcd adapter against the in-memory etcd server, with the
+// first of two endpoints unreachable.
 func TestContract(t *testing.T) {
 	server := httptest.NewServer(standin.NewKeyValue().Handler())
 	defer server.Close()
 	c := etcd.New([]string{"http://127.0.0.1:1", server.URL}, "p/")
 	ctx := t.Context()
 	_, _, err := c.Get(ctx, "k")
-	must.Error(t, err, must.Sprint("the first endpoint is dead"))
+	must.Error(t, err, must.Sprint("the first endpoint is unreachable"))
 
 	revision, won, err := c.Swap(ctx, "k", []byte("one"), 0)
 	must.NoError(t, err)
@@ -57,8 +58,8 @@
 	must.False(t, alive)
 }
 
-// service is a lease service in memory, in the bubble's time.
-type service struct {
+// memoryStore is an in-memory store of one lease, on the clock of the synctest bubble.
+type memoryStore struct {
 	mu      sync.Mutex
 	holder  string
 	token   int64
@@ -67,26 +68,26 @@
 	down    bool
 }
 
-var errDown = errors.New("down")
+var errUnavailable = errors.New("down")
 
-func (s *service) set(change func()) {
+func (s *memoryStore) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-func (s *service) lapse() {
+func (s *memoryStore) expire() {
 	if s.holder != "" && time.Now().After(s.expires) {
 		s.holder = ""
 	}
 }
 
-func (s *service) Get(context.Context, string) ([]byte, int64, error) {
+func (s *memoryStore) Get(context.Context, string) ([]byte, int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expire()
 	if s.down {
-		return nil, 0, errDown
+		return nil, 0, errUnavailable
 	}
 	if s.holder == "" {
 		return nil, 0, nil
@@ -94,10 +95,10 @@
 	return []byte(s.holder), s.token, nil
 }
 
-func (s *service) SwapLeased(_ context.Context, _ string, data []byte, _, id int64) (int64, bool, error) {
+func (s *memoryStore) SwapLeased(_ context.Context, _ string, data []byte, _, id int64) (int64, bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expire()
 	if s.down || s.holder != "" {
 		return 0, false, nil
 	}
@@ -106,18 +107,18 @@
 	return s.token, true, nil
 }
 
-func (s *service) Grant(context.Context, time.Duration) (int64, error) {
+func (s *memoryStore) Grant(context.Context, time.Duration) (int64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.token + 100, nil
 }
 
-func (s *service) KeepAlive(_ context.Context, id int64) (bool, error) {
+func (s *memoryStore) KeepAlive(_ context.Context, id int64) (bool, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lapse()
+	s.expire()
 	if s.down {
-		return false, errDown
+		return false, errUnavailable
 	}
 	if s.holder == "" || s.id != id {
 		return false, nil
@@ -126,7 +127,7 @@
 	return true, nil
 }
 
-func (s *service) Revoke(_ context.Context, id int64) error {
+func (s *memoryStore) Revoke(_ context.Context, id int64) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.id == id {
@@ -137,24 +138,25 @@
 
 const ttl = 3 * time.Second
 
-// TestNeverTwoHolders takes the service away from a holder, and lets the lease
-// lapse while its holder is paused and unaware.
+// TestNeverTwoHolders checks that two nodes never both hold the lease with the
+// same or a decreasing token: when the service is down for a renewal, and when the
+// lease expires while its holder is paused and does not notice.
 func TestNeverTwoHolders(t *testing.T) {
 	tests := []struct {
 		name string
-		// trouble happens while a holds the lease.
-		trouble func(s *service)
-		wantB   bool
+		// fault is injected while a holds the lease.
+		fault func(s *memoryStore)
+		wantB bool
 	}{
-		{"nothing", func(*service) {}, false},
-		{"service down over one renewal", func(s *service) {
-			// One renewal of three in a lease's life may fail; ticks come up
-			// to a tenth early or late.
-			s.set(func() { s.down = true })
+		{"no fault", func(*memoryStore) {}, false},
+		{"service down over one renewal", func(s *memoryStore) {
+			// One of the three renewals per TTL may fail. Ticks are early or
+			// late by up to a tenth of the interval.
+			s.update(func() { s.down = true })
 			time.Sleep(ttl / 4)
-			s.set(func() { s.down = false })
+			s.update(func() { s.down = false })
 		}, false},
-		{"lease lapsed while its holder was paused", func(s *service) { s.set(func() { s.holder = "" }) }, true},
+		{"lease expired while its holder was paused", func(s *memoryStore) { s.update(func() { s.holder = "" }) }, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -162,21 +164,21 @@
 				timers := timer.New()
 				defer timers.Close()
 				ctx, cancel := context.WithCancel(t.Context())
-				s := &service{}
+				s := &memoryStore{}
 				a := lease.New("driver", "a", s, timers, ttl)
 				go a.Run(ctx)
 				time.Sleep(2 * ttl)
 				tokenA, ok := a.Held(0)
 				must.True(t, ok)
 				b := lease.New("driver", "b", s, timers, ttl)
-				tt.trouble(s)
+				tt.fault(s)
 				go b.Run(ctx)
 				for range 100 {
 					time.Sleep(ttl / 10)
 					_, heldA := a.Held(0)
 					tokenB, heldB := b.Held(0)
 					if heldA && heldB {
-						must.Greater(t, tokenA, tokenB, must.Sprint("both believe; the later token must be higher"))
+						must.Greater(t, tokenA, tokenB, must.Sprint("both nodes hold the lease; the later token must be higher"))
 					}
 				}
 				_, heldB := b.Held(0)
@@ -188,20 +190,21 @@
 	}
 }
 
-// TestSuspendedHolder: a holder's machine was suspended for longer than its lease lasts,
-// and it trusted the lease all the same.
+// TestSuspendedHolder guards against a holder that still relies on its lease after
+// its machine was suspended for longer than the TTL. The monotonic clock does not
+// count that time.
 func TestSuspendedHolder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asleep := time.Duration(0)
-		timers := timer.New(timer.WithSuspendedTime(func() time.Duration { return asleep }))
+		suspended := time.Duration(0)
+		timers := timer.New(timer.WithSuspendedTime(func() time.Duration { return suspended }))
 		defer timers.Close()
 		ctx, cancel := context.WithCancel(t.Context())
-		holder := lease.New("driver", "a", &service{}, timers, ttl)
+		holder := lease.New("driver", "a", &memoryStore{}, timers, ttl)
 		go holder.Run(ctx)
 		time.Sleep(2 * ttl)
 		_, held := holder.Held(0)
 		must.True(t, held)
-		asleep = 2 * ttl
+		suspended = 2 * ttl
 		_, held = holder.Held(0)
 		must.False(t, held)
 		cancel()
@@ -209,19 +212,19 @@
 	})
 }
 
-// TestUnreachableService makes a holder stop trusting its lease before the
-// service lets it lapse.
+// TestUnreachableService checks that a holder that cannot renew stops relying on
+// its lease before the service lets it expire.
 func TestUnreachableService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timers := timer.New()
 		defer timers.Close()
 		ctx, cancel := context.WithCancel(t.Context())
-		s := &service{}
+		s := &memoryStore{}
 		a := lease.New("driver", "a", s, timers, ttl)
 		go a.Run(ctx)
 		time.Sleep(2 * ttl)
 		var expires time.Time
-		s.set(func() { s.down, expires = true, s.expires })
+		s.update(func() { s.down, expires = true, s.expires })
 		for time.Now().Before(expires) {
 			time.Sleep(ttl / 50)
 		}
@@ -232,39 +235,39 @@
 	})
 }
 
-// lostAnswer is a service that takes the lease's key and answers too late.
-type lostAnswer struct {
-	service
-	taken chan struct{}
+// lostResponse is a store that writes the lease's key but whose response is lost.
+type lostResponse struct {
+	memoryStore
+	written chan struct{}
 }
 
-func (s *lostAnswer) SwapLeased(ctx context.Context, name string, data []byte, expected, id int64) (int64, bool, error) {
-	_, _, _ = s.service.SwapLeased(ctx, name, data, expected, id)
-	close(s.taken)
+func (s *lostResponse) SwapLeased(ctx context.Context, name string, data []byte, expected, id int64) (int64, bool, error) {
+	_, _, _ = s.memoryStore.SwapLeased(ctx, name, data, expected, id)
+	close(s.written)
 	<-ctx.Done()
 	return 0, false, ctx.Err()
 }
 
-// Revoke fails under a context that is over, as a call over the network does.
-func (s *lostAnswer) Revoke(ctx context.Context, id int64) error {
+// Revoke fails if the context is canceled, as a network call does.
+func (s *lostResponse) Revoke(ctx context.Context, id int64) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
-	return s.service.Revoke(ctx, id)
+	return s.memoryStore.Revoke(ctx, id)
 }
 
-// TestStopWhileAcquiring: a node that stops while it takes the lease gives up what
-// it may have taken.
+// TestStopWhileAcquiring checks that a node that shuts down while it acquires the
+// lease revokes it, since the key may have been written.
 func TestStopWhileAcquiring(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timers := timer.New()
 		defer timers.Close()
 		ctx, cancel := context.WithCancel(t.Context())
-		s := &lostAnswer{taken: make(chan struct{})}
+		s := &lostResponse{written: make(chan struct{})}
 		go lease.New("driver", "a", s, timers, ttl).Run(ctx)
-		<-s.taken
+		<-s.written
 		cancel()
 		synctest.Wait()
-		s.set(func() { must.Eq(t, "", s.holder) })
+		s.update(func() { must.Eq(t, "", s.holder) })
 	})
 }
