--- a/timer/suspend_linux.go
+++ b/timer/suspend_linux.go
@@ -6,12 +6,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// suspended returns for how long this machine has been suspended since it started: one
-// clock counts that and the other doesn't.
+// suspended returns for how long this machine has been suspended since it booted.
+// CLOCK_BOOTTIME includes that time, CLOCK_MONOTONIC does not.
 func suspended() time.Duration {
-	var boot, steady unix.Timespec
-	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady) != nil {
+	var boot, monotonic unix.Timespec
+	if unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot) != nil || unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic) != nil {
 		return 0
 	}
-	return time.Duration(boot.Nano() - steady.Nano())
+	return time.Duration(boot.Nano() - monotonic.Nano())
 }
--- a/timer/suspend_other.go
+++ b/timer/suspend_other.go
@@ -4,6 +4,5 @@
 
 import "time"
 
-// suspended returns for how long this machine has been suspended, which is known on
-// Linux alone.
+// suspended returns zero, since the time spent suspended is known on Linux only.
 func suspended() time.Duration { return 0 }
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -1,9 +1,9 @@
-// Package timer is the time source that the other packages subscribe to.
+// Package timer provides clocks and periodic ticks to the other packages.
 //
-// Periodic work (heartbeats, folds, configuration repair) must not run in
-// step on every node, so each subscription spreads its ticks by a random
-// jitter. Tests run the same code under testing/synctest, whose bubble
-// replaces the clock; the package needs no manual clock of its own.
+// Periodic work (heartbeats, journal folds, configuration repair) must not run
+// at the same moment on every node, so each subscription adds a random jitter to
+// its ticks. Tests run the same code under testing/synctest, whose bubble
+// replaces the clock, so the package has no fake clock of its own.
 //
 // # Usage
 //
@@ -33,28 +33,30 @@
 	"time"
 )
 
-// jitterShare is the largest share of an interval by which a tick comes early
-// or late.
-const jitterShare = 0.1
+// maxJitter is the largest fraction of an interval by which a tick is early or
+// late.
+const maxJitter = 0.1
 
-// Service hands out subscriptions to the passing of time. It is safe for use
-// by many goroutines.
+// Service provides the time and subscriptions to periodic ticks. It is safe for
+// concurrent use.
 type Service struct {
 	mu            sync.Mutex
 	subscriptions map[*Subscription]struct{}
 	closed        bool
 
-	// suspended tells for how long the machine has been suspended; before is that of
-	// when this service was made, and counted what counts since, in nanoseconds.
-	suspended func() time.Duration
-	before    time.Duration
-	counted   atomic.Int64
+	// suspended returns for how long the machine has been suspended since it booted,
+	// and initialSuspended is its value when New was called. suspendedSince is the
+	// time suspended since then, in nanoseconds, as Steady counts it.
+	suspended        func() time.Duration
+	initialSuspended time.Duration
+	suspendedSince   atomic.Int64
 }
 
-// Option changes a Service as New makes it.
+// Option configures a Service in New.
 type Option func(*Service)
 
-// WithSuspendedTime sets what tells for how long the machine has been suspended so far.
+// WithSuspendedTime sets the function that returns for how long the machine has been
+// suspended since it booted.
 func WithSuspendedTime(suspended func() time.Duration) Option {
 	return func(s *Service) { s.suspended = suspended }
 }
@@ -65,35 +67,37 @@
 	for _, option := range options {
 		option(s)
 	}
-	s.before = s.suspended()
+	s.initialSuspended = s.suspended()
 	return s
 }
 
-// Now returns the present time.
+// Now returns the current time.
 func (s *Service) Now() time.Time { return time.Now() }
 
-// Steady returns a time for ages and expiries. It goes on while the machine is
-// suspended, for which the steady clock behind Now stands still, so what was known
-// before is as old as it is. It is no time of day, and is compared with its like alone.
+// Steady returns a time for computing ages and expiries. Unlike the monotonic clock
+// that Now reads, it advances while the machine is suspended, so that data from
+// before a suspension is not taken for newer than it is. It is not the time of day;
+// compare it only with other results of Steady.
 func (s *Service) Steady() time.Time {
-	asleep := s.suspended() - s.before
+	elapsed := s.suspended() - s.initialSuspended
 	for {
-		counted := s.counted.Load()
-		if asleep < time.Duration(counted)+shortestSuspension {
-			return time.Now().Add(time.Duration(counted))
+		known := s.suspendedSince.Load()
+		if elapsed < time.Duration(known)+minSuspension {
+			return time.Now().Add(time.Duration(known))
 		}
-		if s.counted.CompareAndSwap(counted, int64(asleep)) {
-			return time.Now().Add(asleep)
+		if s.suspendedSince.CompareAndSwap(known, int64(elapsed)) {
+			return time.Now().Add(elapsed)
 		}
 	}
 }
 
-// shortestSuspension is the least that counts as one. Two clocks are read one after the
-// other, so that their difference is told with an error.
-const shortestSuspension = 10 * time.Millisecond
+// minSuspension is the shortest suspension that is counted. The two clocks are read one
+// after the other, so their difference has an error.
+const minSuspension = 10 * time.Millisecond
 
-// Subscribe returns a subscription that ticks about every interval, within a
-// tenth of it. A tick that nobody has taken is not queued twice.
+// Subscribe returns a subscription that ticks about every interval, early or late
+// by up to a tenth of it. At most one tick is pending: further ones are dropped until
+// it is received.
 func (s *Service) Subscribe(interval time.Duration) *Subscription {
 	sub := &Subscription{
 		service:  s,
@@ -106,11 +110,11 @@
 		return sub
 	}
 	s.subscriptions[sub] = struct{}{}
-	sub.timer = time.AfterFunc(sub.next(), sub.fire)
+	sub.timer = time.AfterFunc(sub.nextInterval(), sub.tick)
 	return sub
 }
 
-// Every calls do at each tick until the context ends.
+// Every calls do at each tick until the context is canceled.
 func (s *Service) Every(ctx context.Context, interval time.Duration, do func()) {
 	ticks := s.Subscribe(interval)
 	defer ticks.Stop()
@@ -124,7 +128,8 @@
 	}
 }
 
-// Close ends every subscription. Their channels stay open and silent.
+// Close ends all subscriptions. Their channels are not closed but receive no more
+// ticks.
 func (s *Service) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -156,7 +161,7 @@
 	delete(s.service.subscriptions, s)
 }
 
-func (s *Subscription) fire() {
+func (s *Subscription) tick() {
 	select {
 	case s.ticks <- time.Now():
 	default:
@@ -164,11 +169,11 @@
 	s.service.mu.Lock()
 	defer s.service.mu.Unlock()
 	if _, live := s.service.subscriptions[s]; live {
-		s.timer.Reset(s.next())
+		s.timer.Reset(s.nextInterval())
 	}
 }
 
-func (s *Subscription) next() time.Duration {
-	spread := (rand.Float64()*2 - 1) * jitterShare
-	return time.Duration(float64(s.interval) * (1 + spread))
+func (s *Subscription) nextInterval() time.Duration {
+	jitter := (rand.Float64()*2 - 1) * maxJitter
+	return time.Duration(float64(s.interval) * (1 + jitter))
 }
