--- a/member/member.go
+++ b/member/member.go
@@ -1,11 +1,12 @@
-// Package member finds out which of the system's VMs answer.
+// Package member detects which of the system's VMs are alive.
 //
-// Each node probes one peer per interval, in a shuffled order, and asks a few
-// others to probe on its behalf before it suspects one (after SWIM: Das, Gupta
-// and Motivala, 2002). Suspicions and refutations ride on the probes, so the
-// cost per node does not grow with the fleet. A suspected peer gets no new
-// traffic; a confirmed one is proposed for removal from the view (package
-// view holds the list, this package only the opinion).
+// It follows SWIM (Das, Gupta and Motivala, 2002): each node probes one peer per
+// interval, in a random order, and asks a few others to probe on its behalf
+// before it suspects one. Suspicions and refutations are piggybacked on the
+// probes, so the cost per node does not grow with the fleet. A suspected peer
+// gets no new traffic; one that is confirmed faulty is proposed for removal from
+// the view. Package view holds the member list, this package only each member's
+// status as this node sees it.
 //
 // # Usage
 //
@@ -27,39 +28,40 @@
 
 //go:generate go tool enumer -type=Status -trimprefix=Status -transform=snake -output=member_enumer.go
 
-// Status is what a node believes of a member.
+// Status is a member's status as one node sees it.
 type Status int
 
-// The statuses. Of two rumors of the same life the later status wins.
+// The statuses in the order in which they override each other: of two updates of
+// the same incarnation, the one with the later status wins.
 const (
 	StatusAlive Status = iota
-	// StatusLeaving still serves, but is given to no more callers.
+	// StatusLeaving still serves, but its address is no longer given to clients.
 	StatusLeaving
 	StatusSuspect
 	StatusFaulty
 )
 
-// Update is news of one member. Life is raised by the member itself alone, to
-// refute a suspicion.
+// Update is a gossiped status of one member. Only the member itself increments its
+// Incarnation: to refute a suspicion, and when it starts to leave.
 type Update struct {
 	ID          string `cbor:"1,keyasint"`
 	Status      Status `cbor:"2,keyasint"`
 	Incarnation uint64 `cbor:"3,keyasint"`
 }
 
-// Heartbeat is sent with each probe and with each answer to one.
+// Heartbeat is the message of each probe and of each response to one.
 type Heartbeat struct {
 	From      string           `cbor:"1,keyasint"`
 	Peer      string           `cbor:"2,keyasint"`
 	Updates   []Update         `cbor:"3,keyasint"`
 	Revisions map[string]int64 `cbor:"4,keyasint"`
-	// Folded is the sequence up to which the bills of the sender's journal
-	// are kept elsewhere (package ledger).
+	// Folded is the sequence number up to which the bills of the sender's
+	// journal are stored elsewhere, see package ledger.
 	Folded  int64  `cbor:"5,keyasint"`
 	Journal string `cbor:"6,keyasint"`
 }
 
-// Transport carries probes.
+// Transport sends probes.
 type Transport interface {
 	Probe(ctx context.Context, address string, h Heartbeat) (Heartbeat, error)
 	// ProbeVia asks the peer at via to probe the one at target.
@@ -68,77 +70,79 @@
 
 const (
 	defaultInterval = 500 * time.Millisecond
-	// suspicionRounds is how many intervals a suspect has to refute.
-	suspicionRounds = 3
-	indirectProbes  = 2
-	rumorsPerProbe  = 8
-	// rumorSends is how often a node passes a rumor on, per doubling of the
+	// suspicionIntervals is how many intervals a suspect has to refute the suspicion.
+	suspicionIntervals = 3
+	indirectProbes     = 2
+	updatesPerProbe    = 8
+	// retransmitFactor is how often a node sends an update, per doubling of the
 	// fleet.
-	rumorSends = 3
-	// foreignShare sends one probe in so many to another region.
-	foreignShare = 8
+	retransmitFactor = 3
+	// crossRegionEvery is the mean number of probes per probe to another region.
+	crossRegionEvery = 8
 )
 
-// Option changes a Prober as New makes it.
+// Option configures a Prober in New.
 type Option func(*Prober)
 
 // WithInterval sets the time between two probes.
 func WithInterval(d time.Duration) Option { return func(p *Prober) { p.interval = d } }
 
-// WithPayload lets other packages fill in what heartbeats carry for them.
-func WithPayload(fill func(*Heartbeat)) Option { return func(p *Prober) { p.fill = fill } }
+// WithPayload sets a function that fills in the heartbeat fields of other packages.
+func WithPayload(fill func(*Heartbeat)) Option { return func(p *Prober) { p.fillPayload = fill } }
 
-// WithObserver calls heard with each heartbeat that arrives.
-func WithObserver(heard func(Heartbeat)) Option { return func(p *Prober) { p.heard = heard } }
+// WithObserver calls observe with each received heartbeat.
+func WithObserver(observe func(Heartbeat)) Option {
+	return func(p *Prober) { p.onHeartbeat = observe }
+}
 
-// WithCounter counts status changes by the new status.
-func WithCounter(count func(Status)) Option { return func(p *Prober) { p.count = count } }
+// WithCounter calls count at each change of a member's status, with the new status.
+func WithCounter(count func(Status)) Option { return func(p *Prober) { p.countStatus = count } }
 
-// Prober probes the members of the view and keeps an opinion of each.
+// Prober probes the members of the view and tracks the status of each.
 type Prober struct {
-	self      view.Member
-	transport Transport
-	timers    *timer.Service
-	interval  time.Duration
-	fill      func(*Heartbeat)
-	heard     func(Heartbeat)
-	count     func(Status)
-
-	mu      sync.Mutex
-	view    *view.View
-	peers   map[string]*peer
-	ring    []string
-	rumors  []*pending
-	life    uint64
-	leaving bool
-}
-
-// peer is the opinion of one member.
+	self        view.Member
+	transport   Transport
+	timers      *timer.Service
+	interval    time.Duration
+	fillPayload func(*Heartbeat)
+	onHeartbeat func(Heartbeat)
+	countStatus func(Status)
+
+	mu          sync.Mutex
+	view        *view.View
+	peers       map[string]*peer
+	probeQueue  []string
+	broadcasts  []*broadcast
+	incarnation uint64
+	leaving     bool
+}
+
+// peer is the state of one member as this node sees it.
 type peer struct {
-	member view.Member
-	status Status
-	life   uint64
-	since  time.Time
+	member      view.Member
+	status      Status
+	incarnation uint64
+	since       time.Time
 }
 
-// pending is a rumor that still has to be passed on.
-type pending struct {
-	rumor Update
-	sends int
+// broadcast is an update that is still to be sent this many times.
+type broadcast struct {
+	update    Update
+	remaining int
 }
 
-// New returns a prober that knows nobody yet.
+// New returns a prober without peers. SetView sets them.
 func New(self view.Member, transport Transport, timers *timer.Service, options ...Option) *Prober {
 	p := &Prober{
-		self:      self,
-		transport: transport,
-		timers:    timers,
-		interval:  defaultInterval,
-		fill:      func(*Heartbeat) {},
-		heard:     func(Heartbeat) {},
-		count:     func(Status) {},
-		view:      view.Empty(),
-		peers:     make(map[string]*peer),
+		self:        self,
+		transport:   transport,
+		timers:      timers,
+		interval:    defaultInterval,
+		fillPayload: func(*Heartbeat) {},
+		onHeartbeat: func(Heartbeat) {},
+		countStatus: func(Status) {},
+		view:        view.Empty(),
+		peers:       make(map[string]*peer),
 	}
 	for _, option := range options {
 		option(p)
@@ -161,38 +165,39 @@
 			p.peers[m.ID] = &peer{member: m, since: p.timers.Now()}
 		}
 	}
-	p.ring = nil
+	p.probeQueue = nil
 }
 
-// Run probes until the context ends.
+// Run probes one member per interval until the context is canceled.
 func (p *Prober) Run(ctx context.Context) {
 	p.timers.Every(ctx, p.interval, func() {
 		p.confirmSuspects()
-		if target, ok := p.next(); ok {
+		if target, ok := p.nextTarget(); ok {
 			go p.probe(ctx, target)
 		}
 	})
 }
 
-// next returns the member to probe now, each once per round.
-func (p *Prober) next() (view.Member, bool) {
+// nextTarget returns the member to probe now. Each member of the region is probed
+// once per round.
+func (p *Prober) nextTarget() (view.Member, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if rand.IntN(foreignShare) == 0 {
-		if m, ok := p.foreign(); ok {
+	if rand.IntN(crossRegionEvery) == 0 {
+		if m, ok := p.crossRegionTarget(); ok {
 			return m, true
 		}
 	}
-	if len(p.ring) == 0 {
+	if len(p.probeQueue) == 0 {
 		for id, peer := range p.peers {
 			if peer.member.Region == p.self.Region {
-				p.ring = append(p.ring, id)
+				p.probeQueue = append(p.probeQueue, id)
 			}
 		}
 	}
-	for len(p.ring) > 0 {
-		id := p.ring[0]
-		p.ring = p.ring[1:]
+	for len(p.probeQueue) > 0 {
+		id := p.probeQueue[0]
+		p.probeQueue = p.probeQueue[1:]
 		if peer := p.peers[id]; peer != nil {
 			return peer.member, true
 		}
@@ -200,9 +205,9 @@
 	return view.Member{}, false
 }
 
-// foreign returns some member of another region; the order of a map is random
-// enough.
-func (p *Prober) foreign() (view.Member, bool) {
+// crossRegionTarget returns a random member of another region. The iteration order
+// of the map is random enough.
+func (p *Prober) crossRegionTarget() (view.Member, bool) {
 	for _, peer := range p.peers {
 		if peer.member.Region != p.self.Region {
 			return peer.member, true
@@ -212,167 +217,167 @@
 }
 
 func (p *Prober) probe(ctx context.Context, target view.Member) {
-	if p.direct(ctx, target) || p.indirect(ctx, target) {
+	if p.probeDirect(ctx, target) || p.probeIndirect(ctx, target) {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if peer := p.peers[target.ID]; peer != nil && peer.status < StatusSuspect {
-		p.believe(peer, Update{ID: target.ID, Status: StatusSuspect, Incarnation: peer.life})
+		p.setStatus(peer, Update{ID: target.ID, Status: StatusSuspect, Incarnation: peer.incarnation})
 	}
 }
 
-func (p *Prober) direct(ctx context.Context, target view.Member) bool {
+func (p *Prober) probeDirect(ctx context.Context, target view.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, p.interval/2)
 	defer cancel()
-	answer, err := p.transport.Probe(ctx, target.Peer, p.heartbeat())
-	// A new incarnation at the old address is not the member that was asked.
-	if err != nil || answer.From != target.ID {
+	response, err := p.transport.Probe(ctx, target.Peer, p.heartbeat())
+	// Another process may have been started at the address of the member.
+	if err != nil || response.From != target.ID {
 		return false
 	}
-	p.receive(answer)
+	p.merge(response)
 	return true
 }
 
-func (p *Prober) indirect(ctx context.Context, target view.Member) bool {
+func (p *Prober) probeIndirect(ctx context.Context, target view.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, p.interval)
 	defer cancel()
 	helpers := p.Alive()
 	rand.Shuffle(len(helpers), func(i, j int) { helpers[i], helpers[j] = helpers[j], helpers[i] })
-	answers := make(chan bool, indirectProbes)
-	asked := 0
+	results := make(chan bool, indirectProbes)
+	sent := 0
 	for _, helper := range helpers {
-		if helper.ID == target.ID || asked == indirectProbes {
+		if helper.ID == target.ID || sent == indirectProbes {
 			continue
 		}
-		asked++
-		go func() { answers <- p.transport.ProbeVia(ctx, helper.Peer, target.Peer) == nil }()
+		sent++
+		go func() { results <- p.transport.ProbeVia(ctx, helper.Peer, target.Peer) == nil }()
 	}
-	for range asked {
-		if <-answers {
+	for range sent {
+		if <-results {
 			return true
 		}
 	}
 	return false
 }
 
-// Receive takes a probe from a peer and returns the answer to it.
+// Receive handles a probe from a peer and returns the response.
 func (p *Prober) Receive(h Heartbeat) Heartbeat {
-	p.receive(h)
+	p.merge(h)
 	return p.heartbeat()
 }
 
-func (p *Prober) receive(h Heartbeat) {
+func (p *Prober) merge(h Heartbeat) {
 	p.mu.Lock()
-	for _, r := range h.Updates {
-		p.hear(r)
+	for _, u := range h.Updates {
+		p.applyUpdate(u)
 	}
-	// A peer that speaks is there; what is suspected of it, it will refute
-	// itself as soon as it hears of it.
+	// A suspected peer that sends heartbeats is alive. Tell it of the suspicion,
+	// so that it refutes it.
 	if peer := p.peers[h.From]; peer != nil && peer.status >= StatusSuspect {
-		p.spread(Update{ID: h.From, Status: peer.status, Incarnation: peer.life})
+		p.enqueue(Update{ID: h.From, Status: peer.status, Incarnation: peer.incarnation})
 	}
 	p.mu.Unlock()
-	p.heard(h)
+	p.onHeartbeat(h)
 }
 
-// hear weighs one rumor against the present opinion.
-func (p *Prober) hear(r Update) {
-	if r.ID == p.self.ID {
-		p.refute(r)
+// applyUpdate applies an update if it is newer than the known status.
+func (p *Prober) applyUpdate(u Update) {
+	if u.ID == p.self.ID {
+		p.refute(u)
 		return
 	}
-	peer := p.peers[r.ID]
+	peer := p.peers[u.ID]
 	if peer == nil {
 		return
 	}
-	if r.Incarnation > peer.life || (r.Incarnation == peer.life && r.Status > peer.status) {
-		p.believe(peer, r)
+	if u.Incarnation > peer.incarnation || (u.Incarnation == peer.incarnation && u.Status > peer.status) {
+		p.setStatus(peer, u)
 	}
 }
 
-// refute answers a wrong rumor of this node with a higher life.
-func (p *Prober) refute(r Update) {
-	if r.Incarnation < p.life || r.Status < StatusSuspect {
+// refute overrides a suspicion of this node with a higher incarnation.
+func (p *Prober) refute(u Update) {
+	if u.Incarnation < p.incarnation || u.Status < StatusSuspect {
 		return
 	}
-	p.life = r.Incarnation + 1
-	p.spread(p.own())
+	p.incarnation = u.Incarnation + 1
+	p.enqueue(p.selfUpdate())
 }
 
-func (p *Prober) own() Update {
+func (p *Prober) selfUpdate() Update {
 	status := StatusAlive
 	if p.leaving {
 		status = StatusLeaving
 	}
-	return Update{ID: p.self.ID, Status: status, Incarnation: p.life}
+	return Update{ID: p.self.ID, Status: status, Incarnation: p.incarnation}
 }
 
-func (p *Prober) believe(peer *peer, r Update) {
-	if peer.status != r.Status {
+func (p *Prober) setStatus(peer *peer, u Update) {
+	if peer.status != u.Status {
 		peer.since = p.timers.Now()
-		p.count(r.Status)
+		p.countStatus(u.Status)
 	}
-	peer.status, peer.life = r.Status, r.Incarnation
-	p.spread(r)
+	peer.status, peer.incarnation = u.Status, u.Incarnation
+	p.enqueue(u)
 }
 
-// confirmSuspects turns suspects that did not refute in time into faulty ones.
+// confirmSuspects marks suspects as faulty that did not refute in time.
 func (p *Prober) confirmSuspects() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	deadline := p.timers.Now().Add(-suspicionRounds * p.interval)
+	deadline := p.timers.Now().Add(-suspicionIntervals * p.interval)
 	for id, peer := range p.peers {
 		if peer.status == StatusSuspect && peer.since.Before(deadline) {
-			p.believe(peer, Update{ID: id, Status: StatusFaulty, Incarnation: peer.life})
+			p.setStatus(peer, Update{ID: id, Status: StatusFaulty, Incarnation: peer.incarnation})
 		}
 	}
 }
 
-// spread queues a rumor in place of an older one of the same member.
-func (p *Prober) spread(r Update) {
-	sends := rumorSends
+// enqueue queues an update, in place of an older one of the same member.
+func (p *Prober) enqueue(u Update) {
+	remaining := retransmitFactor
 	for n := len(p.peers); n > 0; n /= 2 {
-		sends += rumorSends
+		remaining += retransmitFactor
 	}
-	for _, queued := range p.rumors {
-		if queued.rumor.ID == r.ID {
-			queued.rumor, queued.sends = r, sends
+	for _, queued := range p.broadcasts {
+		if queued.update.ID == u.ID {
+			queued.update, queued.remaining = u, remaining
 			return
 		}
 	}
-	p.rumors = append(p.rumors, &pending{rumor: r, sends: sends})
+	p.broadcasts = append(p.broadcasts, &broadcast{update: u, remaining: remaining})
 }
 
 func (p *Prober) heartbeat() Heartbeat {
 	h := Heartbeat{From: p.self.ID, Peer: p.self.Peer}
 	p.mu.Lock()
-	// The own rumor goes along each time: it costs a few bytes and brings a
-	// leaving node out of the answers at once.
-	h.Updates = append(h.Updates, p.own())
-	kept := p.rumors[:0]
-	for _, queued := range p.rumors {
-		if len(h.Updates) < rumorsPerProbe {
-			h.Updates = append(h.Updates, queued.rumor)
-			queued.sends--
+	// This node's own status is always included. It takes a few bytes, and
+	// peers stop giving out the address of a leaving node at once.
+	h.Updates = append(h.Updates, p.selfUpdate())
+	kept := p.broadcasts[:0]
+	for _, queued := range p.broadcasts {
+		if len(h.Updates) < updatesPerProbe {
+			h.Updates = append(h.Updates, queued.update)
+			queued.remaining--
 		}
-		if queued.sends > 0 {
+		if queued.remaining > 0 {
 			kept = append(kept, queued)
 		}
 	}
-	p.rumors = kept
+	p.broadcasts = kept
 	p.mu.Unlock()
-	p.fill(&h)
+	p.fillPayload(&h)
 	return h
 }
 
-// Leave makes this node known as leaving.
+// Leave announces to the other members that this node is leaving.
 func (p *Prober) Leave() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.leaving = true
-	p.life++
-	p.spread(p.own())
+	p.incarnation++
+	p.enqueue(p.selfUpdate())
 }
 
 // Leaving reports whether Leave was called.
@@ -382,14 +387,14 @@
 	return p.leaving
 }
 
-// Status returns the opinion of a member and since when it is held. This node
-// and members that nobody has met yet are alive; a stranger to the view is
-// faulty.
+// Status returns the status of a member and since when it has it. Members that
+// were not probed yet count as alive, IDs that are not in the view as faulty. For
+// this node the time is zero.
 func (p *Prober) Status(id string) (Status, time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if id == p.self.ID {
-		return p.own().Status, time.Time{}
+		return p.selfUpdate().Status, time.Time{}
 	}
 	peer := p.peers[id]
 	if peer == nil {
@@ -398,7 +403,7 @@
 	return peer.status, peer.since
 }
 
-// FaultySince returns since when a member is confirmed not to answer.
+// FaultySince reports whether a member is confirmed faulty, and since when.
 func (p *Prober) FaultySince(id string) (time.Time, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -409,7 +414,7 @@
 	return peer.since, peer.status == StatusFaulty
 }
 
-// ReachableFrom reports whether a peer reaches this node.
+// ReachableFrom reports whether a peer can reach this node.
 func (p *Prober) ReachableFrom(ctx context.Context, via view.Member) bool {
 	ctx, cancel := context.WithTimeout(ctx, p.interval)
 	defer cancel()
@@ -435,8 +440,8 @@
 	return alive
 }
 
-// Hears reports whether more than half of the view answers, this node
-// included.
+// Hears reports whether more than half of the view is neither suspected nor
+// faulty, this node included.
 func (p *Prober) Hears() bool {
 	alive := len(p.Alive())
 	p.mu.Lock()
@@ -447,21 +452,21 @@
 	return 2*alive > len(p.view.Members())
 }
 
-// Rank returns this node's place, by ID, among the answering members of its
-// data hall; zero is the first.
+// Rank returns this node's index, by ID, among the members of its data hall that
+// are neither suspected nor faulty. The first has index zero.
 func (p *Prober) Rank() int {
 	return p.rank(func(m view.Member) bool { return m.Region == p.self.Region && m.DataHall == p.self.DataHall })
 }
 
-// RegionRank is Rank within the whole region.
+// RegionRank is like Rank for the whole region.
 func (p *Prober) RegionRank() int {
 	return p.rank(func(m view.Member) bool { return m.Region == p.self.Region })
 }
 
-func (p *Prober) rank(among func(view.Member) bool) int {
+func (p *Prober) rank(include func(view.Member) bool) int {
 	rank := 0
 	for _, m := range p.Alive() {
-		if among(m) && m.ID < p.self.ID {
+		if include(m) && m.ID < p.self.ID {
 			rank++
 		}
 	}
--- a/member/member_test.go
+++ b/member/member_test.go
@@ -20,8 +20,8 @@
 
 var errUnreachable = errors.New("unreachable")
 
-// fleet is probers that reach each other unless a link is cut or an end is
-// frozen.
+// fleet is a set of probers that reach each other unless a link is cut or an
+// endpoint is frozen.
 type fleet struct {
 	mu      sync.Mutex
 	probers map[string]*member.Prober
@@ -32,29 +32,29 @@
 	view    *view.View
 }
 
-// from is one member's way to the others.
-type from struct {
+// endpoint is the transport of one member.
+type endpoint struct {
 	f    *fleet
 	name string
 }
 
-func (l from) passes(to string) bool {
-	l.f.mu.Lock()
-	defer l.f.mu.Unlock()
-	l.f.probes++
-	return !l.f.cut[[2]string{l.name, to}] && !l.f.frozen[to] && !l.f.frozen[l.name]
+func (e endpoint) deliver(to string) bool {
+	e.f.mu.Lock()
+	defer e.f.mu.Unlock()
+	e.f.probes++
+	return !e.f.cut[[2]string{e.name, to}] && !e.f.frozen[to] && !e.f.frozen[e.name]
 }
 
-func (l from) Probe(ctx context.Context, address string, h member.Heartbeat) (member.Heartbeat, error) {
-	if !l.passes(address) {
+func (e endpoint) Probe(ctx context.Context, address string, h member.Heartbeat) (member.Heartbeat, error) {
+	if !e.deliver(address) {
 		<-ctx.Done()
 		return member.Heartbeat{}, errUnreachable
 	}
-	return l.f.probers[address].Receive(h), nil
+	return e.f.probers[address].Receive(h), nil
 }
 
-func (l from) ProbeVia(ctx context.Context, via, target string) error {
-	if !l.passes(via) || !(from{l.f, via}).passes(target) {
+func (e endpoint) ProbeVia(ctx context.Context, via, target string) error {
+	if !e.deliver(via) || !(endpoint{e.f, via}).deliver(target) {
 		<-ctx.Done()
 		return errUnreachable
 	}
@@ -74,7 +74,7 @@
 	for _, m := range members {
 		timers := timer.New()
 		t.Cleanup(timers.Close)
-		p := member.New(m, from{f, m.ID}, timers, member.WithInterval(interval), member.WithCounter(func(s member.Status) {
+		p := member.New(m, endpoint{f, m.ID}, timers, member.WithInterval(interval), member.WithCounter(func(s member.Status) {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.changes[s]++
@@ -88,18 +88,18 @@
 	return f
 }
 
-func (f *fleet) set(change func()) {
+func (f *fleet) update(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
-// believers counts the members that hold an opinion of one. What a frozen one
-// believes does not count.
-func (f *fleet) believers(of string, status member.Status) int {
+// observers counts the members that see a member in the given status, without
+// that member itself and frozen ones.
+func (f *fleet) observers(id string, status member.Status) int {
 	n := 0
-	for id, p := range f.probers {
-		if got, _ := p.Status(of); id != of && got == status && !f.isFrozen(id) {
+	for observer, p := range f.probers {
+		if got, _ := p.Status(id); observer != id && got == status && !f.isFrozen(observer) {
 			n++
 		}
 	}
@@ -112,23 +112,23 @@
 	return f.frozen[id]
 }
 
-// TestOpinions lists faults of member 0 and what the others believe after a
-// while.
-func TestOpinions(t *testing.T) {
+// TestStatusAfterFault lists faults of member 0 and the status that the others see
+// 20 seconds later.
+func TestStatusAfterFault(t *testing.T) {
 	const n = 7
 	tests := []struct {
-		name   string
-		happen func(f *fleet)
-		want   member.Status
+		name  string
+		fault func(f *fleet)
+		want  member.Status
 	}{
-		{"nothing", func(*fleet) {}, member.StatusAlive},
-		{"dead", func(f *fleet) { f.set(func() { f.frozen["0"] = true }) }, member.StatusFaulty},
-		{"frozen and back", func(f *fleet) {
-			f.set(func() { f.frozen["0"] = true })
+		{"no fault", func(*fleet) {}, member.StatusAlive},
+		{"dead", func(f *fleet) { f.update(func() { f.frozen["0"] = true }) }, member.StatusFaulty},
+		{"frozen and resumed", func(f *fleet) {
+			f.update(func() { f.frozen["0"] = true })
 			time.Sleep(30 * time.Second)
-			f.set(func() { f.frozen["0"] = false })
+			f.update(func() { f.frozen["0"] = false })
 		}, member.StatusAlive},
-		{"one link cut", func(f *fleet) { f.set(func() { f.cut[[2]string{"1", "0"}] = true }) }, member.StatusAlive},
+		{"one link cut", func(f *fleet) { f.update(func() { f.cut[[2]string{"1", "0"}] = true }) }, member.StatusAlive},
 		{"leaving", func(f *fleet) { f.probers["0"].Leave() }, member.StatusLeaving},
 	}
 	for _, tt := range tests {
@@ -136,35 +136,35 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, n)
 				time.Sleep(5 * time.Second)
-				tt.happen(f)
+				tt.fault(f)
 				time.Sleep(20 * time.Second)
-				must.Eq(t, n-1, f.believers("0", tt.want))
-				must.Zero(t, f.believers("3", member.StatusFaulty), must.Sprint("a bystander"))
+				must.Eq(t, n-1, f.observers("0", tt.want))
+				must.Zero(t, f.observers("3", member.StatusFaulty), must.Sprint("member 3 has no fault"))
 			})
 		})
 	}
 }
 
-// TestDetection measures how soon all know of a death, and that a node's cost
-// does not grow with the fleet.
-func TestDetection(t *testing.T) {
+// TestDetectionTime measures how soon all members detect a failed one, and checks
+// that the number of probes per node does not grow with the fleet.
+func TestDetectionTime(t *testing.T) {
 	for _, n := range []int{6, 24, 96} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, n)
 			time.Sleep(10 * time.Second)
-			f.set(func() { f.probes = 0 })
+			f.update(func() { f.probes = 0 })
 			time.Sleep(10 * time.Second)
 			perNode := 0.0
-			f.set(func() { perNode = float64(f.probes) / float64(n) / 10 })
-			f.set(func() { f.frozen["0"] = true })
+			f.update(func() { perNode = float64(f.probes) / float64(n) / 10 })
+			f.update(func() { f.frozen["0"] = true })
 			start := time.Now()
-			for f.believers("0", member.StatusFaulty) < n-1 {
+			for f.observers("0", member.StatusFaulty) < n-1 {
 				time.Sleep(interval / 10)
 			}
-			t.Logf("%d nodes: %.2f probes/s each, a death known to all after %.1f s", n, perNode, time.Since(start).Seconds())
+			t.Logf("%d nodes: %.2f probes/s each, a failure detected by all after %.1f s", n, perNode, time.Since(start).Seconds())
 			must.Between(t, 1.8, perNode, 2.3)
 			must.Less(t, 15*time.Second, time.Since(start))
-			must.Zero(t, f.believers("1", member.StatusFaulty))
+			must.Zero(t, f.observers("1", member.StatusFaulty))
 		})
 	}
 }
