--- a/session/session.go
+++ b/session/session.go
@@ -1,9 +1,9 @@
-// Package session keeps each session on its version.
+// Package session pins each session to a version of its model.
 //
 // The first request of a session pins the version by a write-once claim, so
-// that all nodes follow the pin that won. A pin moves only where the
-// declaration lets sessions move off a withdrawn version; the move is a new
-// claim, of the session's next generation, so that it too is made once.
+// that all nodes use the same version. A session moves to another version only
+// if its version is withdrawn and the configuration allows it. The move is a new
+// claim with the session's next generation, so that it is also made only once.
 //
 // # Usage
 //
@@ -24,24 +24,25 @@
 var (
 	namespace = errs.Namespace("session")
 
-	// Unpinned says that no pin could be made or found.
+	// Unpinned means that no pin could be made or found.
 	Unpinned = namespace.NewType("unpinned")
-	// Withdrawn says that the session's version may not be used any more and
-	// that the session may not move.
+	// Withdrawn means that the session's version may no longer be used and
+	// that the session may not move to another one.
 	Withdrawn = namespace.NewType("withdrawn")
 )
 
 const (
-	// PinTTL of a pin since its last use.
+	// PinTTL is how long a pin is valid after its last extension.
 	PinTTL = 30 * time.Minute
-	// extendAfter is the age at which a pin in use is extended.
-	extendAfter    = PinTTL / 3
+	// extendAfter is the age at which a pin that is used is extended.
+	extendAfter = PinTTL / 3
+	// maxGenerations bounds how often a session may move.
 	maxGenerations = 16
-	// cacheMax bounds the pins that a node remembers.
-	cacheMax = 20_000
+	// maxCachedPins bounds the pins that a node caches.
+	maxCachedPins = 20_000
 )
 
-// Claims makes and extends pins.
+// Claims creates, looks up and extends claims.
 type Claims interface {
 	Claim(ctx context.Context, e claim.Entry) (claim.Outcome, error)
 	Override(ctx context.Context, e claim.Entry) (claim.Outcome, error)
@@ -55,55 +56,58 @@
 	Account string
 	Session string
 	Model   string
-	// Pick chooses a version for a session that has none.
+	// Pick chooses a version for a session that is not pinned.
 	Pick func() (string, error)
 	// Usable reports whether a pinned version may still be used.
 	Usable func(version string) bool
-	// MayMove allows the session to move off a version that is not usable.
+	// MayMove allows the session to move to another version if its own is not
+	// usable.
 	MayMove bool
 }
 
-// Pins is one node's knowledge of the sessions' versions. It is safe for
-// concurrent use.
+// Pins pins sessions to versions and caches the pins that this node has seen. It
+// is safe for concurrent use.
 type Pins struct {
 	claims Claims
 	timers *timer.Service
 	holder claim.Holder
 	token  func() string
 
-	mu    sync.Mutex
-	known map[string]*pin
+	mu     sync.Mutex
+	cached map[string]*pin
 }
 
 type pin struct {
 	version    string
 	generation int
 	entry      claim.Entry
-	extended   time.Time
+	extendedAt time.Time
 }
 
-// New returns pins of the node holder.
+// New returns Pins with an empty cache. Claims are made in the name of holder; token
+// returns the token of a new claim.
 func New(claims Claims, holder claim.Holder, token func() string, timers *timer.Service) *Pins {
-	return &Pins{claims: claims, holder: holder, token: token, timers: timers, known: make(map[string]*pin)}
+	return &Pins{claims: claims, holder: holder, token: token, timers: timers, cached: make(map[string]*pin)}
 }
 
-// Version returns the session's version, pinning it if it has none.
+// Version returns the version that the session is pinned to, pinning it if it has
+// none. Errors are Unpinned, Withdrawn and those of Pick.
 func (p *Pins) Version(ctx context.Context, r Request) (string, error) {
 	name := r.Account + "/" + r.Session + "/" + r.Model
 	generation := 0
-	if known := p.lookup(name); known != nil {
-		if r.Usable(known.version) {
-			p.extend(known)
-			return known.version, nil
+	if found := p.cachedPin(name); found != nil {
+		if r.Usable(found.version) {
+			p.extend(found)
+			return found.version, nil
 		}
-		generation = known.generation
+		generation = found.generation
 	}
 	for ; generation < maxGenerations; generation++ {
 		pinned, err := p.claim(ctx, r, generation)
 		if err != nil {
 			return "", err
 		}
-		p.remember(name, pinned)
+		p.cache(name, pinned)
 		if r.Usable(pinned.version) {
 			return pinned.version, nil
 		}
@@ -114,26 +118,26 @@
 	return "", errs.New(Withdrawn, "version", "session of %s has moved %d times", r.Model, maxGenerations)
 }
 
-func (p *Pins) lookup(name string) *pin {
+func (p *Pins) cachedPin(name string) *pin {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known := p.known[name]
-	if known == nil || p.timers.Now().Sub(known.extended) > PinTTL {
+	found := p.cached[name]
+	if found == nil || p.timers.Now().Sub(found.extendedAt) > PinTTL {
 		return nil
 	}
-	return known
+	return found
 }
 
-func (p *Pins) remember(name string, pinned *pin) {
+func (p *Pins) cache(name string, pinned *pin) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.known) >= cacheMax {
-		clear(p.known)
+	if len(p.cached) >= maxCachedPins {
+		clear(p.cached)
 	}
-	p.known[name] = pinned
+	p.cached[name] = pinned
 }
 
-// claim pins one generation, or finds who has.
+// claim pins one generation of a session, or returns the existing pin.
 func (p *Pins) claim(ctx context.Context, r Request, generation int) (*pin, error) {
 	now := p.timers.Now()
 	e := claim.Entry{
@@ -150,17 +154,18 @@
 	}
 	version, err := r.Pick()
 	if err != nil {
-		// Nothing takes new sessions, but this one may be pinned already.
+		// No version accepts new sessions, but this one may be pinned already.
 		if found, _ := p.claims.Lookup(ctx, e.Key); found != nil {
-			return &pin{version: string(found.Value), generation: generation, entry: *found, extended: now}, nil
+			return &pin{version: string(found.Value), generation: generation, entry: *found, extendedAt: now}, nil
 		}
 		return nil, err
 	}
 	e.Value = []byte(version)
 	outcome, err := p.claims.Claim(ctx, e)
 	if err == nil && !outcome.Won && !outcome.OtherWon {
-		// The other claim may yet be given up, and a session must not follow
-		// a pin that never was: find out, or win in its place.
+		// The other claim is undecided and may still be dropped, so its
+		// version must not be used yet. Override returns it if it was won,
+		// and replaces it otherwise.
 		outcome, err = p.claims.Override(ctx, e)
 	}
 	switch {
@@ -168,23 +173,23 @@
 		return nil, errs.Wrap(Unpinned, "claim", err, "session of %s", r.Model)
 	case outcome.Won:
 		e.Token = outcome.Token
-		return &pin{version: version, generation: generation, entry: e, extended: now}, nil
+		return &pin{version: version, generation: generation, entry: e, extendedAt: now}, nil
 	case !outcome.OtherWon:
 		return nil, errs.New(Unpinned, "claim", "session of %s is being pinned elsewhere", r.Model)
 	}
-	return &pin{version: string(outcome.Other.Value), generation: generation, entry: *outcome.Other, extended: now}, nil
+	return &pin{version: string(outcome.Other.Value), generation: generation, entry: *outcome.Other, extendedAt: now}, nil
 }
 
-// extend prolongs a pin that is in use, beside the request.
-func (p *Pins) extend(known *pin) {
+// extend extends a pin that is in use, in the background.
+func (p *Pins) extend(used *pin) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.timers.Now()
-	if now.Sub(known.extended) < extendAfter {
+	if now.Sub(used.extendedAt) < extendAfter {
 		return
 	}
-	known.extended = now
-	e := known.entry
+	used.extendedAt = now
+	e := used.entry
 	e.Expires = now.Add(PinTTL)
 	go p.claims.Advance(context.Background(), e)
 }
--- a/session/session_test.go
+++ b/session/session_test.go
@@ -13,7 +13,8 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// claims is a write-once table; pending claims are not known to be won.
+// claims is a write-once table. If pending is set, existing claims are undecided; if
+// down is set, no new claim can be made.
 type claims struct {
 	entries map[string]claim.Entry
 	pending bool
@@ -26,9 +27,9 @@
 	if c.down {
 		return claim.Outcome{}, errDown
 	}
-	held, ok := c.entries[e.Key.ID]
+	existing, ok := c.entries[e.Key.ID]
 	if ok {
-		return claim.Outcome{Other: &held, OtherWon: !c.pending}, nil
+		return claim.Outcome{Other: &existing, OtherWon: !c.pending}, nil
 	}
 	c.entries[e.Key.ID] = e
 	return claim.Outcome{Won: true, Token: e.Token}, nil
@@ -40,16 +41,16 @@
 }
 
 func (c *claims) Lookup(_ context.Context, key claim.Key) (*claim.Entry, bool) {
-	held, ok := c.entries[key.ID]
+	existing, ok := c.entries[key.ID]
 	if !ok {
 		return nil, true
 	}
-	return &held, true
+	return &existing, true
 }
 
 func (c *claims) Advance(context.Context, claim.Entry) (int, int) { return 3, 3 }
 
-// TestVersion lists which version a session gets.
+// TestVersion lists which version a session is pinned to.
 func TestVersion(t *testing.T) {
 	pinned := func(version string) map[string]claim.Entry {
 		return map[string]claim.Entry{"s/m~0": {Value: []byte(version)}}
@@ -63,13 +64,13 @@
 		want     string
 		err      *errorx.Type
 	}{
-		{"a new session", claims{entries: map[string]claim.Entry{}}, "v2", "", false, "v2", nil},
+		{"new session", claims{entries: map[string]claim.Entry{}}, "v2", "", false, "v2", nil},
 		{"pinned before", claims{entries: pinned("v1")}, "v2", "", false, "v1", nil},
-		{"pinned, nothing takes new sessions", claims{entries: pinned("v1")}, "", "", false, "v1", nil},
+		{"pinned, no version accepts new sessions", claims{entries: pinned("v1")}, "", "", false, "v1", nil},
 		{"withdrawn, may move", claims{entries: pinned("v1")}, "v2", "v1", true, "v2", nil},
 		{"withdrawn, may not move", claims{entries: pinned("v1")}, "v2", "v1", false, "", session.Withdrawn},
-		{"a pin that may never have been", claims{entries: pinned("v1"), pending: true}, "v2", "", false, "v2", nil},
-		{"replicas out of reach", claims{entries: pinned("v1"), down: true}, "v2", "", false, "", session.Unpinned},
+		{"undecided pin of another claim", claims{entries: pinned("v1"), pending: true}, "v2", "", false, "v2", nil},
+		{"replicas unreachable", claims{entries: pinned("v1"), down: true}, "v2", "", false, "", session.Unpinned},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
