--- a/control/control.go
+++ b/control/control.go
@@ -1,14 +1,14 @@
-// Package control applies the operators' configurations.
+// Package control applies configurations that operators submit.
 //
-// A configuration is checked whole and then written by one compare-and-swap,
-// so it is accepted entirely or not at all. The loser of a race is told who
-// won and what differs. If the platform's answer is lost after the write took
-// effect, reading back finds the change by its ID, so the same apply can be
-// sent again without harm.
+// A configuration is validated as a whole and then written by one
+// compare-and-swap, so it is accepted entirely or not at all. If another operator
+// was faster, the error tells who, and the result tells what differs. If the
+// platform's response is lost after the write took effect, the change is found in
+// the store by its ID, so it is safe to send the same change again.
 //
 // # Usage
 //
-//	result, err := control.Apply(ctx, shared, control.Change{…}, time.Now())
+//	result, err := control.Apply(ctx, store, name, control.Change{…}, time.Now())
 package control
 
 import (
@@ -26,46 +26,46 @@
 var (
 	namespace = errs.Namespace("control")
 
-	// Raced says that another revision is in force than the one expected.
+	// Raced means that the revision in force is not the expected one.
 	Raced = namespace.NewType("raced")
-	// Unknown says that the platform did not answer; the change may have
-	// taken effect, and the same apply may be sent again.
+	// Unknown means that the platform did not respond. The change may have
+	// taken effect; the same change may be sent again.
 	Unknown = namespace.NewType("unknown")
-	// Malformed says that the stored configuration cannot be read.
+	// Malformed means that the stored configuration cannot be decoded.
 	Malformed = namespace.NewType("malformed")
 )
 
-// DocumentStore changes the configuration at the platform and puts it in force.
+// DocumentStore updates the stored configuration and puts the new one in force.
 type DocumentStore interface {
 	Update(ctx context.Context, name string, change func(old []byte) ([]byte, error)) (document.Item, error)
 }
 
-// AnyRevision as the expected revision takes whatever is in force.
+// AnyRevision as the expected revision matches any revision.
 const AnyRevision = -1
 
-// Change is one configuration that an operator wants in force.
+// Change is a configuration that an operator submits.
 type Change struct {
-	// ID names the change; a repeated apply has the same one.
+	// ID identifies the change. It is the same when the change is sent again.
 	ID       string
 	Operator string
 	File     string
 	Source   string
-	// Expected is the revision that the operator has seen.
+	// Expected is the revision that the operator expects to replace.
 	Expected int64
 }
 
-// Result is the configuration in force after an apply, and for the loser of a
-// race the paths at which it differs from what the loser wanted.
+// Result is the configuration in force after Apply. If Apply fails with Raced,
+// Differs has the paths at which it differs from the submitted one.
 type Result struct {
 	InForce config.Document
 	Differs []string
 }
 
-// Apply puts a checked change in force. The source must have passed
-// config.Parse.
-func Apply(ctx context.Context, shared DocumentStore, name string, c Change, now time.Time) (Result, error) {
+// Apply puts a validated change in force. The source must have passed
+// config.Parse. Errors are Raced and Unknown.
+func Apply(ctx context.Context, store DocumentStore, name string, c Change, now time.Time) (Result, error) {
 	var before config.Document
-	_, err := shared.Update(ctx, name, func(old []byte) ([]byte, error) {
+	_, err := store.Update(ctx, name, func(old []byte) ([]byte, error) {
 		var err error
 		if before, err = Decode(old); err != nil {
 			return nil, err
@@ -103,7 +103,7 @@
 	}
 }
 
-// Decode reads a stored configuration; no data stands for none.
+// Decode decodes a stored configuration. Empty data is the zero Document.
 func Decode(data []byte) (config.Document, error) {
 	var d config.Document
 	if len(data) == 0 {
