--- a/lag/lag.go
+++ b/lag/lag.go
@@ -1,10 +1,11 @@
-// Package lag tells from the logs of a system's nodes how late each node learned what
-// the platform's store had taken.
+// Package lag computes from the logs of a system's nodes how late each node received
+// changes of the platform's store.
 //
-// Every node logs a server's leaving, the end of its entry and a new declaration with
-// the store's revision of it. The node that logged a revision first knew it within
-// milliseconds, so what the others took longer is how late they were, as far as their
-// clocks agree. A node that was started in between is not counted.
+// Every node logs when a server is leaving, when its entry is removed and when there is
+// a new declaration, with the revision of the change in the store. The node that logs a
+// revision first receives it within milliseconds, so the lag of another node is the time
+// from the first node's log line to its own, as far as the clocks of the nodes agree. A
+// node that was started in between is not counted.
 //
 // # Usage
 //
@@ -14,8 +15,8 @@
 //	}
 //	err := t.Print(os.Stdout)
 //
-// A log is JSON lines. What stands before the first brace of a line is skipped, and
-// other messages are passed over. Broken counts the lines that cannot be read.
+// A log has one JSON object per line. Text before the first brace of a line is skipped,
+// and other messages are ignored. BrokenLines counts the lines that cannot be parsed.
 package lag
 
 import (
@@ -32,48 +33,49 @@
 var (
 	namespace = errs.Namespace("lag")
 
-	// Unreadable says that a log could not be read to its end.
+	// Unreadable means that a log could not be read to its end.
 	Unreadable = namespace.NewType("unreadable")
-	// Unwritable says that the tables could not be written.
+	// Unwritable means that the tables could not be written.
 	Unwritable = namespace.NewType("unwritable")
 )
 
-// Kind is what a node learns.
+// Kind is the kind of a change.
 type Kind int
 
 //go:generate go tool enumer -type=Kind -trimprefix=Kind -transform=snake -output=lag_enumer.go
 
-// The kinds of news.
+// The kinds of changes.
 const (
-	// KindLeaving is a server's word that it is about to end.
+	// KindLeaving is a server's announcement that it will shut down.
 	KindLeaving Kind = iota
-	// KindGone is the end of a server's entry.
+	// KindGone is the removal of a server's entry.
 	KindGone
 	// KindDeclaration is a new declaration.
 	KindDeclaration
 )
 
-// news is one change that the store took.
-type news struct {
+// change identifies one change of the store.
+type change struct {
 	kind     Kind
 	server   string
 	revision int64
 }
 
-// Table is when nodes learned what.
+// Table is when each node received which change.
 type Table struct {
-	learned map[news]map[string]time.Time
-	// started holds by node when its processes started.
-	started map[string][]time.Time
-	broken  int
+	// firstSeen holds by change and node when the node first logged it.
+	firstSeen map[change]map[string]time.Time
+	// starts holds by node when its processes were started.
+	starts map[string][]time.Time
+	broken int
 }
 
 // New returns an empty table.
 func New() *Table {
-	return &Table{learned: make(map[news]map[string]time.Time), started: make(map[string][]time.Time)}
+	return &Table{firstSeen: make(map[change]map[string]time.Time), starts: make(map[string][]time.Time)}
 }
 
-// line is what the package reads of a log line.
+// line has the fields of a log line that the package uses.
 type line struct {
 	Time     time.Time `json:"time"`
 	Node     string    `json:"vm"`
@@ -82,9 +84,9 @@
 	Revision int64     `json:"revision"`
 }
 
-// Read adds one log. The name is for errors.
+// Read adds one log. The name appears in errors.
 func (t *Table) Read(name string, log io.Reader) error {
-	broken, err := jsonlines.Read(name, log, t.take)
+	broken, err := jsonlines.Read(name, log, t.addLine)
 	t.broken += broken
 	if err != nil {
 		return errs.Wrap(Unreadable, "read", err, "log %s", name)
@@ -92,15 +94,15 @@
 	return nil
 }
 
-// take adds one line and reports whether it can be read.
-func (t *Table) take(object []byte) bool {
+// addLine adds one line and reports whether it can be parsed.
+func (t *Table) addLine(object []byte) bool {
 	var message struct {
 		Message string `json:"msg"`
 	}
 	if err := json.Unmarshal(object, &message); err != nil {
 		return false
 	}
-	kind, ok := kindOf(message.Message)
+	kind, ok := kindOfMessage(message.Message)
 	if !ok && message.Message != "starting" {
 		return true // its other fields may be of any type
 	}
@@ -110,15 +112,15 @@
 	}
 	switch {
 	case !ok:
-		t.started[l.Node] = append(t.started[l.Node], l.Time)
+		t.starts[l.Node] = append(t.starts[l.Node], l.Time)
 	case kind != KindLeaving || l.Leaving:
-		t.add(news{kind, l.Server, l.Revision}, l.Node, l.Time)
+		t.addChange(change{kind, l.Server, l.Revision}, l.Node, l.Time)
 	}
 	return true
 }
 
-// kindOf returns what a message tells.
-func kindOf(message string) (Kind, bool) {
+// kindOfMessage returns the kind of change that a log message reports.
+func kindOfMessage(message string) (Kind, bool) {
 	switch message {
 	case "server":
 		return KindLeaving, true
@@ -130,40 +132,41 @@
 	return 0, false
 }
 
-// add notes when a node first logged news.
-func (t *Table) add(n news, node string, at time.Time) {
-	if t.learned[n] == nil {
-		t.learned[n] = make(map[string]time.Time)
+// addChange records when a node first logged a change.
+func (t *Table) addChange(c change, node string, at time.Time) {
+	if t.firstSeen[c] == nil {
+		t.firstSeen[c] = make(map[string]time.Time)
 	}
-	if before, ok := t.learned[n][node]; !ok || at.Before(before) {
-		t.learned[n][node] = at
+	if before, ok := t.firstSeen[c][node]; !ok || at.Before(before) {
+		t.firstSeen[c][node] = at
 	}
 }
 
-// Sample is how late one node was with one piece of news.
+// Sample is the lag of one node for one change.
 type Sample struct {
 	kind Kind
 	node string
-	late time.Duration
+	lag  time.Duration
 }
 
-// Kind is what it learned, Node which one it is, Late how long after the first node.
-func (l Sample) Kind() Kind         { return l.kind }
-func (l Sample) Node() string       { return l.node }
-func (l Sample) Lag() time.Duration { return l.late }
+// Kind is the kind of the change, Node the node's name, Lag the time since the first
+// node logged the change.
+func (s Sample) Kind() Kind         { return s.kind }
+func (s Sample) Node() string       { return s.node }
+func (s Sample) Lag() time.Duration { return s.lag }
 
-// Samples returns what nodes learned while they ran, the latest last.
+// Samples returns the lags of all nodes that were running, in ascending order.
 func (t *Table) Samples() []Sample {
 	var all []Sample
-	for n, nodes := range t.learned {
+	for c, nodes := range t.firstSeen {
 		first := earliest(nodes)
 		for node, at := range nodes {
 			if !t.startedBetween(node, first, at) {
-				all = append(all, Sample{n.kind, node, at.Sub(first)})
+				all = append(all, Sample{c.kind, node, at.Sub(first)})
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b Sample) int { return cmp.Compare(a.late, b.late) })
+	slices.SortFunc(all, func(a, b Sample) int { return cmp.Compare(a.lag, b.lag) })
 	return all
 }
 
@@ -179,11 +182,12 @@
 
 // startedBetween reports whether a node was started between two times.
 func (t *Table) startedBetween(node string, from, to time.Time) bool {
-	return slices.ContainsFunc(t.started[node], func(at time.Time) bool { return at.After(from) && !at.After(to) })
+	return slices.ContainsFunc(t.starts[node], func(at time.Time) bool { return at.After(from) && !at.After(to) })
 }
 
-// Changes returns how many changes of the store nodes learned of.
-func (t *Table) Changes() int { return len(t.learned) }
+// Changes returns the number of changes that were logged.
+func (t *Table) Changes() int { return len(t.firstSeen) }
 
-// BrokenLines returns how many lines held a brace and no JSON, or were too long.
+// BrokenLines returns the number of lines that have a brace but no valid JSON, or that
+// are too long.
 func (t *Table) BrokenLines() int { return t.broken }
--- a/lag/lag_test.go
+++ b/lag/lag_test.go
@@ -13,8 +13,9 @@
 	"github.com/violettally/violettally/lag"
 )
 
-// day is the log of three nodes, as a collector hands it on.
-const day = `n1 {"time":"2026-01-01T00:00:00.100Z","msg":"starting","vm":"n1"}
+// sampleLog is the log of three nodes as a log collector outputs it: each line has the
+// node's name before the JSON object.
+const sampleLog = `n1 {"time":"2026-01-01T00:00:00.100Z","msg":"starting","vm":"n1"}
 n1 {"time":"2026-01-01T00:00:05.000Z","msg":"server","vm":"n1","server":"a","leaving":true,"revision":7}
 n2 {"time":"2026-01-01T00:00:05.020Z","msg":"server","vm":"n2","server":"a","leaving":true,"revision":7}
 n3 {"time":"2026-01-01T00:00:06.500Z","msg":"server","vm":"n3","server":"a","leaving":true,"revision":7}
@@ -30,7 +31,7 @@
 
 func Example() {
 	t := lag.New()
-	if err := t.Read("day", strings.NewReader(day)); err != nil {
+	if err := t.Read("day", strings.NewReader(sampleLog)); err != nil {
 		fmt.Println(err)
 	}
 	if err := t.Print(os.Stdout); err != nil {
@@ -56,14 +57,15 @@
 	must.ErrorContains(t, err, "cut")
 }
 
-// FuzzRead: whatever a log holds, it is read to its end.
+// FuzzRead checks that a log with any content is read to its end, and that no lag is
+// negative.
 func FuzzRead(f *testing.F) {
-	f.Add(day)
+	f.Add(sampleLog)
 	f.Fuzz(func(t *testing.T, log string) {
 		table := lag.New()
 		must.NoError(t, table.Read("log", strings.NewReader(log)))
-		for _, l := range table.Samples() {
-			must.True(t, l.Lag() >= 0)
+		for _, s := range table.Samples() {
+			must.True(t, s.Lag() >= 0)
 		}
 	})
 }
--- a/lag/print.go
+++ b/lag/print.go
@@ -11,16 +11,17 @@
 	"github.com/violettally/violettally/internal/errs"
 )
 
-// nodesShown is how many nodes have a line of their own, those that were latest.
+// nodesShown is the number of nodes in the table of those with the largest lags.
 const nodesShown = 10
 
-// Print writes how late nodes were by kind of news, and the nodes that were latest.
+// Print writes a table of lags by kind of change, and one of the nodes with the largest
+// lags.
 func (t *Table) Print(w io.Writer) error {
 	all := t.Samples()
 	byKind, byNode := make(map[string][]time.Duration), make(map[string][]time.Duration)
-	for _, l := range all {
-		byKind[l.kind.String()] = append(byKind[l.kind.String()], l.late)
-		byNode[l.node] = append(byNode[l.node], l.late)
+	for _, s := range all {
+		byKind[s.kind.String()] = append(byKind[s.kind.String()], s.lag)
+		byNode[s.node] = append(byNode[s.node], s.lag)
 	}
 	out := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(out, "%d times learned; %d broken lines passed over\n\n", len(all), t.broken)
@@ -29,7 +30,7 @@
 		printRow(out, kind, byKind[kind])
 	}
 	fmt.Fprint(out, "\nlatest nodes\tlearned\tp50 ms\tp90 ms\tp99 ms\tmost ms\n")
-	for _, node := range latest(byNode) {
+	for _, node := range slowestNodes(byNode) {
 		printRow(out, node, byNode[node])
 	}
 	if err := out.Flush(); err != nil {
@@ -38,24 +39,25 @@
 	return nil
 }
 
-// latest returns the nodes that were latest, the worst one first.
-func latest(byNode map[string][]time.Duration) []string {
+// slowestNodes returns the nodes with the largest lags, in descending order. The lags
+// of each node are in ascending order.
+func slowestNodes(byNode map[string][]time.Duration) []string {
 	nodes := make([]string, 0, len(byNode))
 	for node := range byNode {
 		nodes = append(nodes, node)
 	}
-	most := func(node string) time.Duration { return byNode[node][len(byNode[node])-1] }
+	maxLag := func(node string) time.Duration { return byNode[node][len(byNode[node])-1] }
 	slices.SortFunc(nodes, func(a, b string) int {
-		return cmp.Or(cmp.Compare(most(b), most(a)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(maxLag(b), maxLag(a)), cmp.Compare(a, b))
 	})
 	return nodes[:min(nodesShown, len(nodes))]
 }
 
-// printRow writes a line on times in ascending order.
-func printRow(w io.Writer, name string, late []time.Duration) {
-	if len(late) == 0 {
+// printRow writes one row of percentiles. The lags are in ascending order.
+func printRow(w io.Writer, name string, lags []time.Duration) {
+	if len(lags) == 0 {
 		return
 	}
-	at := func(share float64) int64 { return late[int(share*float64(len(late)-1))].Milliseconds() }
-	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\n", name, len(late), at(0.5), at(0.9), at(0.99), at(1))
+	percentile := func(fraction float64) int64 { return lags[int(fraction*float64(len(lags)-1))].Milliseconds() }
+	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\n", name, len(lags), percentile(0.5), percentile(0.9), percentile(0.99), percentile(1))
 }
