--- a/timer/timer.go
+++ b/timer/timer.go
@@ -79,14 +79,14 @@
 // before a suspension is not taken for newer than it is. It is not the time of day;
 // compare it only with other results of Steady.
 func (s *Service) Steady() time.Time {
-	elapsed := s.suspended() - s.initialSuspended
+	current := s.suspended() - s.initialSuspended
 	for {
 		known := s.suspendedSince.Load()
-		if elapsed < time.Duration(known)+minSuspension {
+		if current < time.Duration(known)+minSuspension {
 			return time.Now().Add(time.Duration(known))
 		}
-		if s.suspendedSince.CompareAndSwap(known, int64(elapsed)) {
-			return time.Now().Add(elapsed)
+		if s.suspendedSince.CompareAndSwap(known, int64(current)) {
+			return time.Now().Add(current)
 		}
 	}
 }
