--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -165,7 +165,7 @@
 func (g *Gateway) initRollouts() {
 	g.picker = rollout.NewPicker()
 	g.services = rollout.NewServicePicker(g.picker, canarySafetyFactor*g.settings.Bounds.CanaryShare)
-	g.leaseHolder = lease.New(driverLeaseName, g.self.ID, g.store, g.timers, driverLeaseTTL, lease.WithCandidates(g.mayDrive))
+	g.leaseHolder = lease.New(driverLeaseName, g.self.ID, g.store, g.timers, driverLeaseTTL, lease.WithEligibility(g.mayDrive))
 	g.driver = rollout.NewDriver(stagesKey, stageUpdater{g}, countCollector{g}, g.leaseHolder, g.services.Models, g.timers)
 }
 
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -126,7 +126,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, _ := newEnv(t)
 		suspended := time.Duration(0)
-		timers := timer.New(timer.WithSuspended(func() time.Duration { return suspended }))
+		timers := timer.New(timer.WithSuspendedTime(func() time.Duration { return suspended }))
 		defer timers.Close()
 		store := newStore()
 		store.put("a", false)
--- a/view/manager.go
+++ b/view/manager.go
@@ -27,8 +27,8 @@
 	// RegionRank returns this node's rank, from 0, among the responding members
 	// of its region.
 	RegionRank() int
-	// Reaches reports whether the peer via reaches this node.
-	Reaches(ctx context.Context, via Member) bool
+	// ReachableFrom reports whether the peer via reaches this node.
+	ReachableFrom(ctx context.Context, via Member) bool
 }
 
 // VMList is the platform's list of VMs, which lags behind.
@@ -176,7 +176,7 @@
 		return true
 	}
 	for _, m := range alive {
-		if mgr.detector.Reaches(ctx, m) {
+		if mgr.detector.ReachableFrom(ctx, m) {
 			return true
 		}
 	}
