--- a/adapter/etcd/etcd.go
+++ b/adapter/etcd/etcd.go
@@ -198,14 +198,14 @@
 }
 
 // Journals returns the bills' journals (package ledger).
-func (c *Client) Journals(ctx context.Context) ([]ledger.Account, error) {
-	pairs, err := c.List(ctx, ledger.Prefix)
+func (c *Client) Journals(ctx context.Context) ([]ledger.Snapshot, error) {
+	pairs, err := c.List(ctx, ledger.KeyPrefix)
 	if err != nil {
 		return nil, err
 	}
-	journals := make([]ledger.Account, len(pairs))
+	journals := make([]ledger.Snapshot, len(pairs))
 	for i, pair := range pairs {
-		if journals[i], err = ledger.Decode(pair.Data, strings.TrimPrefix(pair.Key, ledger.Prefix)); err != nil {
+		if journals[i], err = ledger.Decode(pair.Data, strings.TrimPrefix(pair.Key, ledger.KeyPrefix)); err != nil {
 			return nil, err
 		}
 	}
--- a/adapter/operators/operators.go
+++ b/adapter/operators/operators.go
@@ -40,7 +40,7 @@
 	View() *view.View
 	Status(id string) string
 	Rollouts() map[string]rollout.Progress
-	Journals(ctx context.Context) ([]ledger.Account, error)
+	Journals(ctx context.Context) ([]ledger.Snapshot, error)
 	NewID() string
 }
 
@@ -207,6 +207,6 @@
 	}
 	return c.JSON(http.StatusOK, struct {
 		Totals   map[string]ledger.Sum `json:"totals"`
-		Journals []ledger.Account      `json:"journals"`
+		Journals []ledger.Snapshot     `json:"journals"`
 	}{ledger.Total(journals), journals})
 }
--- a/adapter/peer/client.go
+++ b/adapter/peer/client.go
@@ -373,21 +373,21 @@
 	return reply.Node, reply.Counts, err
 }
 
-// Recall asks a node what it remembers of a journal.
-func (c *Client) Recall(ctx context.Context, to view.Member, journal string) (billing.Recollection, error) {
+// FetchRecords asks a node what it remembers of a journal.
+func (c *Client) FetchRecords(ctx context.Context, to view.Member, journal string) (billing.JournalRecords, error) {
 	if to.ID == c.self {
 		return c.node.Recall(journal), nil
 	}
-	return invoke[recallRequest, billing.Recollection](ctx, c, to.Peer, callRecall, recallRequest{Journal: journal})
+	return invoke[recallRequest, billing.JournalRecords](ctx, c, to.Peer, callRecall, recallRequest{Journal: journal})
 }
 
 // Checkpoint gives a node the sums of a journal to keep.
-func (c *Client) Checkpoint(ctx context.Context, to view.Member, a ledger.Account) error {
+func (c *Client) Checkpoint(ctx context.Context, to view.Member, a ledger.Snapshot) error {
 	if to.ID == c.self {
 		c.node.KeepCheckpoint(a)
 		return nil
 	}
-	_, err := invoke[ledger.Account, empty](ctx, c, to.Peer, callCheckpoint, a)
+	_, err := invoke[ledger.Snapshot, empty](ctx, c, to.Peer, callCheckpoint, a)
 	return err
 }
 
--- a/adapter/peer/server.go
+++ b/adapter/peer/server.go
@@ -35,8 +35,8 @@
 	Heard(address string, revisions map[string]int64)
 	Grant(ask limit.Ask) limit.Grant
 	Counts() (node string, counts rollout.Counts)
-	Recall(journal string) billing.Recollection
-	KeepCheckpoint(a ledger.Account)
+	Recall(journal string) billing.JournalRecords
+	KeepCheckpoint(a ledger.Snapshot)
 	FindAnswer(attempt string) (x *answer.Exchange, ran bool)
 	CancelAnswer(attempt string) bool
 	Explain(requestID string) (decision.Summary, bool)
@@ -79,10 +79,10 @@
 		}),
 		callLimit:  handle(func(_ context.Context, a limit.Ask) (limit.Grant, error) { return node.Grant(a), nil }),
 		callCounts: answerCounts(node.Counts),
-		callRecall: handle(func(_ context.Context, r recallRequest) (billing.Recollection, error) {
+		callRecall: handle(func(_ context.Context, r recallRequest) (billing.JournalRecords, error) {
 			return node.Recall(r.Journal), nil
 		}),
-		callCheckpoint: handle(func(_ context.Context, a ledger.Account) (empty, error) {
+		callCheckpoint: handle(func(_ context.Context, a ledger.Snapshot) (empty, error) {
 			node.KeepCheckpoint(a)
 			return empty{}, nil
 		}),
--- a/billing/billing.go
+++ b/billing/billing.go
@@ -3,7 +3,7 @@
 // claim): a bill is a won claim that its winner enters in its own journal, and
 // until the journal's sums are kept elsewhere the claim's replicas remember it.
 //
-// A [Biller] claims bills. A [Memory] keeps what this node knows of the bills
+// A [Biller] claims bills. A [Tracker] keeps what this node knows of the bills
 // of others, and asks all nodes for the bills of one that is gone.
 //
 // # Usage
@@ -41,9 +41,9 @@
 	Release(key claim.Key, token string)
 }
 
-// Fates tells what has become of another node's bill.
-type Fates interface {
-	Fate(ctx context.Context, bill claim.Entry) (ledger.Fate, error)
+// Statuses tells what has become of another node's bill.
+type Statuses interface {
+	BillStatus(ctx context.Context, bill claim.Entry) (ledger.BillStatus, error)
 }
 
 // Counters counts what operators want to see.
@@ -52,30 +52,30 @@
 	Billed(b ledger.Bill)
 }
 
-// Parts is what a Biller is made of.
-type Parts struct {
+// Config is what a Biller is made of.
+type Config struct {
 	Self     claim.Holder
 	Claims   Claims
-	Fates    Fates
+	Statuses Statuses
 	Journal  *ledger.Journal
 	Counters Counters
 	Timers   *timer.Service
 	NewID    func() string
 	// Region returns the home region of a client account.
 	Region func(account string) string
-	// SettledLife is how long the bill of a node that is gone is remembered.
-	SettledLife time.Duration
+	// RecoveredBillTTL is how long the bill of a node that is gone is remembered.
+	RecoveredBillTTL time.Duration
 }
 
 // Biller claims bills and enters those that it wins in this node's journal. It
 // is safe for concurrent use.
 type Biller struct {
-	Parts
+	Config
 	runs sync.WaitGroup
 }
 
 // New returns a biller.
-func New(parts Parts) *Biller { return &Biller{Parts: parts} }
+func New(parts Config) *Biller { return &Biller{Config: parts} }
 
 // Wait returns when no bill is being claimed any more.
 func (b *Biller) Wait() { b.runs.Wait() }
@@ -132,7 +132,7 @@
 		}
 		return false, false
 	case outcome.Won:
-		b.Journal.Enter(e.Sequence)
+		b.Journal.Commit(e.Sequence)
 		b.Counters.Billed(bill)
 		return true, true
 	default:
@@ -147,16 +147,16 @@
 // won. Their holders know: who has lost is released, and if neither has
 // decided, the second by name. It reports whether the first claim was released.
 func (b *Biller) yields(ctx context.Context, e, rival *claim.Entry) bool {
-	fate, err := b.Fates.Fate(ctx, *rival)
+	fate, err := b.Statuses.BillStatus(ctx, *rival)
 	if err != nil {
 		slog.Info("fate of a bill not known", "request_id", e.Key.ID, "journal", rival.Holder.ID, "sequence", rival.Sequence, "error", err)
 		return false
 	}
 	switch {
-	case fate == ledger.FateLost:
+	case fate == ledger.BillLost:
 		b.Claims.Release(rival.Key, rival.Token)
 		return false
-	case fate == ledger.FateOpen && claim.AttemptOf(e.Token) < claim.AttemptOf(rival.Token):
+	case fate == ledger.BillOpen && claim.AttemptOf(e.Token) < claim.AttemptOf(rival.Token):
 		return false
 	default:
 		b.Claims.Release(e.Key, e.Token)
@@ -166,7 +166,7 @@
 
 // Settle ends the claim of a bill in the place of a node that is gone, and
 // reports whether it is won.
-func (b *Biller) Settle(ctx context.Context, journal string, r ledger.Remembered) (bool, error) {
+func (b *Biller) Settle(ctx context.Context, journal string, r ledger.ReplicatedBill) (bool, error) {
 	value, err := json.Marshal(r.Bill)
 	if err != nil {
 		return false, err
@@ -180,7 +180,7 @@
 		State:    claim.StateDone,
 		Value:    value,
 		Sequence: r.Sequence,
-		Expires:  b.Timers.Now().Add(b.SettledLife),
+		Expires:  b.Timers.Now().Add(b.RecoveredBillTTL),
 	}
 	outcome, err := b.Claims.Settle(ctx, e)
 	if err != nil || !outcome.Won {
--- a/billing/fleet_test.go
+++ b/billing/fleet_test.go
@@ -68,7 +68,7 @@
 	replica  *claim.Replica
 	claimer  *claim.Claimer
 	journal  *ledger.Journal
-	memory   *billing.Memory
+	memory   *billing.Tracker
 	biller   *billing.Biller
 	closer   *ledger.Closer
 	timers   *timer.Service
@@ -137,23 +137,23 @@
 		current:   view.Empty(),
 		changed:   make(chan struct{}),
 	}
-	p.memory = billing.NewMemory(p.member, p, p, store{p}, p.timers)
-	p.replica = claim.NewReplica(id, p, p, p.timers, claim.WithFolded(p.memory.Folded))
+	p.memory = billing.NewTracker(p.member, p, p, store{p}, p.timers)
+	p.replica = claim.NewReplica(id, p, p, p.timers, claim.WithFolded(p.memory.CanDiscard))
 	p.claimer = claim.NewClaimer(p, p)
 	p.journal = ledger.New(id, store{p}, p.memory, p.timers, func() time.Duration { return foldInterval })
-	p.biller = billing.New(billing.Parts{
-		Self:        claim.Holder{ID: id, Peer: id},
-		Claims:      claims{p.claimer, p},
-		Fates:       p.memory,
-		Journal:     p.journal,
-		Counters:    counters{p},
-		Timers:      p.timers,
-		NewID:       f.newID,
-		Region:      func(string) string { return "home" },
-		SettledLife: billLife,
+	p.biller = billing.New(billing.Config{
+		Self:             claim.Holder{ID: id, Peer: id},
+		Claims:           claims{p.claimer, p},
+		Statuses:         p.memory,
+		Journal:          p.journal,
+		Counters:         counters{p},
+		Timers:           p.timers,
+		NewID:            f.newID,
+		Region:           func(string) string { return "home" },
+		RecoveredBillTTL: billLife,
 	})
 	p.memory.Attach(p.journal, p.replica, p.biller)
-	p.closer = ledger.NewCloser(store{p}, p.memory, p.memory.IsMember, p.onDuty, p.timers)
+	p.closer = ledger.NewCloser(store{p}, p.memory, p.memory.OwnerInView, p.onDuty, p.timers)
 	f.mu.Lock()
 	f.nodes[id] = p
 	f.mu.Unlock()
@@ -267,8 +267,8 @@
 	p.timers.Every(ctx, heartbeat, func() {
 		for _, m := range p.Alive() {
 			go func() {
-				name, safe := p.journal.Name(), p.journal.Safe()
-				_ = p.deliver(ctx, m, func(to *process) { to.memory.Heard(name, safe) })
+				name, safe := p.journal.Name(), p.journal.DurableSequence()
+				_ = p.deliver(ctx, m, func(to *process) { to.memory.RecordHeartbeat(name, safe) })
 			}()
 		}
 	})
--- a/billing/memory.go
+++ b/billing/memory.go
@@ -24,22 +24,22 @@
 	NotOwner = namespace.NewType("not_owner")
 )
 
-// Recollection is what one node remembers of a journal. Its fields are
+// JournalRecords is what one node remembers of a journal. Its fields are
 // exported for the codec.
-type Recollection struct {
-	Checkpoint ledger.Account `cbor:"1,keyasint"`
-	Bills      []claim.Entry  `cbor:"2,keyasint"`
-	// Owner says that the journal is the node's own. Open and Lost list its
+type JournalRecords struct {
+	Checkpoint ledger.Snapshot `cbor:"1,keyasint"`
+	Bills      []claim.Entry   `cbor:"2,keyasint"`
+	// IsOwner says that the journal is the node's own. Open and Lost list its
 	// sequences that are not decided and those whose bill another has won.
-	Owner bool    `cbor:"3,keyasint,omitempty"`
-	Open  []int64 `cbor:"4,keyasint,omitempty"`
-	Lost  []int64 `cbor:"5,keyasint,omitempty"`
+	IsOwner bool    `cbor:"3,keyasint,omitempty"`
+	Open    []int64 `cbor:"4,keyasint,omitempty"`
+	Lost    []int64 `cbor:"5,keyasint,omitempty"`
 }
 
 // Peers reaches the memories of the nodes, this one included.
 type Peers interface {
-	Recall(ctx context.Context, to view.Member, journal string) (Recollection, error)
-	Checkpoint(ctx context.Context, to view.Member, a ledger.Account) error
+	FetchRecords(ctx context.Context, to view.Member, journal string) (JournalRecords, error)
+	Checkpoint(ctx context.Context, to view.Member, a ledger.Snapshot) error
 }
 
 // Members tells who belongs to the system.
@@ -58,12 +58,12 @@
 
 // Settler ends the claims of nodes that are gone.
 type Settler interface {
-	Settle(ctx context.Context, journal string, r ledger.Remembered) (won bool, err error)
+	Settle(ctx context.Context, journal string, r ledger.ReplicatedBill) (won bool, err error)
 }
 
-// Memory is what this node remembers of the journals of all nodes. It is safe
+// Tracker is what this node remembers of the journals of all nodes. It is safe
 // for concurrent use.
-type Memory struct {
+type Tracker struct {
 	self    view.Member
 	members Members
 	peers   Peers
@@ -79,13 +79,13 @@
 	// its node last spoke of it.
 	safe        map[string]int64
 	heardAt     map[string]time.Time
-	checkpoints map[string]ledger.Account
+	checkpoints map[string]ledger.Snapshot
 }
 
-// NewMemory returns an empty memory. Before its use [Memory.Attach] gives it
+// NewTracker returns an empty memory. Before its use [Tracker.Attach] gives it
 // the parts that need it themselves.
-func NewMemory(self view.Member, members Members, peers Peers, store document.Store, timers *timer.Service) *Memory {
-	return &Memory{
+func NewTracker(self view.Member, members Members, peers Peers, store document.Store, timers *timer.Service) *Tracker {
+	return &Tracker{
 		self:        self,
 		members:     members,
 		peers:       peers,
@@ -93,17 +93,17 @@
 		timers:      timers,
 		safe:        make(map[string]int64),
 		heardAt:     make(map[string]time.Time),
-		checkpoints: make(map[string]ledger.Account),
+		checkpoints: make(map[string]ledger.Snapshot),
 	}
 }
 
 // Attach names this node's journal, its replica and its biller.
-func (m *Memory) Attach(journal *ledger.Journal, replica Replica, settler Settler) {
+func (m *Tracker) Attach(journal *ledger.Journal, replica Replica, settler Settler) {
 	m.journal, m.replica, m.settler = journal, replica, settler
 }
 
-// Heard takes a node's word on how far its journal's bills are kept elsewhere.
-func (m *Memory) Heard(journal string, safe int64) {
+// RecordHeartbeat takes a node's word on how far its journal's bills are kept elsewhere.
+func (m *Tracker) RecordHeartbeat(journal string, safe int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.safe[journal] = max(m.safe[journal], safe)
@@ -114,10 +114,10 @@
 // takes seconds, in an outage of the platform as long as that lasts.
 const silentLife = 6 * time.Hour
 
-// Folded reports whether a bill need not be remembered any longer.
-func (m *Memory) Folded(journal string, sequence int64) bool {
+// CanDiscard reports whether a bill need not be remembered any longer.
+func (m *Tracker) CanDiscard(journal string, sequence int64) bool {
 	if journal == m.journal.Name() {
-		return sequence <= m.journal.Safe()
+		return sequence <= m.journal.DurableSequence()
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -133,7 +133,7 @@
 
 // Run forgets the journals that have been silent for long, until the context
 // ends.
-func (m *Memory) Run(ctx context.Context) {
+func (m *Tracker) Run(ctx context.Context) {
 	m.timers.Every(ctx, sweepInterval, func() {
 		m.mu.Lock()
 		defer m.mu.Unlock()
@@ -148,15 +148,15 @@
 	})
 }
 
-// IsMember reports whether a journal belongs to a member of the view.
-func (m *Memory) IsMember(journal string) bool {
+// OwnerInView reports whether a journal belongs to a member of the view.
+func (m *Tracker) OwnerInView(journal string) bool {
 	return m.members.Current().Has(ownerOf(journal))
 }
 
-// Gone lists the journals of nodes that have left the view: those of which this
+// Orphaned lists the journals of nodes that have left the view: those of which this
 // node remembers bills or sums, and those that the view's history names, since
 // a node remembers the bills of some keys only.
-func (m *Memory) Gone() []string {
+func (m *Tracker) Orphaned() []string {
 	known := m.replica.BillHolders()
 	for _, removed := range m.members.Current().Removed() {
 		known[removed.ID] = true
@@ -168,15 +168,15 @@
 	m.mu.Unlock()
 	var gone []string
 	for journal := range known {
-		if !m.IsMember(journal) {
+		if !m.OwnerInView(journal) {
 			gone = append(gone, journal)
 		}
 	}
 	return gone
 }
 
-// Keep takes the sums of a journal.
-func (m *Memory) Keep(a ledger.Account) {
+// StoreCheckpoint takes the sums of a journal.
+func (m *Tracker) StoreCheckpoint(a ledger.Snapshot) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.heardAt[a.Journal] = m.timers.Now()
@@ -187,7 +187,7 @@
 
 // Checkpoint gives the sums of this node's journal to two other nodes of
 // other data halls, as the view names them for the journal.
-func (m *Memory) Checkpoint(ctx context.Context, a ledger.Account) bool {
+func (m *Tracker) Checkpoint(ctx context.Context, a ledger.Snapshot) bool {
 	took := 0
 	for _, to := range m.members.Current().Replicas(m.self.Region, ledger.Key(a.Journal)) {
 		if to.ID != m.self.ID && m.peers.Checkpoint(ctx, to, a) == nil {
@@ -197,14 +197,14 @@
 	return took >= 2
 }
 
-// Local returns what this node remembers of a journal.
-func (m *Memory) Local(journal string) Recollection {
+// LocalRecords returns what this node remembers of a journal.
+func (m *Tracker) LocalRecords(journal string) JournalRecords {
 	m.mu.Lock()
 	checkpoint := m.checkpoints[journal]
 	m.mu.Unlock()
-	reply := Recollection{Checkpoint: checkpoint, Bills: m.replica.Bills(journal, checkpoint.Sequence)}
+	reply := JournalRecords{Checkpoint: checkpoint, Bills: m.replica.Bills(journal, checkpoint.Sequence)}
 	if ownerOf(journal) == m.self.ID {
-		reply.Owner = true
+		reply.IsOwner = true
 		reply.Open, reply.Lost = m.journal.Undecided()
 	}
 	return reply
@@ -214,48 +214,48 @@
 // after another was closed has its name with a mark, and its sequences.
 func ownerOf(journal string) string { return strings.TrimRight(journal, "+") }
 
-// Fate returns what has become of a bill: by the word of its journal's owner
+// BillStatus returns what has become of a bill: by the word of its journal's owner
 // or, if that is gone, by the journal as the platform has it.
-func (m *Memory) Fate(ctx context.Context, bill claim.Entry) (ledger.Fate, error) {
+func (m *Tracker) BillStatus(ctx context.Context, bill claim.Entry) (ledger.BillStatus, error) {
 	journal := bill.Holder.ID
 	owner, present := m.members.Current().Member(ownerOf(journal))
 	if !present {
 		stored, err := ledger.Read(ctx, m.store, journal)
-		return stored.Fate(bill.Sequence), err
+		return stored.BillStatus(bill.Sequence), err
 	}
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
-	reply, err := m.peers.Recall(ctx, owner, journal)
+	reply, err := m.peers.FetchRecords(ctx, owner, journal)
 	switch {
 	case err != nil:
-		return ledger.FateOpen, err
-	case !reply.Owner:
-		return ledger.FateOpen, errs.New(NotOwner, "fate", "journal %s", journal)
+		return ledger.BillOpen, err
+	case !reply.IsOwner:
+		return ledger.BillOpen, errs.New(NotOwner, "fate", "journal %s", journal)
 	case slices.Contains(reply.Open, bill.Sequence):
-		return ledger.FateOpen, nil
+		return ledger.BillOpen, nil
 	case slices.Contains(reply.Lost, bill.Sequence):
-		return ledger.FateLost, nil
+		return ledger.BillLost, nil
 	default:
-		return ledger.FateWon, nil
+		return ledger.BillWon, nil
 	}
 }
 
 // recallTimeout bounds asking all nodes for what they remember.
 const recallTimeout = time.Second
 
-// Recall asks all nodes what they remember of a journal. It is complete if all
+// CollectRecords asks all nodes what they remember of a journal. It is complete if all
 // members of the view have answered: a bill stands at two replicas, and the node
 // that is gone may have been one of them.
-func (m *Memory) Recall(ctx context.Context, journal string) (ledger.Account, []ledger.Remembered, bool) {
+func (m *Tracker) CollectRecords(ctx context.Context, journal string) (ledger.Snapshot, []ledger.ReplicatedBill, bool) {
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
 	var mu sync.Mutex
-	var replies []Recollection
+	var replies []JournalRecords
 	var calls sync.WaitGroup
 	answered := make(map[string]bool)
 	for _, to := range m.asked() {
 		calls.Go(func() {
-			reply, err := m.peers.Recall(ctx, to, journal)
+			reply, err := m.peers.FetchRecords(ctx, to, journal)
 			if err != nil {
 				return
 			}
@@ -273,7 +273,7 @@
 
 // asked returns all who may remember something: the members of the view, also
 // those that leave or are suspected, and other nodes that answer.
-func (m *Memory) asked() map[string]view.Member {
+func (m *Tracker) asked() map[string]view.Member {
 	asked := map[string]view.Member{m.self.ID: m.self}
 	for _, member := range m.members.Current().Members() {
 		asked[member.ID] = member
@@ -286,8 +286,8 @@
 
 // merge returns the highest checkpoint, and each bill beyond it with the token
 // of its claim's last round.
-func merge(replies []Recollection) (ledger.Account, []ledger.Remembered) {
-	var checkpoint ledger.Account
+func merge(replies []JournalRecords) (ledger.Snapshot, []ledger.ReplicatedBill) {
+	var checkpoint ledger.Snapshot
 	entries := make(map[string]claim.Entry)
 	for _, reply := range replies {
 		if reply.Checkpoint.Sequence > checkpoint.Sequence {
@@ -300,19 +300,19 @@
 			}
 		}
 	}
-	var remembered []ledger.Remembered
+	var remembered []ledger.ReplicatedBill
 	for _, e := range entries {
 		var bill ledger.Bill
 		if e.Sequence <= checkpoint.Sequence || json.Unmarshal(e.Value, &bill) != nil {
 			continue
 		}
-		remembered = append(remembered, ledger.Remembered{Sequence: e.Sequence, Bill: bill, Token: e.Token})
+		remembered = append(remembered, ledger.ReplicatedBill{Sequence: e.Sequence, Bill: bill, Token: e.Token})
 	}
 	sort.Slice(remembered, func(i, j int) bool { return remembered[i].Sequence < remembered[j].Sequence })
 	return checkpoint, remembered
 }
 
 // Settle ends the claim of a bill of a node that is gone.
-func (m *Memory) Settle(ctx context.Context, journal string, r ledger.Remembered) (bool, error) {
+func (m *Tracker) Settle(ctx context.Context, journal string, r ledger.ReplicatedBill) (bool, error) {
 	return m.settler.Settle(ctx, journal, r)
 }
--- a/billing/network_test.go
+++ b/billing/network_test.go
@@ -109,13 +109,13 @@
 	return reply, err
 }
 
-func (p *process) Recall(ctx context.Context, to view.Member, journal string) (reply billing.Recollection, err error) {
-	err = p.deliver(ctx, to, func(o *process) { reply = o.memory.Local(journal) })
+func (p *process) FetchRecords(ctx context.Context, to view.Member, journal string) (reply billing.JournalRecords, err error) {
+	err = p.deliver(ctx, to, func(o *process) { reply = o.memory.LocalRecords(journal) })
 	return reply, err
 }
 
-func (p *process) Checkpoint(ctx context.Context, to view.Member, a ledger.Account) error {
-	return p.deliver(ctx, to, func(o *process) { o.memory.Keep(a) })
+func (p *process) Checkpoint(ctx context.Context, to view.Member, a ledger.Snapshot) error {
+	return p.deliver(ctx, to, func(o *process) { o.memory.StoreCheckpoint(a) })
 }
 
 // claims ends the tasks of a process that was killed.
@@ -199,19 +199,19 @@
 
 func (s store) Delete(context.Context, string, int64) (bool, error) { return false, nil }
 
-func (s store) Journals(ctx context.Context) ([]ledger.Account, error) {
+func (s store) Journals(ctx context.Context) ([]ledger.Snapshot, error) {
 	if err := s.reach(ctx); err != nil {
 		return nil, err
 	}
 	return s.p.f.journals()
 }
 
-func (f *fleet) journals() ([]ledger.Account, error) {
+func (f *fleet) journals() ([]ledger.Snapshot, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var all []ledger.Account
+	var all []ledger.Snapshot
 	for key, data := range f.data {
-		a, err := ledger.Decode(data, strings.TrimPrefix(key, ledger.Prefix))
+		a, err := ledger.Decode(data, strings.TrimPrefix(key, ledger.KeyPrefix))
 		if err != nil {
 			return nil, err
 		}
--- a/ledger/archive.go
+++ b/ledger/archive.go
@@ -10,9 +10,9 @@
 	"github.com/violettally/violettally/document"
 )
 
-// Archive is the journal that takes up the closed ones, or they would grow in
+// ArchiveName is the journal that takes up the closed ones, or they would grow in
 // number with every VM that was ever replaced.
-const Archive = "archive"
+const ArchiveName = "archive"
 
 // archiveAfter is how long a closed journal stands by itself, for an owner that
 // was only paused. A process that was paused for longer than this does not
@@ -22,12 +22,12 @@
 // archive moves closed journals into the archive: first their sums, together
 // with their names, then the journals themselves, then the names. Whatever is
 // cut short goes on in the next round without counting anything twice.
-func (c *Closer) archive(ctx context.Context, stored []Account) error {
+func (c *Closer) archive(ctx context.Context, stored []Snapshot) error {
 	var old, standing []string
-	sums := make(map[string]Account)
+	sums := make(map[string]Snapshot)
 	for _, a := range stored {
 		standing = append(standing, a.Journal)
-		if a.Closed && a.Journal != Archive && c.timers.Now().Sub(a.ClosedAt) > archiveAfter {
+		if a.Closed && a.Journal != ArchiveName && c.timers.Now().Sub(a.ClosedAt) > archiveAfter {
 			old = append(old, a.Journal)
 			sums[a.Journal] = a
 		}
@@ -35,8 +35,8 @@
 	if len(old) == 0 {
 		return nil
 	}
-	_, err := document.Update(ctx, c.store, Key(Archive), func(data []byte) ([]byte, error) {
-		archive, err := Decode(data, Archive)
+	_, err := document.Update(ctx, c.store, Key(ArchiveName), func(data []byte) ([]byte, error) {
+		archive, err := Decode(data, ArchiveName)
 		if err != nil {
 			return nil, err
 		}
@@ -55,16 +55,16 @@
 
 // absorb adds the old journals that the archive does not have yet, and forgets
 // the names of those that do not stand beside it any more.
-func absorb(archive Account, old []string, sums map[string]Account, standing []string) Account {
+func absorb(archive Snapshot, old []string, sums map[string]Snapshot, standing []string) Snapshot {
 	archive.Closed = true
 	var names []string
-	for _, name := range archive.Absorbed {
+	for _, name := range archive.Archived {
 		if slices.Contains(standing, name) {
 			names = append(names, name)
 		}
 	}
 	for _, name := range old {
-		if slices.Contains(archive.Absorbed, name) {
+		if slices.Contains(archive.Archived, name) {
 			continue
 		}
 		for line, sum := range sums[name].Totals {
@@ -72,7 +72,7 @@
 		}
 		names = append(names, name)
 	}
-	archive.Absorbed = names
+	archive.Archived = names
 	return archive
 }
 
--- a/ledger/closer.go
+++ b/ledger/closer.go
@@ -12,32 +12,32 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// Remembered is a bill of a gone node as the claim replicas remember it.
-type Remembered struct {
+// ReplicatedBill is a bill of a gone node as the claim replicas remember it.
+type ReplicatedBill struct {
 	Sequence int64
 	Bill     Bill
 	// Token is that of the claim.
 	Token string
 }
 
-// Memory asks all replicas what they remember of a journal.
-type Memory interface {
-	// Recall returns the highest checkpoint and the bills beyond it. Complete
+// Replicas asks all replicas what they remember of a journal.
+type Replicas interface {
+	// CollectRecords returns the highest checkpoint and the bills beyond it. Complete
 	// is false while replicas are missing that may know more.
-	Recall(ctx context.Context, journal string) (checkpoint Account, bills []Remembered, complete bool)
-	// Gone lists journals of nodes that are no longer in the view, as far as
+	CollectRecords(ctx context.Context, journal string) (checkpoint Snapshot, bills []ReplicatedBill, complete bool)
+	// Orphaned lists journals of nodes that are no longer in the view, as far as
 	// this node knows of them.
-	Gone() []string
+	Orphaned() []string
 	// Settle ends the claim of a gone node's bill in its place and reports
 	// whether it is won. Whoever settles a claim, and however often, gets the
 	// same result.
-	Settle(ctx context.Context, journal string, r Remembered) (won bool, err error)
+	Settle(ctx context.Context, journal string, r ReplicatedBill) (won bool, err error)
 }
 
-// Listing lists the journals at the platform.
-type Listing interface {
+// JournalStore lists the journals at the platform.
+type JournalStore interface {
 	document.Store
-	Journals(ctx context.Context) ([]Account, error)
+	Journals(ctx context.Context) ([]Snapshot, error)
 	Delete(ctx context.Context, key string, expected int64) (bool, error)
 }
 
@@ -50,8 +50,8 @@
 // Closer closes the journals of nodes that are gone, so that no bill is lost
 // with its node.
 type Closer struct {
-	store  Listing
-	memory Memory
+	store  JournalStore
+	memory Replicas
 	member func(journal string) bool
 	duty   func() bool
 	timers *timer.Service
@@ -60,7 +60,7 @@
 
 // NewCloser returns a closer. It works while duty reports true, and leaves
 // alone the journals of present members.
-func NewCloser(store Listing, memory Memory, member func(journal string) bool, duty func() bool, timers *timer.Service) *Closer {
+func NewCloser(store JournalStore, memory Replicas, member func(journal string) bool, duty func() bool, timers *timer.Service) *Closer {
 	return &Closer{
 		store:  store,
 		memory: memory,
@@ -91,7 +91,7 @@
 }
 
 func (c *Closer) candidates(ctx context.Context, list bool) []string {
-	names := c.memory.Gone()
+	names := c.memory.Orphaned()
 	if list {
 		stored, err := c.store.Journals(ctx)
 		if err != nil {
@@ -122,7 +122,7 @@
 // place of the node: a claim of one's own would find the old one in its way, or
 // count a bill again that the node has folded.
 func (c *Closer) Close(ctx context.Context, journal string) error {
-	checkpoint, bills, complete := c.memory.Recall(ctx, journal)
+	checkpoint, bills, complete := c.memory.CollectRecords(ctx, journal)
 	if !complete {
 		slog.Info("journal not closed yet: not all members tell what they remember of it", "journal", journal)
 		return nil
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	var last Account
+	var last Snapshot
 	_, err = document.Update(ctx, c.store, Key(journal), func(old []byte) ([]byte, error) {
 		var err error
 		if stored, err = Decode(old, journal); err != nil {
@@ -153,13 +153,13 @@
 	}
 	c.closed[journal] = true
 	slog.Info("journal closed", "journal", journal, "by_another", stored.Closed, "remembered", len(bills), "folded", stored.Sequence,
-		"checkpoint", checkpoint.Sequence, "sequence", last.Sequence, "swept", last.Swept)
+		"checkpoint", checkpoint.Sequence, "sequence", last.Sequence, "swept", last.Recovered)
 	return nil
 }
 
 // settle returns the bills beyond a sequence whose claims are won.
-func (c *Closer) settle(ctx context.Context, journal string, bills []Remembered, after int64) ([]Remembered, error) {
-	var won []Remembered
+func (c *Closer) settle(ctx context.Context, journal string, bills []ReplicatedBill, after int64) ([]ReplicatedBill, error) {
+	var won []ReplicatedBill
 	for _, b := range bills {
 		if b.Sequence <= after {
 			continue
@@ -176,15 +176,15 @@
 }
 
 // closing returns the last form of a journal.
-func closing(stored, checkpoint Account, won []Remembered) Account {
+func closing(stored, checkpoint Snapshot, won []ReplicatedBill) Snapshot {
 	last := stored
 	if checkpoint.Sequence > last.Sequence {
 		last.Sequence, last.Totals, last.Skipped = checkpoint.Sequence, maps.Clone(checkpoint.Totals), checkpoint.Skipped
 	}
 	for _, b := range won {
 		if b.Sequence > last.Sequence {
-			last.add(b.Bill.Line(), b.Bill.Sum())
-			last.Swept = append(last.Swept, b.Sequence)
+			last.add(b.Bill.TotalsKey(), b.Bill.Sum())
+			last.Recovered = append(last.Recovered, b.Sequence)
 		}
 	}
 	last.Closed = true
@@ -192,10 +192,10 @@
 }
 
 // Total sums up journals by line, for `violettally show ledger`.
-func Total(journals []Account) map[string]Sum {
+func Total(journals []Snapshot) map[string]Sum {
 	absorbed := make(map[string]bool)
 	for _, a := range journals {
-		for _, name := range a.Absorbed {
+		for _, name := range a.Archived {
 			absorbed[name] = true
 		}
 	}
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -58,8 +58,8 @@
 	Cost int64 `json:"cost"`
 }
 
-// Line names what bills are summed up by.
-func (b Bill) Line() string { return b.Account + "/" + b.Model + "@" + b.Version }
+// TotalsKey names what bills are summed up by.
+func (b Bill) TotalsKey() string { return b.Account + "/" + b.Model + "@" + b.Version }
 
 // Sum is the total of some bills.
 type Sum struct {
@@ -84,68 +84,68 @@
 	return Sum{Requests: 1, PromptTokens: b.PromptTokens, CompletionTokens: b.CompletionTokens, Cost: b.Cost}
 }
 
-// Account is a journal as stored at the platform, and as checkpointed at
+// Snapshot is a journal as stored at the platform, and as checkpointed at
 // peers: the totals of all bills up to a sequence.
-type Account struct {
+type Snapshot struct {
 	Journal  string         `json:"journal"`
 	Sequence int64          `json:"sequence"`
 	Totals   map[string]Sum `json:"totals"`
 	// Closed journals take no more bills. Swept lists the sequences beyond
 	// Sequence that the closer has found and added.
-	Closed   bool      `json:"closed"`
-	ClosedAt time.Time `json:"closed_at,omitzero"`
-	Swept    []int64   `json:"swept,omitempty"`
+	Closed    bool      `json:"closed"`
+	ClosedAt  time.Time `json:"closed_at,omitzero"`
+	Recovered []int64   `json:"swept,omitempty"`
 	// Skipped lists the latest sequences up to Sequence whose bill another has
 	// won.
 	Skipped []int64 `json:"skipped,omitempty"`
-	// Absorbed lists, in the archive, journals that are in it and may still
+	// Archived lists, in the archive, journals that are in it and may still
 	// stand beside it.
-	Absorbed []string `json:"absorbed,omitempty"`
+	Archived []string `json:"absorbed,omitempty"`
 }
 
-func (a *Account) add(line string, sum Sum) {
+func (a *Snapshot) add(line string, sum Sum) {
 	if a.Totals == nil {
 		a.Totals = make(map[string]Sum)
 	}
 	a.Totals[line] = a.Totals[line].Add(sum)
 }
 
-// Fate is what has become of the bill of a sequence.
-type Fate int
+// BillStatus is what has become of the bill of a sequence.
+type BillStatus int
 
 // The fates of a bill.
 const (
-	// FateOpen is that of a bill which is not decided.
-	FateOpen Fate = iota
-	// FateWon bills are in their journal.
-	FateWon
-	// FateLost bills are in the journal of another.
-	FateLost
+	// BillOpen is that of a bill which is not decided.
+	BillOpen BillStatus = iota
+	// BillWon bills are in their journal.
+	BillWon
+	// BillLost bills are in the journal of another.
+	BillLost
 )
 
-// Fate returns what has become of a bill as far as the stored journal tells.
-func (a Account) Fate(sequence int64) Fate {
+// BillStatus returns what has become of a bill as far as the stored journal tells.
+func (a Snapshot) BillStatus(sequence int64) BillStatus {
 	switch {
 	case slices.Contains(a.Skipped, sequence):
-		return FateLost
-	case sequence <= a.Sequence || slices.Contains(a.Swept, sequence):
-		return FateWon
+		return BillLost
+	case sequence <= a.Sequence || slices.Contains(a.Recovered, sequence):
+		return BillWon
 	case a.Closed:
-		return FateLost
+		return BillLost
 	default:
-		return FateOpen
+		return BillOpen
 	}
 }
 
 // Key returns the key of a journal at the platform.
-func Key(journal string) string { return Prefix + journal }
+func Key(journal string) string { return KeyPrefix + journal }
 
-// Prefix starts the keys of all journals.
-const Prefix = "ledger/"
+// KeyPrefix starts the keys of all journals.
+const KeyPrefix = "ledger/"
 
 // Decode reads a stored journal; no data stands for an empty one.
-func Decode(data []byte, journal string) (Account, error) {
-	a := Account{Journal: journal}
+func Decode(data []byte, journal string) (Snapshot, error) {
+	a := Snapshot{Journal: journal}
 	if len(data) == 0 {
 		return a, nil
 	}
@@ -156,25 +156,25 @@
 }
 
 // Read returns a journal as it is stored.
-func Read(ctx context.Context, store document.Store, journal string) (Account, error) {
+func Read(ctx context.Context, store document.Store, journal string) (Snapshot, error) {
 	data, _, err := store.Get(ctx, Key(journal))
 	if err != nil {
-		return Account{Journal: journal}, err
+		return Snapshot{Journal: journal}, err
 	}
 	return Decode(data, journal)
 }
 
-// Checkpoints keeps sums at peers while the platform is out.
-type Checkpoints interface {
+// Checkpointer keeps sums at peers while the platform is out.
+type Checkpointer interface {
 	// Checkpoint gives the account to the journal's replicas and reports
 	// whether enough of them took it.
-	Checkpoint(ctx context.Context, a Account) bool
+	Checkpoint(ctx context.Context, a Snapshot) bool
 }
 
 // Journal is one node's bills. It is safe for concurrent use.
 type Journal struct {
 	store       document.Store
-	checkpoints Checkpoints
+	checkpoints Checkpointer
 	timers      *timer.Service
 	interval    func() time.Duration
 
@@ -186,7 +186,7 @@
 	// are not decided.
 	bills map[int64]Bill
 	open  map[int64]bool
-	sums  Account
+	sums  Snapshot
 	// folded is the sequence that stands at the platform, safe the one that
 	// stands there or at peers.
 	folded int64
@@ -195,7 +195,7 @@
 
 // New returns an empty journal. The interval between two folds is asked for
 // anew each time, since it grows with the fleet.
-func New(name string, store document.Store, checkpoints Checkpoints, timers *timer.Service, interval func() time.Duration) *Journal {
+func New(name string, store document.Store, checkpoints Checkpointer, timers *timer.Service, interval func() time.Duration) *Journal {
 	return &Journal{
 		store:       store,
 		checkpoints: checkpoints,
@@ -204,7 +204,7 @@
 		name:        name,
 		bills:       make(map[int64]Bill),
 		open:        make(map[int64]bool),
-		sums:        Account{Journal: name},
+		sums:        Snapshot{Journal: name},
 	}
 }
 
@@ -227,8 +227,8 @@
 	return j.next
 }
 
-// Enter counts the bill of a sequence, which was won.
-func (j *Journal) Enter(sequence int64) {
+// Commit counts the bill of a sequence, which was won.
+func (j *Journal) Commit(sequence int64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	delete(j.open, sequence)
@@ -264,16 +264,16 @@
 	for j.done < j.next && !j.open[j.done+1] {
 		j.done++
 		if b, ok := j.bills[j.done]; ok {
-			j.sums.add(b.Line(), b.Sum())
+			j.sums.add(b.TotalsKey(), b.Sum())
 			delete(j.bills, j.done)
 		}
 	}
 	j.sums.Sequence = j.done
 }
 
-// Safe returns the sequence up to which the bills are kept elsewhere, at the
+// DurableSequence returns the sequence up to which the bills are kept elsewhere, at the
 // platform or summed up at peers.
-func (j *Journal) Safe() int64 {
+func (j *Journal) DurableSequence() int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.safe
@@ -314,7 +314,7 @@
 	if sums.Sequence == j.atPlatform() {
 		return nil
 	}
-	var stored Account
+	var stored Snapshot
 	_, err := document.Update(ctx, j.store, Key(sums.Journal), func(old []byte) ([]byte, error) {
 		var err error
 		if stored, err = Decode(old, sums.Journal); err != nil {
@@ -336,7 +336,7 @@
 	return err
 }
 
-func (j *Journal) snapshot() Account {
+func (j *Journal) snapshot() Snapshot {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	copied := j.sums
@@ -350,7 +350,7 @@
 	return j.folded
 }
 
-func (j *Journal) markFolded(sums Account) {
+func (j *Journal) markFolded(sums Snapshot) {
 	j.markSafe(sums)
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -359,7 +359,7 @@
 	}
 }
 
-func (j *Journal) markSafe(sums Account) {
+func (j *Journal) markSafe(sums Snapshot) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.name == sums.Journal {
@@ -369,27 +369,27 @@
 
 // reopen starts a new journal after another node has closed this one while it
 // was paused. What the closer did not find goes into the new one.
-func (j *Journal) reopen(closed Account) {
+func (j *Journal) reopen(closed Snapshot) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	missed := Account{}
+	missed := Snapshot{}
 	for line, sum := range j.sums.Totals {
 		missed.add(line, sum)
 	}
 	for line, sum := range closed.Totals {
 		missed.add(line, Sum{}.minus(sum))
 	}
-	for _, sequence := range closed.Swept {
+	for _, sequence := range closed.Recovered {
 		// What the closer has counted and the sums have not is not to be
 		// counted again, whenever it is decided here.
 		if b, ok := j.bills[sequence]; ok {
-			missed.add(b.Line(), b.Sum())
+			missed.add(b.TotalsKey(), b.Sum())
 			delete(j.bills, sequence)
 		}
 	}
 	maps.DeleteFunc(missed.Totals, func(_ string, s Sum) bool { return s == Sum{} })
 	j.name += "+"
-	j.sums = Account{Journal: j.name, Sequence: j.done, Totals: missed.Totals, Skipped: j.sums.Skipped}
+	j.sums = Snapshot{Journal: j.name, Sequence: j.done, Totals: missed.Totals, Skipped: j.sums.Skipped}
 	j.folded, j.safe = 0, 0
 	slog.Warn("journal was closed meanwhile; going on in a new one", "journal", j.name)
 }
--- a/ledger/ledger_enumer.go
+++ b/ledger/ledger_enumer.go
@@ -13,8 +13,8 @@
 
 const _FateLowerName = "openwonlost"
 
-func (i Fate) String() string {
-	if i < 0 || i >= Fate(len(_FateIndex)-1) {
+func (i BillStatus) String() string {
+	if i < 0 || i >= BillStatus(len(_FateIndex)-1) {
 		return fmt.Sprintf("Fate(%d)", i)
 	}
 	return _FateName[_FateIndex[i]:_FateIndex[i+1]]
@@ -24,23 +24,23 @@
 // Re-run the stringer command to generate them again.
 func _FateNoOp() {
 	var x [1]struct{}
-	_ = x[FateOpen-(0)]
-	_ = x[FateWon-(1)]
-	_ = x[FateLost-(2)]
+	_ = x[BillOpen-(0)]
+	_ = x[BillWon-(1)]
+	_ = x[BillLost-(2)]
 }
 
-var _FateValues = []Fate{FateOpen, FateWon, FateLost}
+var _FateValues = []BillStatus{BillOpen, BillWon, BillLost}
 
-var _FateNameToValueMap = map[string]Fate{
-	_FateName[0:4]:  FateOpen,
-	_FateName[4:7]:  FateWon,
-	_FateName[7:11]: FateLost,
+var _FateNameToValueMap = map[string]BillStatus{
+	_FateName[0:4]:  BillOpen,
+	_FateName[4:7]:  BillWon,
+	_FateName[7:11]: BillLost,
 }
 
-var _FateLowerNameToValueMap = map[string]Fate{
-	_FateLowerName[0:4]:  FateOpen,
-	_FateLowerName[4:7]:  FateWon,
-	_FateLowerName[7:11]: FateLost,
+var _FateLowerNameToValueMap = map[string]BillStatus{
+	_FateLowerName[0:4]:  BillOpen,
+	_FateLowerName[4:7]:  BillWon,
+	_FateLowerName[7:11]: BillLost,
 }
 
 var _FateNames = []string{
@@ -49,9 +49,9 @@
 	_FateName[7:11],
 }
 
-// FateString retrieves an enum value from the enum constants string name.
+// BillStatusString retrieves an enum value from the enum constants string name.
 // Throws an error if the param is not part of the enum.
-func FateString(s string) (Fate, error) {
+func BillStatusString(s string) (BillStatus, error) {
 	if val, ok := _FateNameToValueMap[s]; ok {
 		return val, nil
 	}
@@ -62,20 +62,20 @@
 	return 0, fmt.Errorf("%s does not belong to Fate values", s)
 }
 
-// FateValues returns all values of the enum
-func FateValues() []Fate {
+// BillStatusValues returns all values of the enum
+func BillStatusValues() []BillStatus {
 	return _FateValues
 }
 
-// FateStrings returns a slice of all String values of the enum
-func FateStrings() []string {
+// BillStatusStrings returns a slice of all String values of the enum
+func BillStatusStrings() []string {
 	strs := make([]string, len(_FateNames))
 	copy(strs, _FateNames)
 	return strs
 }
 
-// IsAFate returns "true" if the value is listed in the enum definition. "false" otherwise
-func (i Fate) IsAFate() bool {
+// IsABillStatus returns "true" if the value is listed in the enum definition. "false" otherwise
+func (i BillStatus) IsABillStatus() bool {
 	for _, v := range _FateValues {
 		if i == v {
 			return true
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -68,12 +68,12 @@
 	return true, nil
 }
 
-func (p *platform) Journals(context.Context) ([]ledger.Account, error) {
+func (p *platform) Journals(context.Context) ([]ledger.Snapshot, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	var all []ledger.Account
+	var all []ledger.Snapshot
 	for key, data := range p.data {
-		a, err := ledger.Decode(data, key[len(ledger.Prefix):])
+		a, err := ledger.Decode(data, key[len(ledger.KeyPrefix):])
 		if err != nil {
 			return nil, err
 		}
@@ -91,8 +91,8 @@
 
 // replicas remember bills and sums.
 type replicas struct {
-	checkpoint ledger.Account
-	bills      []ledger.Remembered
+	checkpoint ledger.Snapshot
+	bills      []ledger.ReplicatedBill
 	complete   bool
 	// lost lists the sequences of claims that another has won, settled all that
 	// were asked for.
@@ -100,18 +100,18 @@
 	settled []int64
 }
 
-func (r *replicas) Checkpoint(_ context.Context, a ledger.Account) bool {
+func (r *replicas) Checkpoint(_ context.Context, a ledger.Snapshot) bool {
 	r.checkpoint = a
 	return true
 }
 
-func (r *replicas) Recall(context.Context, string) (ledger.Account, []ledger.Remembered, bool) {
+func (r *replicas) CollectRecords(context.Context, string) (ledger.Snapshot, []ledger.ReplicatedBill, bool) {
 	return r.checkpoint, r.bills, r.complete
 }
 
-func (r *replicas) Gone() []string { return nil }
+func (r *replicas) Orphaned() []string { return nil }
 
-func (r *replicas) Settle(_ context.Context, _ string, b ledger.Remembered) (bool, error) {
+func (r *replicas) Settle(_ context.Context, _ string, b ledger.ReplicatedBill) (bool, error) {
 	r.settled = append(r.settled, b.Sequence)
 	return !slices.Contains(r.lost, b.Sequence), nil
 }
@@ -152,8 +152,8 @@
 func enter(j *ledger.Journal, r *replicas, n int) {
 	for range n {
 		sequence := j.Begin(bill)
-		j.Enter(sequence)
-		r.bills = append(r.bills, ledger.Remembered{Sequence: sequence, Bill: bill})
+		j.Commit(sequence)
+		r.bills = append(r.bills, ledger.ReplicatedBill{Sequence: sequence, Bill: bill})
 	}
 }
 
@@ -177,7 +177,7 @@
 			enter(j, r, 5)
 			tt.fault(p)
 			_ = j.Fold(t.Context())
-			must.Eq(t, tt.safe, j.Safe())
+			must.Eq(t, tt.safe, j.DurableSequence())
 			p.down, p.lose = false, 0
 			must.NoError(t, j.Fold(t.Context()))
 			must.Eq(t, 5, p.total(t), must.Sprint("also without a new bill"))
@@ -196,7 +196,7 @@
 	enter(j, r, 3)
 	must.NoError(t, j.Fold(t.Context()))
 	must.Eq(t, 0, p.total(t))
-	must.Eq(t, 0, j.Safe(), must.Sprint("replicas have to remember what comes after an open sequence"))
+	must.Eq(t, 0, j.DurableSequence(), must.Sprint("replicas have to remember what comes after an open sequence"))
 	j.Skip(first)
 	must.NoError(t, j.Fold(t.Context()))
 	must.Eq(t, 3, p.total(t))
@@ -276,13 +276,13 @@
 			other.Version = "v2"
 			open := j.Begin(other)
 			enter(j, r, 1)
-			r.bills = append(r.bills, ledger.Remembered{Sequence: open, Bill: other})
+			r.bills = append(r.bills, ledger.ReplicatedBill{Sequence: open, Bill: other})
 			closer := ledger.NewCloser(p, r, func(string) bool { return false }, func() bool { return true }, timer.New())
 			must.NoError(t, closer.Close(t.Context(), "n#1"))
 			must.Error(t, j.Fold(t.Context()))
 			switch ends {
 			case "entered":
-				j.Enter(open)
+				j.Commit(open)
 			case "skipped":
 				j.Skip(open)
 			}
@@ -323,17 +323,17 @@
 	must.NoError(t, j.Fold(t.Context()))
 	open := j.Begin(bill)
 	enter(j, r, 1)
-	fates := func(want ...ledger.Fate) {
+	fates := func(want ...ledger.BillStatus) {
 		stored, err := ledger.Read(t.Context(), p, "n#1")
 		must.NoError(t, err)
 		for i, fate := range want {
-			must.Eq(t, fate, stored.Fate(int64(i+1)), must.Sprintf("sequence %d", i+1))
+			must.Eq(t, fate, stored.BillStatus(int64(i+1)), must.Sprintf("sequence %d", i+1))
 		}
 	}
 	must.Eq(t, 3, skipped)
 	must.Eq(t, 5, open)
-	fates(ledger.FateWon, ledger.FateWon, ledger.FateLost, ledger.FateWon, ledger.FateOpen, ledger.FateOpen)
+	fates(ledger.BillWon, ledger.BillWon, ledger.BillLost, ledger.BillWon, ledger.BillOpen, ledger.BillOpen)
 	closer := ledger.NewCloser(p, r, func(string) bool { return false }, func() bool { return true }, timer.New())
 	must.NoError(t, closer.Close(t.Context(), "n#1"))
-	fates(ledger.FateWon, ledger.FateWon, ledger.FateLost, ledger.FateWon, ledger.FateLost, ledger.FateWon)
+	fates(ledger.BillWon, ledger.BillWon, ledger.BillLost, ledger.BillWon, ledger.BillLost, ledger.BillWon)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -90,7 +90,7 @@
 	leases   *lease.Holder
 	loads    *placement.Planner
 	backends *backends
-	bills    *billing.Memory
+	bills    *billing.Tracker
 	biller   *billing.Biller
 	dispatch *dispatch.Dispatcher
 
@@ -162,22 +162,22 @@
 // makeClaims makes the write-once memory and what is built on it.
 func (n *Node) makeClaims() {
 	s := n.settings
-	n.bills = billing.NewMemory(n.self, members{n.keeper, n.prober}, n.client, n.store, n.timers)
-	n.replica = claim.NewReplica(n.self.ID, n.keeper, n.client, n.timers, claim.WithFolded(n.bills.Folded))
+	n.bills = billing.NewTracker(n.self, members{n.keeper, n.prober}, n.client, n.store, n.timers)
+	n.replica = claim.NewReplica(n.self.ID, n.keeper, n.client, n.timers, claim.WithFolded(n.bills.CanDiscard))
 	n.claimer = claim.NewClaimer(n.keeper, n.client, claim.WithVerdictCounter(n.metrics.Vote))
 	n.keeper.Subscribe(n.replica.SetView)
 	n.journal = ledger.New(n.self.ID, n.store, n.bills, n.timers, n.foldInterval)
-	n.closer = ledger.NewCloser(n.store, n.bills, n.bills.IsMember, n.onDuty, n.timers)
-	n.biller = billing.New(billing.Parts{
-		Self:        n.holder,
-		Claims:      n.claimer,
-		Fates:       n.bills,
-		Journal:     n.journal,
-		Counters:    n.metrics,
-		Timers:      n.timers,
-		NewID:       newID,
-		Region:      n.regionOf,
-		SettledLife: 2 * settings.Millis(s.Times.AnswerLifeMillis),
+	n.closer = ledger.NewCloser(n.store, n.bills, n.bills.OwnerInView, n.onDuty, n.timers)
+	n.biller = billing.New(billing.Config{
+		Self:             n.holder,
+		Claims:           n.claimer,
+		Statuses:         n.bills,
+		Journal:          n.journal,
+		Counters:         n.metrics,
+		Timers:           n.timers,
+		NewID:            newID,
+		Region:           n.regionOf,
+		RecoveredBillTTL: 2 * settings.Millis(s.Times.AnswerLifeMillis),
 	})
 	n.bills.Attach(n.journal, n.replica, n.biller)
 	n.answers = answer.NewStore(n.timers, settings.Millis(s.Times.AnswerLifeMillis), s.Bounds.AnswerMemory)
--- a/node/operators.go
+++ b/node/operators.go
@@ -85,7 +85,7 @@
 	return progress
 }
 
-func (o operatorNode) Journals(ctx context.Context) ([]ledger.Account, error) {
+func (o operatorNode) Journals(ctx context.Context) ([]ledger.Snapshot, error) {
 	return o.n.store.Journals(ctx)
 }
 
--- a/node/peers.go
+++ b/node/peers.go
@@ -35,11 +35,11 @@
 
 func (n *Node) fillHeartbeat(h *member.Heartbeat) {
 	h.Revisions = n.spreader.Revisions()
-	h.Journal, h.Folded = n.journal.Name(), n.journal.Safe()
+	h.Journal, h.Folded = n.journal.Name(), n.journal.DurableSequence()
 }
 
 func (n *Node) heard(h member.Heartbeat) {
-	n.bills.Heard(h.Journal, h.Folded)
+	n.bills.RecordHeartbeat(h.Journal, h.Folded)
 	n.spreader.Heard(h.Peer, h.Revisions)
 }
 
@@ -97,9 +97,11 @@
 
 func (p peerNode) Counts() (string, rollout.Counts) { return p.n.self.ID, p.n.picker.Counts() }
 
-func (p peerNode) Recall(journal string) billing.Recollection { return p.n.bills.Local(journal) }
+func (p peerNode) Recall(journal string) billing.JournalRecords {
+	return p.n.bills.LocalRecords(journal)
+}
 
-func (p peerNode) KeepCheckpoint(a ledger.Account) { p.n.bills.Keep(a) }
+func (p peerNode) KeepCheckpoint(a ledger.Snapshot) { p.n.bills.StoreCheckpoint(a) }
 
 func (p peerNode) FindAnswer(attempt string) (*answer.Exchange, bool) {
 	return p.n.answers.Find(attempt)
