--- a/billing/billing.go
+++ b/billing/billing.go
@@ -26,13 +26,13 @@
 )
 
 const (
-	// billTime is how long an answer waits for its bill.
-	billTime = 2 * time.Second
-	// firstPause lies between the first two tries to claim a bill, lastPause
+	// billTimeout is how long an answer waits for its bill.
+	billTimeout = 2 * time.Second
+	// minRetryDelay lies between the first two tries to claim a bill, lastPause
 	// between later ones: until enough replicas hold a bill it goes with its
 	// node, and they may not answer for as long as a data hall is away.
-	firstPause = 250 * time.Millisecond
-	lastPause  = 2 * time.Second
+	minRetryDelay = 250 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 )
 
 // Claims is the write-once memory.
@@ -71,14 +71,14 @@
 // is safe for concurrent use.
 type Biller struct {
 	Config
-	runs sync.WaitGroup
+	retries sync.WaitGroup
 }
 
 // New returns a biller.
 func New(parts Config) *Biller { return &Biller{Config: parts} }
 
 // Wait returns when no bill is being claimed any more.
-func (b *Biller) Wait() { b.runs.Wait() }
+func (b *Biller) Wait() { b.retries.Wait() }
 
 // Bill claims a bill and enters it in the journal. It returns false if the
 // request is billed already, or if its replicas do not answer; then it goes
@@ -90,7 +90,7 @@
 		return false
 	}
 	e := &claim.Entry{
-		Key:      b.key(bill),
+		Key:      b.claimKey(bill),
 		Token:    claim.RoundToken(b.NewID(), 0),
 		Holder:   claim.Holder{ID: b.Journal.Name(), Peer: b.Self.Peer},
 		State:    claim.StateDone,
@@ -98,36 +98,36 @@
 		Sequence: b.Journal.Begin(bill),
 		Expires:  b.Timers.Now().Add(life),
 	}
-	won, decided := b.decide(e, bill)
+	won, decided := b.trySettle(e, bill)
 	if decided {
 		return won
 	}
 	b.Counters.Retried("bill_claim")
 	// A planned stop waits for the bill as for a request.
-	b.runs.Go(func() {
-		for pause := firstPause; !decided; pause = min(2*pause, lastPause) {
+	b.retries.Go(func() {
+		for pause := minRetryDelay; !decided; pause = min(2*pause, maxRetryDelay) {
 			time.Sleep(pause)
-			_, decided = b.decide(e, bill)
+			_, decided = b.trySettle(e, bill)
 		}
 	})
 	return false
 }
 
-func (b *Biller) key(bill ledger.Bill) claim.Key {
+func (b *Biller) claimKey(bill ledger.Bill) claim.Key {
 	return claim.Key{Region: b.Region(bill.Account), Account: bill.Account, Kind: claim.KindBill, ID: bill.RequestID}
 }
 
-// decide tries once to settle a bill's claim. A bill is one attempt at one
+// trySettle tries once to settle a bill's claim. A bill is one attempt at one
 // sequence until it is decided. What replicas hold of it meanwhile stays there,
 // so that the bill can be settled in this node's place.
-func (b *Biller) decide(e *claim.Entry, bill ledger.Bill) (won, decided bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), billTime)
+func (b *Biller) trySettle(e *claim.Entry, bill ledger.Bill) (won, decided bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), billTimeout)
 	defer cancel()
 	outcome, err := b.Claims.Settle(ctx, *e)
 	switch {
 	case err != nil:
-		logNotWon(e, outcome, err)
-		if outcome.Other != nil && b.yields(ctx, e, outcome.Other) {
+		logUnsettled(e, outcome, err)
+		if outcome.Other != nil && b.resolveConflict(ctx, e, outcome.Other) {
 			e.Token = claim.NextToken(e.Token)
 		}
 		return false, false
@@ -136,17 +136,17 @@
 		b.Counters.Billed(bill)
 		return true, true
 	default:
-		logNotWon(e, outcome, nil)
+		logUnsettled(e, outcome, nil)
 		b.Claims.Release(e.Key, e.Token)
 		b.Journal.Skip(e.Sequence)
 		return false, true
 	}
 }
 
-// yields parts two claims of a bill of which the replicas do not tell who has
+// resolveConflict parts two claims of a bill of which the replicas do not tell who has
 // won. Their holders know: who has lost is released, and if neither has
 // decided, the second by name. It reports whether the first claim was released.
-func (b *Biller) yields(ctx context.Context, e, rival *claim.Entry) bool {
+func (b *Biller) resolveConflict(ctx context.Context, e, rival *claim.Entry) bool {
 	fate, err := b.Statuses.BillStatus(ctx, *rival)
 	if err != nil {
 		slog.Info("fate of a bill not known", "request_id", e.Key.ID, "journal", rival.Holder.ID, "sequence", rival.Sequence, "error", err)
@@ -171,10 +171,10 @@
 	if err != nil {
 		return false, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, billTime)
+	ctx, cancel := context.WithTimeout(ctx, billTimeout)
 	defer cancel()
 	e := claim.Entry{
-		Key:      b.key(r.Bill),
+		Key:      b.claimKey(r.Bill),
 		Token:    r.Token,
 		Holder:   claim.Holder{ID: journal},
 		State:    claim.StateDone,
@@ -184,18 +184,18 @@
 	}
 	outcome, err := b.Claims.Settle(ctx, e)
 	if err != nil || !outcome.Won {
-		logNotWon(&e, outcome, err)
+		logUnsettled(&e, outcome, err)
 	}
 	if err != nil && outcome.Other != nil {
-		b.yields(ctx, &e, outcome.Other)
+		b.resolveConflict(ctx, &e, outcome.Other)
 	}
 	return outcome.Won, err
 }
 
-// logNotWon tells why a sequence of a journal is left without a bill, or is not
+// logUnsettled tells why a sequence of a journal is left without a bill, or is not
 // decided yet, and whose claim has the key: a bill that is missing from the
 // ledger is traced by these lines and those of the journals' closing.
-func logNotWon(e *claim.Entry, outcome claim.Outcome, err error) {
+func logUnsettled(e *claim.Entry, outcome claim.Outcome, err error) {
 	attributes := []any{"request_id", e.Key.ID, "account", e.Key.Account, "journal", e.Holder.ID, "sequence", e.Sequence, "attempt", e.Token}
 	if err != nil {
 		slog.Info("bill not decided", append(attributes, "error", err)...)
--- a/billing/memory.go
+++ b/billing/memory.go
@@ -75,10 +75,10 @@
 	settler Settler
 
 	mu sync.Mutex
-	// safe is how far each journal's bills are kept elsewhere, heardAt when
+	// durable is how far each journal's bills are kept elsewhere, heardAt when
 	// its node last spoke of it.
-	safe        map[string]int64
-	heardAt     map[string]time.Time
+	durable     map[string]int64
+	lastHeard   map[string]time.Time
 	checkpoints map[string]ledger.Snapshot
 }
 
@@ -91,8 +91,8 @@
 		peers:       peers,
 		store:       store,
 		timers:      timers,
-		safe:        make(map[string]int64),
-		heardAt:     make(map[string]time.Time),
+		durable:     make(map[string]int64),
+		lastHeard:   make(map[string]time.Time),
 		checkpoints: make(map[string]ledger.Snapshot),
 	}
 }
@@ -106,13 +106,13 @@
 func (m *Tracker) RecordHeartbeat(journal string, safe int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.safe[journal] = max(m.safe[journal], safe)
-	m.heardAt[journal] = m.timers.Now()
+	m.durable[journal] = max(m.durable[journal], safe)
+	m.lastHeard[journal] = m.timers.Now()
 }
 
-// silentLife is how long bills of a silent journal are kept; its closing
+// silentJournalTTL is how long bills of a silent journal are kept; its closing
 // takes seconds, in an outage of the platform as long as that lasts.
-const silentLife = 6 * time.Hour
+const silentJournalTTL = 6 * time.Hour
 
 // CanDiscard reports whether a bill need not be remembered any longer.
 func (m *Tracker) CanDiscard(journal string, sequence int64) bool {
@@ -122,10 +122,10 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.timers.Now()
-	if _, known := m.heardAt[journal]; !known {
-		m.heardAt[journal] = now
+	if _, known := m.lastHeard[journal]; !known {
+		m.lastHeard[journal] = now
 	}
-	return sequence <= m.safe[journal] || now.Sub(m.heardAt[journal]) > silentLife
+	return sequence <= m.durable[journal] || now.Sub(m.lastHeard[journal]) > silentJournalTTL
 }
 
 // sweepInterval is how often what is known of silent journals is gone through.
@@ -138,10 +138,10 @@
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		now := m.timers.Now()
-		for journal, at := range m.heardAt {
-			if now.Sub(at) > 2*silentLife {
-				delete(m.heardAt, journal)
-				delete(m.safe, journal)
+		for journal, at := range m.lastHeard {
+			if now.Sub(at) > 2*silentJournalTTL {
+				delete(m.lastHeard, journal)
+				delete(m.durable, journal)
 				delete(m.checkpoints, journal)
 			}
 		}
@@ -179,7 +179,7 @@
 func (m *Tracker) StoreCheckpoint(a ledger.Snapshot) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.heardAt[a.Journal] = m.timers.Now()
+	m.lastHeard[a.Journal] = m.timers.Now()
 	if a.Sequence > m.checkpoints[a.Journal].Sequence {
 		m.checkpoints[a.Journal] = a
 	}
@@ -223,7 +223,7 @@
 		stored, err := ledger.Read(ctx, m.store, journal)
 		return stored.BillStatus(bill.Sequence), err
 	}
-	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	reply, err := m.peers.FetchRecords(ctx, owner, journal)
 	switch {
@@ -240,20 +240,20 @@
 	}
 }
 
-// recallTimeout bounds asking all nodes for what they remember.
-const recallTimeout = time.Second
+// collectTimeout bounds asking all nodes for what they remember.
+const collectTimeout = time.Second
 
 // CollectRecords asks all nodes what they remember of a journal. It is complete if all
 // members of the view have answered: a bill stands at two replicas, and the node
 // that is gone may have been one of them.
 func (m *Tracker) CollectRecords(ctx context.Context, journal string) (ledger.Snapshot, []ledger.ReplicatedBill, bool) {
-	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
+	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	var mu sync.Mutex
 	var replies []JournalRecords
 	var calls sync.WaitGroup
 	answered := make(map[string]bool)
-	for _, to := range m.asked() {
+	for _, to := range m.nodesToQuery() {
 		calls.Go(func() {
 			reply, err := m.peers.FetchRecords(ctx, to, journal)
 			if err != nil {
@@ -266,14 +266,14 @@
 		})
 	}
 	calls.Wait()
-	checkpoint, remembered := merge(replies)
+	checkpoint, remembered := mergeRecords(replies)
 	complete := !slices.ContainsFunc(m.members.Current().Members(), func(member view.Member) bool { return !answered[member.ID] })
 	return checkpoint, remembered, complete
 }
 
-// asked returns all who may remember something: the members of the view, also
+// nodesToQuery returns all who may remember something: the members of the view, also
 // those that leave or are suspected, and other nodes that answer.
-func (m *Tracker) asked() map[string]view.Member {
+func (m *Tracker) nodesToQuery() map[string]view.Member {
 	asked := map[string]view.Member{m.self.ID: m.self}
 	for _, member := range m.members.Current().Members() {
 		asked[member.ID] = member
@@ -284,9 +284,9 @@
 	return asked
 }
 
-// merge returns the highest checkpoint, and each bill beyond it with the token
+// mergeRecords returns the highest checkpoint, and each bill beyond it with the token
 // of its claim's last round.
-func merge(replies []JournalRecords) (ledger.Snapshot, []ledger.ReplicatedBill) {
+func mergeRecords(replies []JournalRecords) (ledger.Snapshot, []ledger.ReplicatedBill) {
 	var checkpoint ledger.Snapshot
 	entries := make(map[string]claim.Entry)
 	for _, reply := range replies {
--- a/ledger/archive.go
+++ b/ledger/archive.go
@@ -14,20 +14,20 @@
 // number with every VM that was ever replaced.
 const ArchiveName = "archive"
 
-// archiveAfter is how long a closed journal stands by itself, for an owner that
+// archiveDelay is how long a closed journal stands by itself, for an owner that
 // was only paused. A process that was paused for longer than this does not
 // come back: its VM has been replaced.
-const archiveAfter = 24 * time.Hour
+const archiveDelay = 24 * time.Hour
 
-// archive moves closed journals into the archive: first their sums, together
+// archiveClosed moves closed journals into the archive: first their sums, together
 // with their names, then the journals themselves, then the names. Whatever is
 // cut short goes on in the next round without counting anything twice.
-func (c *Closer) archive(ctx context.Context, stored []Snapshot) error {
+func (c *Closer) archiveClosed(ctx context.Context, stored []Snapshot) error {
 	var old, standing []string
 	sums := make(map[string]Snapshot)
 	for _, a := range stored {
 		standing = append(standing, a.Journal)
-		if a.Closed && a.Journal != ArchiveName && c.timers.Now().Sub(a.ClosedAt) > archiveAfter {
+		if a.Closed && a.Journal != ArchiveName && c.timers.Now().Sub(a.ClosedAt) > archiveDelay {
 			old = append(old, a.Journal)
 			sums[a.Journal] = a
 		}
@@ -40,22 +40,22 @@
 		if err != nil {
 			return nil, err
 		}
-		return json.Marshal(absorb(archive, old, sums, standing))
+		return json.Marshal(addToArchive(archive, old, sums, standing))
 	})
 	if err != nil {
 		return err
 	}
 	for _, journal := range old {
-		if err := c.remove(ctx, journal); err != nil {
+		if err := c.deleteArchived(ctx, journal); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// absorb adds the old journals that the archive does not have yet, and forgets
+// addToArchive adds the old journals that the archive does not have yet, and forgets
 // the names of those that do not stand beside it any more.
-func absorb(archive Snapshot, old []string, sums map[string]Snapshot, standing []string) Snapshot {
+func addToArchive(archive Snapshot, old []string, sums map[string]Snapshot, standing []string) Snapshot {
 	archive.Closed = true
 	var names []string
 	for _, name := range archive.Archived {
@@ -76,18 +76,18 @@
 	return archive
 }
 
-// errReopened says that a journal changed after it was closed, which nothing
+// errChangedAfterClose says that a journal changed after it was closed, which nothing
 // does.
-var errReopened = errors.New("a closed journal changed")
+var errChangedAfterClose = errors.New("a closed journal changed")
 
-func (c *Closer) remove(ctx context.Context, journal string) error {
+func (c *Closer) deleteArchived(ctx context.Context, journal string) error {
 	_, revision, err := c.store.Get(ctx, Key(journal))
 	if err != nil || revision == 0 {
 		return err
 	}
 	removed, err := c.store.Delete(ctx, Key(journal), revision)
 	if err == nil && !removed {
-		return errReopened
+		return errChangedAfterClose
 	}
 	return err
 }
--- a/ledger/closer.go
+++ b/ledger/closer.go
@@ -43,31 +43,31 @@
 
 const (
 	closeInterval = 5 * time.Second
-	// listEvery is the number of rounds between two listings at the platform.
-	listEvery = 12
+	// roundsPerListing is the number of rounds between two listings at the platform.
+	roundsPerListing = 12
 )
 
 // Closer closes the journals of nodes that are gone, so that no bill is lost
 // with its node.
 type Closer struct {
-	store  JournalStore
-	memory Replicas
-	member func(journal string) bool
-	duty   func() bool
-	timers *timer.Service
-	closed map[string]bool
+	store       JournalStore
+	replicas    Replicas
+	ownerInView func(journal string) bool
+	isActive    func() bool
+	timers      *timer.Service
+	closed      map[string]bool
 }
 
 // NewCloser returns a closer. It works while duty reports true, and leaves
 // alone the journals of present members.
 func NewCloser(store JournalStore, memory Replicas, member func(journal string) bool, duty func() bool, timers *timer.Service) *Closer {
 	return &Closer{
-		store:  store,
-		memory: memory,
-		member: member,
-		duty:   duty,
-		timers: timers,
-		closed: make(map[string]bool),
+		store:       store,
+		replicas:    memory,
+		ownerInView: member,
+		isActive:    duty,
+		timers:      timers,
+		closed:      make(map[string]bool),
 	}
 }
 
@@ -75,8 +75,8 @@
 func (c *Closer) Run(ctx context.Context) {
 	round := 0
 	c.timers.Every(ctx, closeInterval, func() {
-		if c.duty() {
-			c.closeAll(ctx, round%listEvery == 0)
+		if c.isActive() {
+			c.closeAll(ctx, round%roundsPerListing == 0)
 		}
 		round++
 	})
@@ -91,13 +91,13 @@
 }
 
 func (c *Closer) candidates(ctx context.Context, list bool) []string {
-	names := c.memory.Orphaned()
+	names := c.replicas.Orphaned()
 	if list {
 		stored, err := c.store.Journals(ctx)
 		if err != nil {
 			return nil
 		}
-		if err := c.archive(ctx, stored); err != nil {
+		if err := c.archiveClosed(ctx, stored); err != nil {
 			slog.Warn("closed journals not archived", "error", err)
 		}
 		for _, a := range stored {
@@ -110,7 +110,7 @@
 	}
 	var open []string
 	for _, name := range names {
-		if !c.closed[name] && !c.member(name) {
+		if !c.closed[name] && !c.ownerInView(name) {
 			open = append(open, name)
 		}
 	}
@@ -122,7 +122,7 @@
 // place of the node: a claim of one's own would find the old one in its way, or
 // count a bill again that the node has folded.
 func (c *Closer) Close(ctx context.Context, journal string) error {
-	checkpoint, bills, complete := c.memory.CollectRecords(ctx, journal)
+	checkpoint, bills, complete := c.replicas.CollectRecords(ctx, journal)
 	if !complete {
 		slog.Info("journal not closed yet: not all members tell what they remember of it", "journal", journal)
 		return nil
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	won, err := c.settle(ctx, journal, bills, max(stored.Sequence, checkpoint.Sequence))
+	won, err := c.settleBills(ctx, journal, bills, max(stored.Sequence, checkpoint.Sequence))
 	if err != nil {
 		return err
 	}
@@ -144,7 +144,7 @@
 		if stored.Closed {
 			return nil, document.ErrUnchanged
 		}
-		last = closing(stored, checkpoint, won)
+		last = closedSnapshot(stored, checkpoint, won)
 		last.ClosedAt = c.timers.Now().UTC()
 		return json.Marshal(last)
 	})
@@ -157,14 +157,14 @@
 	return nil
 }
 
-// settle returns the bills beyond a sequence whose claims are won.
-func (c *Closer) settle(ctx context.Context, journal string, bills []ReplicatedBill, after int64) ([]ReplicatedBill, error) {
+// settleBills returns the bills beyond a sequence whose claims are won.
+func (c *Closer) settleBills(ctx context.Context, journal string, bills []ReplicatedBill, after int64) ([]ReplicatedBill, error) {
 	var won []ReplicatedBill
 	for _, b := range bills {
 		if b.Sequence <= after {
 			continue
 		}
-		ok, err := c.memory.Settle(ctx, journal, b)
+		ok, err := c.replicas.Settle(ctx, journal, b)
 		if err != nil {
 			return nil, err
 		}
@@ -175,8 +175,8 @@
 	return won, nil
 }
 
-// closing returns the last form of a journal.
-func closing(stored, checkpoint Snapshot, won []ReplicatedBill) Snapshot {
+// closedSnapshot returns the last form of a journal.
+func closedSnapshot(stored, checkpoint Snapshot, won []ReplicatedBill) Snapshot {
 	last := stored
 	if checkpoint.Sequence > last.Sequence {
 		last.Sequence, last.Totals, last.Skipped = checkpoint.Sequence, maps.Clone(checkpoint.Totals), checkpoint.Skipped
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -35,7 +35,7 @@
 	"github.com/violettally/violettally/timer"
 )
 
-//go:generate go tool enumer -type=Fate -trimprefix=Fate -transform=snake -output=ledger_enumer.go
+//go:generate go tool enumer -type=BillStatus -trimprefix=Bill -transform=snake -output=ledger_enumer.go
 
 var (
 	namespace = errs.Namespace("ledger")
@@ -173,38 +173,38 @@
 
 // Journal is one node's bills. It is safe for concurrent use.
 type Journal struct {
-	store       document.Store
-	checkpoints Checkpointer
-	timers      *timer.Service
-	interval    func() time.Duration
-
-	mu   sync.Mutex
-	name string
-	next int64
-	done int64
+	store        document.Store
+	checkpointer Checkpointer
+	timers       *timer.Service
+	interval     func() time.Duration
+
+	mu           sync.Mutex
+	name         string
+	lastSequence int64
+	summed       int64
 	// bills are those that are not in the sums yet; the open ones among them
 	// are not decided.
-	bills map[int64]Bill
-	open  map[int64]bool
-	sums  Snapshot
+	bills     map[int64]Bill
+	open      map[int64]bool
+	committed Snapshot
 	// folded is the sequence that stands at the platform, safe the one that
 	// stands there or at peers.
-	folded int64
-	safe   int64
+	folded  int64
+	durable int64
 }
 
 // New returns an empty journal. The interval between two folds is asked for
 // anew each time, since it grows with the fleet.
 func New(name string, store document.Store, checkpoints Checkpointer, timers *timer.Service, interval func() time.Duration) *Journal {
 	return &Journal{
-		store:       store,
-		checkpoints: checkpoints,
-		timers:      timers,
-		interval:    interval,
-		name:        name,
-		bills:       make(map[int64]Bill),
-		open:        make(map[int64]bool),
-		sums:        Snapshot{Journal: name},
+		store:        store,
+		checkpointer: checkpoints,
+		timers:       timers,
+		interval:     interval,
+		name:         name,
+		bills:        make(map[int64]Bill),
+		open:         make(map[int64]bool),
+		committed:    Snapshot{Journal: name},
 	}
 }
 
@@ -221,10 +221,10 @@
 func (j *Journal) Begin(b Bill) int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.next++
-	j.bills[j.next] = b
-	j.open[j.next] = true
-	return j.next
+	j.lastSequence++
+	j.bills[j.lastSequence] = b
+	j.open[j.lastSequence] = true
+	return j.lastSequence
 }
 
 // Commit counts the bill of a sequence, which was won.
@@ -241,8 +241,8 @@
 	defer j.mu.Unlock()
 	delete(j.bills, sequence)
 	delete(j.open, sequence)
-	skipped := append(slices.Clone(j.sums.Skipped), sequence)
-	j.sums.Skipped = skipped[max(0, len(skipped)-maxSkipped):]
+	skipped := append(slices.Clone(j.committed.Skipped), sequence)
+	j.committed.Skipped = skipped[max(0, len(skipped)-maxSkipped):]
 	j.advance()
 }
 
@@ -256,19 +256,19 @@
 func (j *Journal) Undecided() (open, lost []int64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return slices.Sorted(maps.Keys(j.open)), j.sums.Skipped
+	return slices.Sorted(maps.Keys(j.open)), j.committed.Skipped
 }
 
 // advance moves the contiguous part of the journal into the sums.
 func (j *Journal) advance() {
-	for j.done < j.next && !j.open[j.done+1] {
-		j.done++
-		if b, ok := j.bills[j.done]; ok {
-			j.sums.add(b.TotalsKey(), b.Sum())
-			delete(j.bills, j.done)
+	for j.summed < j.lastSequence && !j.open[j.summed+1] {
+		j.summed++
+		if b, ok := j.bills[j.summed]; ok {
+			j.committed.add(b.TotalsKey(), b.Sum())
+			delete(j.bills, j.summed)
 		}
 	}
-	j.sums.Sequence = j.done
+	j.committed.Sequence = j.summed
 }
 
 // DurableSequence returns the sequence up to which the bills are kept elsewhere, at the
@@ -276,14 +276,14 @@
 func (j *Journal) DurableSequence() int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.safe
+	return j.durable
 }
 
 // Pending returns how many bills wait for their fold.
 func (j *Journal) Pending() int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.next - j.safe
+	return j.lastSequence - j.durable
 }
 
 // Run folds until the context ends.
@@ -311,7 +311,7 @@
 // Fold writes the sums to the platform, or to peers if it is out.
 func (j *Journal) Fold(ctx context.Context) error {
 	sums := j.snapshot()
-	if sums.Sequence == j.atPlatform() {
+	if sums.Sequence == j.foldedSequence() {
 		return nil
 	}
 	var stored Snapshot
@@ -330,8 +330,8 @@
 		j.markFolded(sums)
 	case stored.Closed:
 		j.reopen(stored)
-	case j.checkpoints.Checkpoint(ctx, sums):
-		j.markSafe(sums)
+	case j.checkpointer.Checkpoint(ctx, sums):
+		j.markDurable(sums)
 	}
 	return err
 }
@@ -339,19 +339,19 @@
 func (j *Journal) snapshot() Snapshot {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	copied := j.sums
-	copied.Totals = maps.Clone(j.sums.Totals)
+	copied := j.committed
+	copied.Totals = maps.Clone(j.committed.Totals)
 	return copied
 }
 
-func (j *Journal) atPlatform() int64 {
+func (j *Journal) foldedSequence() int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.folded
 }
 
 func (j *Journal) markFolded(sums Snapshot) {
-	j.markSafe(sums)
+	j.markDurable(sums)
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.name == sums.Journal {
@@ -359,11 +359,11 @@
 	}
 }
 
-func (j *Journal) markSafe(sums Snapshot) {
+func (j *Journal) markDurable(sums Snapshot) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.name == sums.Journal {
-		j.safe = max(j.safe, sums.Sequence)
+		j.durable = max(j.durable, sums.Sequence)
 	}
 }
 
@@ -373,7 +373,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	missed := Snapshot{}
-	for line, sum := range j.sums.Totals {
+	for line, sum := range j.committed.Totals {
 		missed.add(line, sum)
 	}
 	for line, sum := range closed.Totals {
@@ -389,8 +389,8 @@
 	}
 	maps.DeleteFunc(missed.Totals, func(_ string, s Sum) bool { return s == Sum{} })
 	j.name += "+"
-	j.sums = Snapshot{Journal: j.name, Sequence: j.done, Totals: missed.Totals, Skipped: j.sums.Skipped}
-	j.folded, j.safe = 0, 0
+	j.committed = Snapshot{Journal: j.name, Sequence: j.summed, Totals: missed.Totals, Skipped: j.committed.Skipped}
+	j.folded, j.durable = 0, 0
 	slog.Warn("journal was closed meanwhile; going on in a new one", "journal", j.name)
 }
 
