--- a/billing/billing_test.go
+++ b/billing/billing_test.go
@@ -18,10 +18,10 @@
 	seedsFlag = flag.Int("seeds", 12, "number of schedules; some hundreds by hand before a landing")
 )
 
-// failedOnce are schedules beyond the first that found a fault. 1323 and 1538: a
+// regressionSeeds are schedules beyond the first that found a fault. 1323 and 1538: a
 // node had left a bill to another one that was killed, and was gone itself; its
 // folded journal passed for the bill's own, and the bill was in neither.
-var failedOnce = []uint64{1323, 1538}
+var regressionSeeds = []uint64{1323, 1538}
 
 // TestSchedules plays drawn schedules of kills, stops, freezes, cuts and
 // outages over six nodes in three data halls, and asks of each: when all is
@@ -31,7 +31,7 @@
 	if *seedFlag != 0 {
 		slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	}
-	seeds := slices.Clone(failedOnce)
+	seeds := slices.Clone(regressionSeeds)
 	for seed := range uint64(*seedsFlag) {
 		seeds = append(seeds, seed+1)
 	}
@@ -41,34 +41,34 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			synctest.Test(t, func(t *testing.T) { playSchedule(t, seed) })
+			synctest.Test(t, func(t *testing.T) { runSchedule(t, seed) })
 		})
 	}
 }
 
-// healing is how long after the last fault the ledger has to be right: two
+// recoveryTime is how long after the last fault the ledger has to be right: two
 // listings of the journals at the platform.
-const healing = 130 * time.Second
+const recoveryTime = 130 * time.Second
 
-func playSchedule(t *testing.T, seed uint64) {
+func runSchedule(t *testing.T, seed uint64) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	f := newFleet(ctx, seed)
 	random := rand.New(rand.NewPCG(seed, 2))
-	pause(ctx, time.Second)
+	sleep(ctx, time.Second)
 	working, stop := context.WithCancel(ctx)
-	go f.serve(working)
+	go f.generateRequests(working)
 	for range 4 {
-		pause(ctx, time.Duration(random.IntN(2000))*time.Millisecond)
-		f.step(random)
+		sleep(ctx, time.Duration(random.IntN(2000))*time.Millisecond)
+		f.injectFaults(random)
 	}
-	pause(ctx, time.Second)
+	sleep(ctx, time.Second)
 	stop()
-	f.set(func() { f.slow, f.lost = 2*time.Millisecond, 0 })
-	pause(ctx, healing)
-	if wrong := f.wrong(); len(wrong) > 0 {
-		t.Errorf("of %d requests: %q", len(f.answered), wrong)
-		for _, line := range f.told {
+	f.withLock(func() { f.maxDelay, f.lossRate = 2*time.Millisecond, 0 })
+	sleep(ctx, recoveryTime)
+	if wrong := f.billingErrors(); len(wrong) > 0 {
+		t.Errorf("of %d requests: %q", len(f.responses), wrong)
+		for _, line := range f.events {
 			t.Log(line)
 		}
 	}
@@ -80,11 +80,11 @@
 	time.Sleep(time.Minute)
 }
 
-// step injects one fault of nodes and perhaps one of the platform or of the
+// injectFaults injects one fault of nodes and perhaps one of the platform or of the
 // network beside it.
-func (f *fleet) step(random *rand.Rand) {
-	nodes := []func(*rand.Rand){f.killOne, f.killHall, f.stopOne, f.freezeOne, f.cutOne}
-	beside := []func(*rand.Rand){f.outage, f.losesAnswers, f.cutHall, f.slowNetwork, func(*rand.Rand) {}}
+func (f *fleet) injectFaults(random *rand.Rand) {
+	nodes := []func(*rand.Rand){f.killOne, f.killHall, f.stopOne, f.pauseOne, f.partitionOne}
+	beside := []func(*rand.Rand){f.platformOutage, f.losePlatformResponses, f.disconnectHall, f.slowNetwork, func(*rand.Rand) {}}
 	first, second := nodes[random.IntN(len(nodes))], beside[random.IntN(len(beside))]
 	a, b := rand.New(rand.NewPCG(random.Uint64(), 0)), rand.New(rand.NewPCG(random.Uint64(), 0))
 	done := make(chan struct{})
@@ -94,19 +94,19 @@
 	}()
 	first(a)
 	<-done
-	pause(f.ctx, time.Duration(1000+random.IntN(3000))*time.Millisecond)
+	sleep(f.ctx, time.Duration(1000+random.IntN(3000))*time.Millisecond)
 }
 
-func upTo(random *rand.Rand, d time.Duration) time.Duration {
+func randomUpTo(random *rand.Rand, d time.Duration) time.Duration {
 	return time.Duration(random.Int64N(int64(d)))
 }
 
-// whileDown waits for the platform, which a change of the view needs.
-func (f *fleet) whileDown() {
+// waitForPlatform waits for the platform, which a change of the view needs.
+func (f *fleet) waitForPlatform() {
 	for {
 		var down bool
-		f.set(func() { down = f.down })
-		if !down || !pause(f.ctx, 50*time.Millisecond) {
+		f.withLock(func() { down = f.platformDown })
+		if !down || !sleep(f.ctx, 50*time.Millisecond) {
 			return
 		}
 	}
@@ -116,8 +116,8 @@
 	all := f.running()
 	p := all[random.IntN(len(all))]
 	p.kill()
-	pause(f.ctx, upTo(random, 3*time.Second))
-	f.whileDown()
+	sleep(f.ctx, randomUpTo(random, 3*time.Second))
+	f.waitForPlatform()
 	f.replace(p)
 }
 
@@ -129,12 +129,12 @@
 			p.kill()
 		}
 	}
-	pause(f.ctx, upTo(random, 3*time.Second))
-	f.whileDown()
+	sleep(f.ctx, randomUpTo(random, 3*time.Second))
+	f.waitForPlatform()
 	for _, p := range all {
 		if p.member.DataHall == hall {
 			f.replace(p)
-			pause(f.ctx, upTo(random, 200*time.Millisecond))
+			sleep(f.ctx, randomUpTo(random, 200*time.Millisecond))
 		}
 	}
 }
@@ -142,68 +142,68 @@
 func (f *fleet) stopOne(random *rand.Rand) {
 	all := f.running()
 	p := all[random.IntN(len(all))]
-	f.whileDown()
+	f.waitForPlatform()
 	p.stop()
 	f.replace(p)
 }
 
-func (f *fleet) freezeOne(random *rand.Rand) {
+func (f *fleet) pauseOne(random *rand.Rand) {
 	all := f.running()
 	p := all[random.IntN(len(all))]
-	p.freeze(upTo(random, 4*time.Second))
+	p.pauseFor(randomUpTo(random, 4*time.Second))
 }
 
-func (f *fleet) cutOne(random *rand.Rand) {
+func (f *fleet) partitionOne(random *rand.Rand) {
 	all := f.running()
 	p := all[random.IntN(len(all))]
-	f.note("peers do not reach %s", p.member.ID)
-	f.set(func() { p.cutPeers = true })
-	time.AfterFunc(notice, func() { f.set(func() { p.noticed = p.cutPeers }) })
-	pause(f.ctx, upTo(random, 4*time.Second))
-	f.set(func() { p.cutPeers, p.noticed = false, false })
-	f.note("peers reach %s", p.member.ID)
+	f.logf("peers do not reach %s", p.member.ID)
+	f.withLock(func() { p.partitioned = true })
+	time.AfterFunc(detectionDelay, func() { f.withLock(func() { p.detectedDown = p.partitioned }) })
+	sleep(f.ctx, randomUpTo(random, 4*time.Second))
+	f.withLock(func() { p.partitioned, p.detectedDown = false, false })
+	f.logf("peers reach %s", p.member.ID)
 }
 
-func (f *fleet) outage(random *rand.Rand) {
-	pause(f.ctx, upTo(random, time.Second))
-	f.note("platform down")
-	f.set(func() { f.down = true })
-	pause(f.ctx, upTo(random, 8*time.Second))
-	f.set(func() { f.down = false })
-	f.note("platform up")
+func (f *fleet) platformOutage(random *rand.Rand) {
+	sleep(f.ctx, randomUpTo(random, time.Second))
+	f.logf("platform down")
+	f.withLock(func() { f.platformDown = true })
+	sleep(f.ctx, randomUpTo(random, 8*time.Second))
+	f.withLock(func() { f.platformDown = false })
+	f.logf("platform up")
 }
 
-func (f *fleet) losesAnswers(random *rand.Rand) {
-	f.note("platform loses answers")
-	f.set(func() { f.losing = true })
-	pause(f.ctx, upTo(random, 4*time.Second))
-	f.set(func() { f.losing = false })
-	f.note("platform answers")
+func (f *fleet) losePlatformResponses(random *rand.Rand) {
+	f.logf("platform loses answers")
+	f.withLock(func() { f.losingResponses = true })
+	sleep(f.ctx, randomUpTo(random, 4*time.Second))
+	f.withLock(func() { f.losingResponses = false })
+	f.logf("platform answers")
 }
 
-func (f *fleet) cutHall(random *rand.Rand) {
+func (f *fleet) disconnectHall(random *rand.Rand) {
 	all := f.running()
 	hall := all[random.IntN(len(all))].member.DataHall
-	f.note("%s does not reach the platform", hall)
+	f.logf("%s does not reach the platform", hall)
 	of := func(cut bool) {
 		for _, p := range all {
 			if p.member.DataHall == hall {
-				f.set(func() { p.cutStore = cut })
+				f.withLock(func() { p.platformUnreachable = cut })
 			}
 		}
 	}
 	of(true)
-	pause(f.ctx, upTo(random, 6*time.Second))
+	sleep(f.ctx, randomUpTo(random, 6*time.Second))
 	of(false)
-	f.note("%s reaches the platform", hall)
+	f.logf("%s reaches the platform", hall)
 }
 
 // slowNetwork makes messages as slow as those of processes that get little of
 // a processor, and loses some.
 func (f *fleet) slowNetwork(random *rand.Rand) {
-	f.note("slow network")
-	f.set(func() { f.slow, f.lost = 400*time.Millisecond, 0.02 })
-	pause(f.ctx, upTo(random, 6*time.Second))
-	f.set(func() { f.slow, f.lost = 2*time.Millisecond, 0 })
-	f.note("quick network")
+	f.logf("slow network")
+	f.withLock(func() { f.maxDelay, f.lossRate = 400*time.Millisecond, 0.02 })
+	sleep(f.ctx, randomUpTo(random, 6*time.Second))
+	f.withLock(func() { f.maxDelay, f.lossRate = 2*time.Millisecond, 0 })
+	f.logf("quick network")
 }
--- a/billing/fleet_test.go
+++ b/billing/fleet_test.go
@@ -25,9 +25,9 @@
 	nodesPerHall = 2
 	// heartbeat is how often nodes tell each other how far they have folded.
 	heartbeat = 100 * time.Millisecond
-	// notice is how long it takes until others know that a node does not
+	// detectionDelay is how long it takes until others know that a node does not
 	// answer, or answers again.
-	notice = 300 * time.Millisecond
+	detectionDelay = 300 * time.Millisecond
 	// foldInterval is that of a small fleet.
 	foldInterval = 600 * time.Millisecond
 )
@@ -39,65 +39,65 @@
 	mu    sync.Mutex
 	nodes map[string]*process
 	// current is the view as stored at the platform.
-	current *view.View
-	data    map[string][]byte
-	version map[string]int64
-	// down takes the platform away from all, losing loses answers to writes.
-	down, losing bool
-	// slow is the longest way of a message, lost the share that gets lost.
-	slow time.Duration
-	lost float64
-	// answered counts how often a caller got an answer to a request; told
+	current  *view.View
+	data     map[string][]byte
+	revision map[string]int64
+	// platformDown takes the platform away from all, losing loses answers to writes.
+	platformDown, losingResponses bool
+	// maxDelay is the longest way of a message, lost the share that gets lost.
+	maxDelay time.Duration
+	lossRate float64
+	// responses counts how often a caller got an answer to a request; told
 	// holds what happened.
-	answered map[string]int
-	told     []string
-	// unheard are requests whose bill went with its node: no other process had
+	responses map[string]int
+	events    []string
+	// unreplicated are requests whose bill went with its node: no other process had
 	// heard of it. The product gives the answer all the same, after 2 s.
-	unheard map[string]bool
-	// entered tells which processes entered a bill.
-	entered map[string][]string
-	minted  int
-	ids     int
+	unreplicated map[string]bool
+	// committedBy tells which processes entered a bill.
+	committedBy  map[string][]string
+	tokens       int
+	incarnations int
 }
 
 // process is one incarnation of a node.
 type process struct {
-	f        *fleet
-	member   view.Member
-	cancel   context.CancelFunc
-	replica  *claim.Replica
-	claimer  *claim.Claimer
-	journal  *ledger.Journal
-	memory   *billing.Tracker
-	biller   *billing.Biller
-	closer   *ledger.Closer
-	timers   *timer.Service
-	links    map[string]*rand.Rand
-	taking   bool
-	dead     bool
-	noticed  bool
-	cutPeers bool
-	cutStore bool
+	f                   *fleet
+	member              view.Member
+	cancel              context.CancelFunc
+	replica             *claim.Replica
+	claimer             *claim.Claimer
+	journal             *ledger.Journal
+	tracker             *billing.Tracker
+	biller              *billing.Biller
+	closer              *ledger.Closer
+	timers              *timer.Service
+	links               map[string]*rand.Rand
+	accepting           bool
+	dead                bool
+	detectedDown        bool
+	partitioned         bool
+	platformUnreachable bool
 	// undecided are the requests whose bills its claims have not settled yet.
 	undecided map[string]bool
-	// thawed is closed unless the process is frozen.
-	thawed  chan struct{}
+	// resumed is closed unless the process is frozen.
+	resumed chan struct{}
 	current *view.View
 	changed chan struct{}
 }
 
 func newFleet(ctx context.Context, seed uint64) *fleet {
 	f := &fleet{
-		seed:     seed,
-		ctx:      ctx,
-		nodes:    make(map[string]*process),
-		current:  view.Empty(),
-		data:     make(map[string][]byte),
-		version:  make(map[string]int64),
-		answered: make(map[string]int),
-		unheard:  make(map[string]bool),
-		entered:  make(map[string][]string),
-		slow:     2 * time.Millisecond,
+		seed:         seed,
+		ctx:          ctx,
+		nodes:        make(map[string]*process),
+		current:      view.Empty(),
+		data:         make(map[string][]byte),
+		revision:     make(map[string]int64),
+		responses:    make(map[string]int),
+		unreplicated: make(map[string]bool),
+		committedBy:  make(map[string][]string),
+		maxDelay:     2 * time.Millisecond,
 	}
 	var first []view.Member
 	for hall := range halls {
@@ -106,21 +106,21 @@
 			first = append(first, p.member)
 		}
 	}
-	f.change(first, nil)
+	f.changeView(first, nil)
 	return f
 }
 
-func (f *fleet) note(format string, args ...any) {
+func (f *fleet) logf(format string, args ...any) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.told = append(f.told, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
+	f.events = append(f.events, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
 // start runs a new process on a VM. It joins by a change of the view.
 func (f *fleet) start(vm, hall string) *process {
 	f.mu.Lock()
-	f.ids++
-	id := view.MemberID(vm, fmt.Sprint(f.ids))
+	f.incarnations++
+	id := view.MemberID(vm, fmt.Sprint(f.incarnations))
 	f.mu.Unlock()
 	ctx, cancel := context.WithCancel(f.ctx)
 	open := make(chan struct{})
@@ -131,33 +131,33 @@
 		cancel:    cancel,
 		timers:    timer.New(),
 		links:     make(map[string]*rand.Rand),
-		taking:    true,
+		accepting: true,
 		undecided: make(map[string]bool),
-		thawed:    open,
+		resumed:   open,
 		current:   view.Empty(),
 		changed:   make(chan struct{}),
 	}
-	p.memory = billing.NewTracker(p.member, p, p, store{p}, p.timers)
-	p.replica = claim.NewReplica(id, p, p, p.timers, claim.WithFolded(p.memory.CanDiscard))
+	p.tracker = billing.NewTracker(p.member, p, p, store{p}, p.timers)
+	p.replica = claim.NewReplica(id, p, p, p.timers, claim.WithFolded(p.tracker.CanDiscard))
 	p.claimer = claim.NewClaimer(p, p)
-	p.journal = ledger.New(id, store{p}, p.memory, p.timers, func() time.Duration { return foldInterval })
+	p.journal = ledger.New(id, store{p}, p.tracker, p.timers, func() time.Duration { return foldInterval })
 	p.biller = billing.New(billing.Config{
 		Self:             claim.Holder{ID: id, Peer: id},
 		Claims:           claims{p.claimer, p},
-		Statuses:         p.memory,
+		Statuses:         p.tracker,
 		Journal:          p.journal,
 		Counters:         counters{p},
 		Timers:           p.timers,
 		NewID:            f.newID,
 		Region:           func(string) string { return "home" },
-		RecoveredBillTTL: billLife,
+		RecoveredBillTTL: billTTL,
 	})
-	p.memory.Attach(p.journal, p.replica, p.biller)
-	p.closer = ledger.NewCloser(store{p}, p.memory, p.memory.OwnerInView, p.onDuty, p.timers)
+	p.tracker.Attach(p.journal, p.replica, p.biller)
+	p.closer = ledger.NewCloser(store{p}, p.tracker, p.tracker.OwnerInView, p.isActiveCloser, p.timers)
 	f.mu.Lock()
 	f.nodes[id] = p
 	f.mu.Unlock()
-	for _, run := range []func(context.Context){p.replica.Run, p.journal.Run, p.closer.Run, p.memory.Run, p.beat} {
+	for _, run := range []func(context.Context){p.replica.Run, p.journal.Run, p.closer.Run, p.tracker.Run, p.sendHeartbeats} {
 		go run(ctx)
 	}
 	return p
@@ -166,13 +166,13 @@
 func (f *fleet) newID() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.minted++
-	return fmt.Sprintf("t%d", f.minted)
+	f.tokens++
+	return fmt.Sprintf("t%d", f.tokens)
 }
 
-// change changes the view at the platform and lets every process hear of it,
+// changeView changes the view at the platform and lets every process hear of it,
 // each after a time of its own.
-func (f *fleet) change(add []view.Member, remove []string) {
+func (f *fleet) changeView(add []view.Member, remove []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	next := f.current.Change(add, remove)
@@ -184,13 +184,13 @@
 		wait := time.Duration(rand.New(rand.NewPCG(f.seed, uint64(next.Epoch())+hash(p.member.ID))).Int64N(int64(200 * time.Millisecond)))
 		go func() {
 			time.Sleep(wait)
-			p.awake(f.ctx)
-			p.take(next)
+			p.waitUntilResumed(f.ctx)
+			p.applyView(next)
 		}()
 	}
 }
 
-func (p *process) take(v *view.View) {
+func (p *process) applyView(v *view.View) {
 	p.f.mu.Lock()
 	if v.Epoch() <= p.current.Epoch() {
 		p.f.mu.Unlock()
@@ -235,14 +235,14 @@
 	defer p.f.mu.Unlock()
 	var alive []view.Member
 	for _, o := range p.f.nodes {
-		if o != p && !o.noticed {
+		if o != p && !o.detectedDown {
 			alive = append(alive, o.member)
 		}
 	}
 	return alive
 }
 
-func (p *process) onDuty() bool {
+func (p *process) isActiveCloser() bool {
 	for _, m := range p.Alive() {
 		if m.ID < p.member.ID {
 			return false
@@ -251,10 +251,10 @@
 	return p.replica.Settled()
 }
 
-// awake waits until the process is not frozen.
-func (p *process) awake(ctx context.Context) {
+// waitUntilResumed waits until the process is not frozen.
+func (p *process) waitUntilResumed(ctx context.Context) {
 	p.f.mu.Lock()
-	thawed := p.thawed
+	thawed := p.resumed
 	p.f.mu.Unlock()
 	select {
 	case <-thawed:
@@ -262,20 +262,20 @@
 	}
 }
 
-// beat tells the others how far this node's bills are kept elsewhere.
-func (p *process) beat(ctx context.Context) {
+// sendHeartbeats tells the others how far this node's bills are kept elsewhere.
+func (p *process) sendHeartbeats(ctx context.Context) {
 	p.timers.Every(ctx, heartbeat, func() {
 		for _, m := range p.Alive() {
 			go func() {
 				name, safe := p.journal.Name(), p.journal.DurableSequence()
-				_ = p.deliver(ctx, m, func(to *process) { to.memory.RecordHeartbeat(name, safe) })
+				_ = p.call(ctx, m, func(to *process) { to.tracker.RecordHeartbeat(name, safe) })
 			}()
 		}
 	})
 }
 
-// set changes what a fault schedule changes.
-func (f *fleet) set(change func()) {
+// withLock changes what a fault schedule changes.
+func (f *fleet) withLock(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
@@ -283,26 +283,26 @@
 
 // kill ends a process; the others notice it a little later.
 func (p *process) kill() {
-	p.f.note("kill %s", p.member.ID)
-	p.f.set(func() { p.dead, p.taking = true, false })
+	p.f.logf("kill %s", p.member.ID)
+	p.f.withLock(func() { p.dead, p.accepting = true, false })
 	p.cancel()
-	p.noteUnheard()
-	time.AfterFunc(notice, func() { p.f.set(func() { p.noticed = true }) })
+	p.recordUnreplicated()
+	time.AfterFunc(detectionDelay, func() { p.f.withLock(func() { p.detectedDown = true }) })
 }
 
-// noteUnheard notes the bills that go with a process that was killed.
-func (p *process) noteUnheard() {
+// recordUnreplicated notes the bills that go with a process that was killed.
+func (p *process) recordUnreplicated() {
 	heard := make(map[string]bool)
 	for _, other := range p.f.running() {
 		for _, e := range other.replica.Bills(p.member.ID, 0) {
 			heard[e.Key.ID] = true
 		}
 	}
-	p.f.set(func() {
+	p.f.withLock(func() {
 		for id := range p.undecided {
 			if !heard[id] {
-				p.f.unheard[id] = true
-				p.f.told = append(p.f.told, "nobody had heard of "+id)
+				p.f.unreplicated[id] = true
+				p.f.events = append(p.f.events, "nobody had heard of "+id)
 			}
 		}
 	})
@@ -311,20 +311,20 @@
 // stop is a planned stop: the node takes no more requests, ends its bills, folds
 // them, and leaves.
 func (p *process) stop() {
-	p.f.note("stop %s", p.member.ID)
-	p.f.set(func() { p.taking, p.noticed = false, true })
-	pause(p.f.ctx, time.Second)
+	p.f.logf("stop %s", p.member.ID)
+	p.f.withLock(func() { p.accepting, p.detectedDown = false, true })
+	sleep(p.f.ctx, time.Second)
 	p.waitForBills()
 	_ = p.journal.Fold(p.f.ctx)
-	p.f.change(nil, []string{p.member.ID})
-	pause(p.f.ctx, time.Second)
-	p.f.note("%s has left", p.member.ID)
-	p.f.set(func() { p.dead = true })
+	p.f.changeView(nil, []string{p.member.ID})
+	sleep(p.f.ctx, time.Second)
+	p.f.logf("%s has left", p.member.ID)
+	p.f.withLock(func() { p.dead = true })
 	p.cancel()
 }
 
-// stopTime is how long a planned stop waits for bills that are not decided.
-const stopTime = 10 * time.Second
+// stopTimeout is how long a planned stop waits for bills that are not decided.
+const stopTimeout = 10 * time.Second
 
 func (p *process) waitForBills() {
 	done := make(chan struct{})
@@ -334,30 +334,30 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(stopTime):
+	case <-time.After(stopTimeout):
 	}
 }
 
-// freeze stops a process for a while.
-func (p *process) freeze(d time.Duration) {
-	p.f.note("freeze %s for %v", p.member.ID, d)
+// pauseFor stops a process for a while.
+func (p *process) pauseFor(d time.Duration) {
+	p.f.logf("freeze %s for %v", p.member.ID, d)
 	gate := make(chan struct{})
-	p.f.set(func() { p.thawed = gate })
-	time.AfterFunc(notice, func() { p.f.set(func() { p.noticed = p.thawed == gate }) })
-	pause(p.f.ctx, d)
-	p.f.note("thaw %s", p.member.ID)
-	p.f.set(func() { p.noticed = false })
+	p.f.withLock(func() { p.resumed = gate })
+	time.AfterFunc(detectionDelay, func() { p.f.withLock(func() { p.detectedDown = p.resumed == gate }) })
+	sleep(p.f.ctx, d)
+	p.f.logf("thaw %s", p.member.ID)
+	p.f.withLock(func() { p.detectedDown = false })
 	closed := make(chan struct{})
 	close(closed)
-	p.f.set(func() { p.thawed = closed })
+	p.f.withLock(func() { p.resumed = closed })
 	close(gate)
 }
 
 // replace starts a new process on the VM of one that has ended.
 func (f *fleet) replace(old *process) {
 	p := f.start(old.member.VM, old.member.DataHall)
-	f.note("%s is up", p.member.ID)
-	f.change([]view.Member{p.member}, nil)
+	f.logf("%s is up", p.member.ID)
+	f.changeView([]view.Member{p.member}, nil)
 }
 
 // running returns the processes that were not killed, in the order of their
@@ -376,46 +376,46 @@
 }
 
 const (
-	// billLife is how long a bill is remembered at the least, mintedLife how
+	// billTTL is how long a bill is remembered at the least, mintedLife how
 	// long one of a request that no second node answers.
-	billLife   = 10 * time.Minute
-	mintedLife = time.Second
+	billTTL      = 10 * time.Minute
+	shortBillTTL = time.Second
 )
 
-// bill lets a node answer a request and bill it.
-func (p *process) bill(id string, life time.Duration) {
+// serveRequest lets a node answer a request and bill it.
+func (p *process) serveRequest(id string, life time.Duration) {
 	p.biller.Bill(ledger.Bill{Account: "desk", Model: id, Version: "v1", RequestID: id, PromptTokens: 3}, life)
-	p.awake(p.f.ctx)
-	p.f.set(func() {
+	p.waitUntilResumed(p.f.ctx)
+	p.f.withLock(func() {
 		if !p.dead {
-			p.f.answered[id]++
+			p.f.responses[id]++
 		}
 	})
 }
 
-// serve has the nodes answer requests until the context ends. Some requests are
+// generateRequests has the nodes answer requests until the context ends. Some requests are
 // answered by two nodes: the first was taken for gone.
-func (f *fleet) serve(ctx context.Context) {
+func (f *fleet) generateRequests(ctx context.Context) {
 	random := rand.New(rand.NewPCG(f.seed, 1))
 	for n := 0; ctx.Err() == nil; n++ {
-		open := slices.DeleteFunc(f.running(), func(p *process) bool { return !p.taking })
+		open := slices.DeleteFunc(f.running(), func(p *process) bool { return !p.accepting })
 		if len(open) > 0 {
 			id := fmt.Sprintf("r%d", n)
 			first := open[random.IntN(len(open))]
 			second := open[random.IntN(len(open))]
 			if second == first || random.IntN(5) != 0 {
-				go first.bill(id, mintedLife)
+				go first.serveRequest(id, shortBillTTL)
 			} else {
-				go first.bill(id, billLife)
-				time.AfterFunc(upTo(random, time.Second), func() { second.bill(id, billLife) })
+				go first.serveRequest(id, billTTL)
+				time.AfterFunc(randomUpTo(random, time.Second), func() { second.serveRequest(id, billTTL) })
 			}
 		}
-		pause(ctx, time.Duration(random.IntN(40)+1)*time.Millisecond)
+		sleep(ctx, time.Duration(random.IntN(40)+1)*time.Millisecond)
 	}
 }
 
-// wrong lists the requests that were not billed as they should.
-func (f *fleet) wrong() []string {
+// billingErrors lists the requests that were not billed as they should.
+func (f *fleet) billingErrors() []string {
 	journals, err := f.journals()
 	if err != nil {
 		return []string{err.Error()}
@@ -428,13 +428,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var wrong []string
-	for id := range f.answered {
-		if billed[id] != 1 && !(billed[id] == 0 && f.unheard[id]) {
-			wrong = append(wrong, fmt.Sprintf("%s was answered and billed %d times %v", id, billed[id], f.entered[id]))
+	for id := range f.responses {
+		if billed[id] != 1 && !(billed[id] == 0 && f.unreplicated[id]) {
+			wrong = append(wrong, fmt.Sprintf("%s was answered and billed %d times %v", id, billed[id], f.committedBy[id]))
 		}
 	}
 	for id, n := range billed {
-		if n != 0 && n != 1 && f.answered[id] == 0 {
+		if n != 0 && n != 1 && f.responses[id] == 0 {
 			wrong = append(wrong, fmt.Sprintf("%s was billed %d times", id, n))
 		}
 	}
--- a/billing/network_test.go
+++ b/billing/network_test.go
@@ -15,15 +15,15 @@
 )
 
 var (
-	errUnreachable = errors.New("not reached")
-	errPlatform    = errors.New("platform out")
+	errUnreachable  = errors.New("not reached")
+	errPlatformDown = errors.New("platform out")
 )
 
-// callTime bounds calls that the callers give no time of their own.
-const callTime = time.Second
+// callTimeout bounds calls that the callers give no time of their own.
+const callTimeout = time.Second
 
-// way draws how long a message to a node takes, and whether it is lost.
-func (p *process) way(to string) (time.Duration, bool) {
+// drawDelay draws how long a message to a node takes, and whether it is lost.
+func (p *process) drawDelay(to string) (time.Duration, bool) {
 	p.f.mu.Lock()
 	defer p.f.mu.Unlock()
 	link := p.links[to]
@@ -31,23 +31,23 @@
 		link = rand.New(rand.NewPCG(p.f.seed+hash(p.member.ID), hash(to)))
 		p.links[to] = link
 	}
-	return time.Duration(link.Int64N(int64(p.f.slow)) + 1), link.Float64() < p.f.lost
+	return time.Duration(link.Int64N(int64(p.f.maxDelay)) + 1), link.Float64() < p.f.lossRate
 }
 
-func (p *process) cut() bool {
+func (p *process) unreachable() bool {
 	p.f.mu.Lock()
 	defer p.f.mu.Unlock()
-	return p.dead || p.cutPeers
+	return p.dead || p.partitioned
 }
 
-// deliver carries a call to another process and its answer back.
-func (p *process) deliver(ctx context.Context, m view.Member, handle func(to *process)) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+// call carries a call to another process and its answer back.
+func (p *process) call(ctx context.Context, m view.Member, handle func(to *process)) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	p.f.mu.Lock()
 	to := p.f.nodes[m.ID]
 	p.f.mu.Unlock()
-	if to == nil || p.cut() && to != p {
+	if to == nil || p.unreachable() && to != p {
 		return errUnreachable
 	}
 	if to == p {
@@ -55,17 +55,17 @@
 		return nil
 	}
 	for step := range 2 {
-		wait, lost := p.way(m.ID)
+		wait, lost := p.drawDelay(m.ID)
 		if lost {
 			<-ctx.Done()
 			return ctx.Err()
 		}
-		if !pause(ctx, wait) {
+		if !sleep(ctx, wait) {
 			return ctx.Err()
 		}
-		p.awake(ctx)
-		to.awake(ctx)
-		if ctx.Err() != nil || p.cut() || to.cut() {
+		p.waitUntilResumed(ctx)
+		to.waitUntilResumed(ctx)
+		if ctx.Err() != nil || p.unreachable() || to.unreachable() {
 			return errUnreachable
 		}
 		if step == 0 {
@@ -75,7 +75,7 @@
 	return nil
 }
 
-func pause(ctx context.Context, d time.Duration) bool {
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -87,35 +87,35 @@
 }
 
 func (p *process) Claim(ctx context.Context, to view.Member, r claim.Request) (reply claim.Reply, err error) {
-	err = p.deliver(ctx, to, func(o *process) { reply = o.replica.Claim(r) })
+	err = p.call(ctx, to, func(o *process) { reply = o.replica.Claim(r) })
 	return reply, err
 }
 
 func (p *process) Lookup(ctx context.Context, to view.Member, r claim.Request) (reply claim.Reply, err error) {
-	err = p.deliver(ctx, to, func(o *process) { reply = o.replica.Lookup(r) })
+	err = p.call(ctx, to, func(o *process) { reply = o.replica.Lookup(r) })
 	return reply, err
 }
 
 func (p *process) Advance(ctx context.Context, to view.Member, e claim.Entry) error {
-	return p.deliver(ctx, to, func(o *process) { o.replica.Advance(e) })
+	return p.call(ctx, to, func(o *process) { o.replica.Advance(e) })
 }
 
 func (p *process) Release(ctx context.Context, to view.Member, key claim.Key, token string, upTo claim.State) error {
-	return p.deliver(ctx, to, func(o *process) { o.replica.Release(key, token, upTo) })
+	return p.call(ctx, to, func(o *process) { o.replica.Release(key, token, upTo) })
 }
 
 func (p *process) Transfer(ctx context.Context, to view.Member, r claim.TransferRequest) (reply claim.TransferReply, err error) {
-	err = p.deliver(ctx, to, func(o *process) { reply = o.replica.Transfer(r) })
+	err = p.call(ctx, to, func(o *process) { reply = o.replica.Transfer(r) })
 	return reply, err
 }
 
 func (p *process) FetchRecords(ctx context.Context, to view.Member, journal string) (reply billing.JournalRecords, err error) {
-	err = p.deliver(ctx, to, func(o *process) { reply = o.memory.LocalRecords(journal) })
+	err = p.call(ctx, to, func(o *process) { reply = o.tracker.LocalRecords(journal) })
 	return reply, err
 }
 
 func (p *process) Checkpoint(ctx context.Context, to view.Member, a ledger.Snapshot) error {
-	return p.deliver(ctx, to, func(o *process) { o.memory.StoreCheckpoint(a) })
+	return p.call(ctx, to, func(o *process) { o.tracker.StoreCheckpoint(a) })
 }
 
 // claims ends the tasks of a process that was killed.
@@ -126,7 +126,7 @@
 
 func (c claims) Settle(ctx context.Context, e claim.Entry) (claim.Outcome, error) {
 	o, err := c.Claimer.Settle(ctx, e)
-	c.p.f.set(func() {
+	c.p.f.withLock(func() {
 		if err != nil && e.Holder.ID == c.p.member.ID {
 			c.p.undecided[e.Key.ID] = true
 		} else {
@@ -152,55 +152,55 @@
 
 func (c counters) Billed(b ledger.Bill) {
 	line := fmt.Sprintf("%s by %s", time.Now().Format("05.000"), c.p.member.ID)
-	c.p.f.set(func() { c.p.f.entered[b.RequestID] = append(c.p.f.entered[b.RequestID], line) })
+	c.p.f.withLock(func() { c.p.f.committedBy[b.RequestID] = append(c.p.f.committedBy[b.RequestID], line) })
 }
 
 // store is the platform as one process sees it.
 type store struct{ p *process }
 
-func (s store) reach(ctx context.Context) error {
-	if !pause(ctx, time.Millisecond) {
+func (s store) access(ctx context.Context) error {
+	if !sleep(ctx, time.Millisecond) {
 		return ctx.Err()
 	}
-	s.p.awake(ctx)
+	s.p.waitUntilResumed(ctx)
 	s.p.f.mu.Lock()
 	defer s.p.f.mu.Unlock()
-	if s.p.dead || s.p.cutStore || s.p.f.down {
-		return errPlatform
+	if s.p.dead || s.p.platformUnreachable || s.p.f.platformDown {
+		return errPlatformDown
 	}
 	return nil
 }
 
 func (s store) Get(ctx context.Context, key string) ([]byte, int64, error) {
-	if err := s.reach(ctx); err != nil {
+	if err := s.access(ctx); err != nil {
 		return nil, 0, err
 	}
 	s.p.f.mu.Lock()
 	defer s.p.f.mu.Unlock()
-	return s.p.f.data[key], s.p.f.version[key], nil
+	return s.p.f.data[key], s.p.f.revision[key], nil
 }
 
 func (s store) Swap(ctx context.Context, key string, data []byte, expected int64) (int64, bool, error) {
-	if err := s.reach(ctx); err != nil {
+	if err := s.access(ctx); err != nil {
 		return 0, false, err
 	}
 	s.p.f.mu.Lock()
 	defer s.p.f.mu.Unlock()
-	if s.p.f.version[key] != expected {
+	if s.p.f.revision[key] != expected {
 		return 0, false, nil
 	}
 	s.p.f.data[key] = data
-	s.p.f.version[key]++
-	if s.p.f.losing {
-		return 0, false, errPlatform
+	s.p.f.revision[key]++
+	if s.p.f.losingResponses {
+		return 0, false, errPlatformDown
 	}
-	return s.p.f.version[key], true, nil
+	return s.p.f.revision[key], true, nil
 }
 
 func (s store) Delete(context.Context, string, int64) (bool, error) { return false, nil }
 
 func (s store) Journals(ctx context.Context) ([]ledger.Snapshot, error) {
-	if err := s.reach(ctx); err != nil {
+	if err := s.access(ctx); err != nil {
 		return nil, err
 	}
 	return s.p.f.journals()
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -17,20 +17,20 @@
 
 var errDown = errors.New("down")
 
-// platform is a store that can be down or lose answers after the write.
-type platform struct {
-	mu       sync.Mutex
-	data     map[string][]byte
-	revision map[string]int64
-	down     bool
-	lose     int
+// fakePlatform is a store that can be down or lose answers after the write.
+type fakePlatform struct {
+	mu            sync.Mutex
+	data          map[string][]byte
+	revision      map[string]int64
+	down          bool
+	loseResponses int
 }
 
-func newPlatform() *platform {
-	return &platform{data: make(map[string][]byte), revision: make(map[string]int64)}
+func newFakePlatform() *fakePlatform {
+	return &fakePlatform{data: make(map[string][]byte), revision: make(map[string]int64)}
 }
 
-func (p *platform) Get(_ context.Context, key string) ([]byte, int64, error) {
+func (p *fakePlatform) Get(_ context.Context, key string) ([]byte, int64, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.down {
@@ -39,7 +39,7 @@
 	return p.data[key], p.revision[key], nil
 }
 
-func (p *platform) Swap(_ context.Context, key string, data []byte, expected int64) (int64, bool, error) {
+func (p *fakePlatform) Swap(_ context.Context, key string, data []byte, expected int64) (int64, bool, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.down {
@@ -50,14 +50,14 @@
 	}
 	p.data[key] = data
 	p.revision[key]++
-	if p.lose > 0 {
-		p.lose--
+	if p.loseResponses > 0 {
+		p.loseResponses--
 		return 0, false, errDown
 	}
 	return p.revision[key], true, nil
 }
 
-func (p *platform) Delete(_ context.Context, key string, expected int64) (bool, error) {
+func (p *fakePlatform) Delete(_ context.Context, key string, expected int64) (bool, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.down || p.revision[key] != expected {
@@ -68,7 +68,7 @@
 	return true, nil
 }
 
-func (p *platform) Journals(context.Context) ([]ledger.Snapshot, error) {
+func (p *fakePlatform) Journals(context.Context) ([]ledger.Snapshot, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var all []ledger.Snapshot
@@ -83,14 +83,14 @@
 }
 
 // total returns what the platform has for the one line of these tests.
-func (p *platform) total(t *testing.T) int64 {
+func (p *fakePlatform) total(t *testing.T) int64 {
 	journals, err := p.Journals(t.Context())
 	must.NoError(t, err)
 	return ledger.Total(journals)["desk/brief@v1"].Requests
 }
 
-// replicas remember bills and sums.
-type replicas struct {
+// fakeReplicas remember bills and sums.
+type fakeReplicas struct {
 	checkpoint ledger.Snapshot
 	bills      []ledger.ReplicatedBill
 	complete   bool
@@ -100,18 +100,18 @@
 	settled []int64
 }
 
-func (r *replicas) Checkpoint(_ context.Context, a ledger.Snapshot) bool {
+func (r *fakeReplicas) Checkpoint(_ context.Context, a ledger.Snapshot) bool {
 	r.checkpoint = a
 	return true
 }
 
-func (r *replicas) CollectRecords(context.Context, string) (ledger.Snapshot, []ledger.ReplicatedBill, bool) {
+func (r *fakeReplicas) CollectRecords(context.Context, string) (ledger.Snapshot, []ledger.ReplicatedBill, bool) {
 	return r.checkpoint, r.bills, r.complete
 }
 
-func (r *replicas) Orphaned() []string { return nil }
+func (r *fakeReplicas) Orphaned() []string { return nil }
 
-func (r *replicas) Settle(_ context.Context, _ string, b ledger.ReplicatedBill) (bool, error) {
+func (r *fakeReplicas) Settle(_ context.Context, _ string, b ledger.ReplicatedBill) (bool, error) {
 	r.settled = append(r.settled, b.Sequence)
 	return !slices.Contains(r.lost, b.Sequence), nil
 }
@@ -123,15 +123,15 @@
 func TestArchive(t *testing.T) {
 	for lose := range 4 {
 		synctest.Test(t, func(t *testing.T) {
-			p, r := newPlatform(), &replicas{complete: true}
+			p, r := newFakePlatform(), &fakeReplicas{complete: true}
 			timers := timer.New()
 			defer timers.Close()
 			closer := ledger.NewCloser(p, r, func(string) bool { return true }, func() bool { return true }, timers)
-			enter(newJournal(p, r), r, 5)
+			commitBills(newJournal(p, r), r, 5)
 			must.NoError(t, closer.Close(t.Context(), "n#1"))
 			must.NoError(t, closer.Close(t.Context(), "n#2"))
 			ctx, cancel := context.WithCancel(t.Context())
-			p.lose = lose
+			p.loseResponses = lose
 			go closer.Run(ctx)
 			for range 30 {
 				time.Sleep(time.Hour)
@@ -144,12 +144,12 @@
 	}
 }
 
-func newJournal(p *platform, r *replicas) *ledger.Journal {
+func newJournal(p *fakePlatform, r *fakeReplicas) *ledger.Journal {
 	return ledger.New("n#1", p, r, timer.New(), func() time.Duration { return time.Hour })
 }
 
-// enter bills n requests and remembers each at the replicas.
-func enter(j *ledger.Journal, r *replicas, n int) {
+// commitBills bills n requests and remembers each at the replicas.
+func commitBills(j *ledger.Journal, r *fakeReplicas, n int) {
 	for range n {
 		sequence := j.Begin(bill)
 		j.Commit(sequence)
@@ -161,39 +161,39 @@
 func TestFold(t *testing.T) {
 	tests := []struct {
 		name  string
-		fault func(p *platform)
+		fault func(p *fakePlatform)
 		// safe is what need not be remembered after a fold under the fault.
 		safe int64
 	}{
-		{"platform well", func(*platform) {}, 5},
-		{"an answer lost after the write", func(p *platform) { p.lose = 1 }, 5},
-		{"all answers lost for a while", func(p *platform) { p.lose = 5 }, 5},
-		{"platform down: summed up at peers", func(p *platform) { p.down = true }, 5},
+		{"platform well", func(*fakePlatform) {}, 5},
+		{"an answer lost after the write", func(p *fakePlatform) { p.loseResponses = 1 }, 5},
+		{"all answers lost for a while", func(p *fakePlatform) { p.loseResponses = 5 }, 5},
+		{"platform down: summed up at peers", func(p *fakePlatform) { p.down = true }, 5},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p, r := newPlatform(), &replicas{}
+			p, r := newFakePlatform(), &fakeReplicas{}
 			j := newJournal(p, r)
-			enter(j, r, 5)
+			commitBills(j, r, 5)
 			tt.fault(p)
 			_ = j.Fold(t.Context())
 			must.Eq(t, tt.safe, j.DurableSequence())
-			p.down, p.lose = false, 0
+			p.down, p.loseResponses = false, 0
 			must.NoError(t, j.Fold(t.Context()))
 			must.Eq(t, 5, p.total(t), must.Sprint("also without a new bill"))
-			enter(j, r, 2)
+			commitBills(j, r, 2)
 			must.NoError(t, j.Fold(t.Context()))
 			must.Eq(t, 7, p.total(t))
 		})
 	}
 }
 
-// TestGaps folds only what is contiguous, and passes over what was given up.
-func TestGaps(t *testing.T) {
-	p, r := newPlatform(), &replicas{}
+// TestOpenSequence folds only what is contiguous, and passes over what was given up.
+func TestOpenSequence(t *testing.T) {
+	p, r := newFakePlatform(), &fakeReplicas{}
 	j := newJournal(p, r)
 	first := j.Begin(bill)
-	enter(j, r, 3)
+	commitBills(j, r, 3)
 	must.NoError(t, j.Fold(t.Context()))
 	must.Eq(t, 0, p.total(t))
 	must.Eq(t, 0, j.DurableSequence(), must.Sprint("replicas have to remember what comes after an open sequence"))
@@ -206,36 +206,36 @@
 func TestClose(t *testing.T) {
 	tests := []struct {
 		name  string
-		setup func(p *platform, r *replicas, j *ledger.Journal)
+		setup func(p *fakePlatform, r *fakeReplicas, j *ledger.Journal)
 		want  int64
 		// settled are the sequences whose claims the closing settles.
 		settled []int64
 	}{
-		{"never folded", func(*platform, *replicas, *ledger.Journal) {}, 5, []int64{1, 2, 3, 4, 5}},
-		{"folded in part", func(p *platform, r *replicas, j *ledger.Journal) {
+		{"never folded", func(*fakePlatform, *fakeReplicas, *ledger.Journal) {}, 5, []int64{1, 2, 3, 4, 5}},
+		{"folded in part", func(p *fakePlatform, r *fakeReplicas, j *ledger.Journal) {
 			_ = j.Fold(context.Background())
-			enter(j, r, 3)
+			commitBills(j, r, 3)
 		}, 8, []int64{6, 7, 8}},
-		{"folded, and replicas have not heard of it", func(_ *platform, _ *replicas, j *ledger.Journal) {
+		{"folded, and replicas have not heard of it", func(_ *fakePlatform, _ *fakeReplicas, j *ledger.Journal) {
 			_ = j.Fold(context.Background())
 		}, 5, nil},
-		{"summed up at peers in an outage", func(p *platform, r *replicas, j *ledger.Journal) {
+		{"summed up at peers in an outage", func(p *fakePlatform, r *fakeReplicas, j *ledger.Journal) {
 			p.down = true
 			_ = j.Fold(context.Background())
 			p.down = false
-			enter(j, r, 3)
+			commitBills(j, r, 3)
 			r.bills = r.bills[5:]
 		}, 8, []int64{6, 7, 8}},
-		{"a bill that another has won", func(_ *platform, r *replicas, _ *ledger.Journal) {
+		{"a bill that another has won", func(_ *fakePlatform, r *fakeReplicas, _ *ledger.Journal) {
 			r.lost = []int64{5}
 		}, 4, []int64{1, 2, 3, 4, 5}},
-		{"the answer lost after the write", func(p *platform, _ *replicas, _ *ledger.Journal) { p.lose = 1 }, 5, []int64{1, 2, 3, 4, 5}},
+		{"the answer lost after the write", func(p *fakePlatform, _ *fakeReplicas, _ *ledger.Journal) { p.loseResponses = 1 }, 5, []int64{1, 2, 3, 4, 5}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p, r := newPlatform(), &replicas{complete: true}
+			p, r := newFakePlatform(), &fakeReplicas{complete: true}
 			j := newJournal(p, r)
-			enter(j, r, 5)
+			commitBills(j, r, 5)
 			tt.setup(p, r, j)
 			closer := ledger.NewCloser(p, r, func(string) bool { return false }, func() bool { return true }, timer.New())
 			must.NoError(t, closer.Close(t.Context(), "n#1"))
@@ -250,32 +250,32 @@
 // TestPausedOwner closes a journal whose owner was only paused: what the
 // closer did not find goes into a new journal, and nothing counts twice.
 func TestPausedOwner(t *testing.T) {
-	p, r := newPlatform(), &replicas{complete: true}
+	p, r := newFakePlatform(), &fakeReplicas{complete: true}
 	j := newJournal(p, r)
-	enter(j, r, 5)
+	commitBills(j, r, 5)
 	closer := ledger.NewCloser(p, r, func(string) bool { return false }, func() bool { return true }, timer.New())
 	must.NoError(t, closer.Close(t.Context(), "n#1"))
-	enter(j, r, 2)
+	commitBills(j, r, 2)
 	must.Error(t, j.Fold(t.Context()))
 	must.NoError(t, j.Fold(t.Context()))
 	must.Eq(t, "n#1+", j.Name())
 	must.Eq(t, 7, p.total(t))
 }
 
-// TestPausedOwnerSweptAhead closes a journal whose owner was paused with a bill
+// TestPausedOwnerOpenBills closes a journal whose owner was paused with a bill
 // begun and another entered that its sums do not hold yet, of lines that they do
 // not know either. The closer counts both; neither counts twice once the owner
 // goes on, nor is missing if it ends before it has decided them.
-func TestPausedOwnerSweptAhead(t *testing.T) {
+func TestPausedOwnerOpenBills(t *testing.T) {
 	for _, ends := range []string{"entered", "skipped", "ends before"} {
 		t.Run(ends, func(t *testing.T) {
-			p, r := newPlatform(), &replicas{complete: true}
+			p, r := newFakePlatform(), &fakeReplicas{complete: true}
 			j := newJournal(p, r)
-			enter(j, r, 2)
+			commitBills(j, r, 2)
 			other := bill
 			other.Version = "v2"
 			open := j.Begin(other)
-			enter(j, r, 1)
+			commitBills(j, r, 1)
 			r.bills = append(r.bills, ledger.ReplicatedBill{Sequence: open, Bill: other})
 			closer := ledger.NewCloser(p, r, func(string) bool { return false }, func() bool { return true }, timer.New())
 			must.NoError(t, closer.Close(t.Context(), "n#1"))
@@ -286,7 +286,7 @@
 			case "skipped":
 				j.Skip(open)
 			}
-			enter(j, r, 2)
+			commitBills(j, r, 2)
 			must.NoError(t, j.Fold(t.Context()))
 			journals, err := p.Journals(t.Context())
 			must.NoError(t, err)
@@ -301,28 +301,28 @@
 	}
 }
 
-// TestNotComplete waits while replicas are missing that may know more.
-func TestNotComplete(t *testing.T) {
-	p, r := newPlatform(), &replicas{}
-	enter(newJournal(p, r), r, 5)
+// TestCloseWithMissingReplicas waits while replicas are missing that may know more.
+func TestCloseWithMissingReplicas(t *testing.T) {
+	p, r := newFakePlatform(), &fakeReplicas{}
+	commitBills(newJournal(p, r), r, 5)
 	closer := ledger.NewCloser(p, r, func(string) bool { return false }, func() bool { return true }, timer.New())
 	must.NoError(t, closer.Close(t.Context(), "n#1"))
 	must.MapEmpty(t, p.data)
 }
 
-// TestFate lists what a stored journal tells of a sequence. One that is skipped
+// TestBillStatus lists what a stored journal tells of a sequence. One that is skipped
 // is folded like the others: the journal of a node that had left a bill to
 // another, and was gone, passed for the bill's own, and the bill was in neither.
-func TestFate(t *testing.T) {
-	p, r := newPlatform(), &replicas{complete: true}
+func TestBillStatus(t *testing.T) {
+	p, r := newFakePlatform(), &fakeReplicas{complete: true}
 	j := newJournal(p, r)
-	enter(j, r, 2)
+	commitBills(j, r, 2)
 	skipped := j.Begin(bill)
 	j.Skip(skipped)
-	enter(j, r, 1)
+	commitBills(j, r, 1)
 	must.NoError(t, j.Fold(t.Context()))
 	open := j.Begin(bill)
-	enter(j, r, 1)
+	commitBills(j, r, 1)
 	fates := func(want ...ledger.BillStatus) {
 		stored, err := ledger.Read(t.Context(), p, "n#1")
 		must.NoError(t, err)
