--- a/billing/billing.go
+++ b/billing/billing.go
@@ -1,14 +1,16 @@
-// Package billing sees to it that each request is billed exactly once. It
-// connects the ledger (package ledger) with the write-once memory (package
-// claim): a bill is a won claim that its winner enters in its own journal, and
-// until the journal's sums are kept elsewhere the claim's replicas remember it.
+// Package billing bills each request exactly once. It connects the ledger
+// (package ledger) with replicated write-once claims (package claim): a node
+// that wins the claim for a bill commits the bill to its own journal. The
+// claim's replicas keep the bill until the journal's totals are durable, that
+// is, stored at the platform or checkpointed at peers.
 //
-// A [Biller] claims bills. A [Tracker] keeps what this node knows of the bills
-// of others, and asks all nodes for the bills of one that is gone.
+// A [Biller] claims bills. A [Tracker] keeps what this node knows about the
+// journals of all nodes, and collects the bills of a removed node from the
+// others.
 //
 // # Usage
 //
-//	won := biller.Bill(bill, life) // claimed, or claimed again until it is decided
+//	won := biller.Bill(bill, ttl) // false: billed elsewhere, or retried in the background
 //	…
 //	biller.Wait() // before the last fold
 package billing
@@ -26,33 +28,35 @@
 )
 
 const (
-	// billTimeout is how long an answer waits for its bill.
+	// billTimeout bounds one attempt to settle a bill's claim. A response waits
+	// for the first attempt.
 	billTimeout = 2 * time.Second
-	// minRetryDelay lies between the first two tries to claim a bill, lastPause
-	// between later ones: until enough replicas hold a bill it goes with its
-	// node, and they may not answer for as long as a data hall is away.
+	// The delay between attempts doubles from minRetryDelay to maxRetryDelay.
+	// The first retries are quick because a bill is lost with its node until
+	// enough replicas hold it; later ones are slower because replicas stay
+	// unreachable for the whole outage of a data hall.
 	minRetryDelay = 250 * time.Millisecond
 	maxRetryDelay = 2 * time.Second
 )
 
-// Claims is the write-once memory.
+// Claims settles and releases write-once claims.
 type Claims interface {
 	Settle(ctx context.Context, e claim.Entry) (claim.Outcome, error)
 	Release(key claim.Key, token string)
 }
 
-// Statuses tells what has become of another node's bill.
+// Statuses looks up the status of a bill in any node's journal.
 type Statuses interface {
 	BillStatus(ctx context.Context, bill claim.Entry) (ledger.BillStatus, error)
 }
 
-// Counters counts what operators want to see.
+// Counters receives the metrics of billing.
 type Counters interface {
 	Retried(reason string)
 	Billed(b ledger.Bill)
 }
 
-// Config is what a Biller is made of.
+// Config holds the dependencies and settings of a Biller.
 type Config struct {
 	Self     claim.Holder
 	Claims   Claims
@@ -63,11 +67,12 @@
 	NewID    func() string
 	// Region returns the home region of a client account.
 	Region func(account string) string
-	// RecoveredBillTTL is how long the bill of a node that is gone is remembered.
+	// RecoveredBillTTL is how long replicas keep the claim of a bill that was
+	// settled in place of a removed node.
 	RecoveredBillTTL time.Duration
 }
 
-// Biller claims bills and enters those that it wins in this node's journal. It
+// Biller claims bills and commits those that it wins to this node's journal. It
 // is safe for concurrent use.
 type Biller struct {
 	Config
@@ -75,15 +80,17 @@
 }
 
 // New returns a biller.
-func New(parts Config) *Biller { return &Biller{Config: parts} }
+func New(config Config) *Biller { return &Biller{Config: config} }
 
-// Wait returns when no bill is being claimed any more.
+// Wait blocks until no bill is being retried in the background.
 func (b *Biller) Wait() { b.retries.Wait() }
 
-// Bill claims a bill and enters it in the journal. It returns false if the
-// request is billed already, or if its replicas do not answer; then it goes
-// on trying beside the request until they do.
-func (b *Biller) Bill(bill ledger.Bill, life time.Duration) bool {
+// Bill claims a bill, commits it to the journal and returns true. It returns
+// false if another claim has billed the request, or if the claim cannot be
+// settled yet, for instance because too few replicas respond; then it retries
+// in the background until the claim is settled. Replicas keep the claim for at
+// least ttl.
+func (b *Biller) Bill(bill ledger.Bill, ttl time.Duration) bool {
 	value, err := json.Marshal(bill)
 	if err != nil {
 		slog.Error("bill cannot be encoded", "request_id", bill.RequestID, "error", err)
@@ -96,17 +103,17 @@
 		State:    claim.StateDone,
 		Value:    value,
 		Sequence: b.Journal.Begin(bill),
-		Expires:  b.Timers.Now().Add(life),
+		Expires:  b.Timers.Now().Add(ttl),
 	}
 	won, decided := b.trySettle(e, bill)
 	if decided {
 		return won
 	}
 	b.Counters.Retried("bill_claim")
-	// A planned stop waits for the bill as for a request.
+	// A planned stop waits for these retries as it does for requests.
 	b.retries.Go(func() {
-		for pause := minRetryDelay; !decided; pause = min(2*pause, maxRetryDelay) {
-			time.Sleep(pause)
+		for delay := minRetryDelay; !decided; delay = min(2*delay, maxRetryDelay) {
+			time.Sleep(delay)
 			_, decided = b.trySettle(e, bill)
 		}
 	})
@@ -117,9 +124,9 @@
 	return claim.Key{Region: b.Region(bill.Account), Account: bill.Account, Kind: claim.KindBill, ID: bill.RequestID}
 }
 
-// trySettle tries once to settle a bill's claim. A bill is one attempt at one
-// sequence until it is decided. What replicas hold of it meanwhile stays there,
-// so that the bill can be settled in this node's place.
+// trySettle tries once to settle a bill's claim. All tries for a bill use the
+// same attempt and the same sequence. Replicas keep the votes of an undecided
+// claim, so that another node can settle it if this one is removed.
 func (b *Biller) trySettle(e *claim.Entry, bill ledger.Bill) (won, decided bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), billTimeout)
 	defer cancel()
@@ -143,20 +150,22 @@
 	}
 }
 
-// resolveConflict parts two claims of a bill of which the replicas do not tell who has
-// won. Their holders know: who has lost is released, and if neither has
-// decided, the second by name. It reports whether the first claim was released.
+// resolveConflict resolves a conflict between two claims of one bill when the
+// replicas cannot tell which has won. It looks up the rival's bill in its
+// journal: if the rival has lost, its claim is released; if it has won, e is.
+// If neither is decided, the claim with the smaller attempt token stays. It
+// reports whether e was released.
 func (b *Biller) resolveConflict(ctx context.Context, e, rival *claim.Entry) bool {
-	fate, err := b.Statuses.BillStatus(ctx, *rival)
+	status, err := b.Statuses.BillStatus(ctx, *rival)
 	if err != nil {
-		slog.Info("fate of a bill not known", "request_id", e.Key.ID, "journal", rival.Holder.ID, "sequence", rival.Sequence, "error", err)
+		slog.Info("status of a rival bill unknown", "request_id", e.Key.ID, "journal", rival.Holder.ID, "sequence", rival.Sequence, "error", err)
 		return false
 	}
 	switch {
-	case fate == ledger.BillLost:
+	case status == ledger.BillLost:
 		b.Claims.Release(rival.Key, rival.Token)
 		return false
-	case fate == ledger.BillOpen && claim.AttemptOf(e.Token) < claim.AttemptOf(rival.Token):
+	case status == ledger.BillOpen && claim.AttemptOf(e.Token) < claim.AttemptOf(rival.Token):
 		return false
 	default:
 		b.Claims.Release(e.Key, e.Token)
@@ -164,8 +173,8 @@
 	}
 }
 
-// Settle ends the claim of a bill in the place of a node that is gone, and
-// reports whether it is won.
+// Settle settles the claim of a bill in place of a removed node, and reports
+// whether the claim is won.
 func (b *Biller) Settle(ctx context.Context, journal string, r ledger.ReplicatedBill) (bool, error) {
 	value, err := json.Marshal(r.Bill)
 	if err != nil {
@@ -192,9 +201,9 @@
 	return outcome.Won, err
 }
 
-// logUnsettled tells why a sequence of a journal is left without a bill, or is not
-// decided yet, and whose claim has the key: a bill that is missing from the
-// ledger is traced by these lines and those of the journals' closing.
+// logUnsettled logs why a sequence of a journal has no bill or is not decided
+// yet, and which claim holds the key. These lines and those about the closing of
+// journals are what a bill missing from the ledger can be traced with.
 func logUnsettled(e *claim.Entry, outcome claim.Outcome, err error) {
 	attributes := []any{"request_id", e.Key.ID, "account", e.Key.Account, "journal", e.Holder.ID, "sequence", e.Sequence, "attempt", e.Token}
 	if err != nil {
