--- a/ledger/archive.go
+++ b/ledger/archive.go
@@ -10,29 +10,31 @@
 	"github.com/violettally/violettally/document"
 )
 
-// ArchiveName is the journal that takes up the closed ones, or they would grow in
-// number with every VM that was ever replaced.
+// ArchiveName is the name of the archive, the journal into which closed journals
+// are merged. Without it the number of journals would grow with every VM that is
+// replaced.
 const ArchiveName = "archive"
 
-// archiveDelay is how long a closed journal stands by itself, for an owner that
-// was only paused. A process that was paused for longer than this does not
-// come back: its VM has been replaced.
+// archiveDelay is how long a closed journal is kept separately, in case its owner
+// was only paused. A process that was paused for longer does not come back: its
+// VM has been replaced.
 const archiveDelay = 24 * time.Hour
 
-// archiveClosed moves closed journals into the archive: first their sums, together
-// with their names, then the journals themselves, then the names. Whatever is
-// cut short goes on in the next round without counting anything twice.
+// archiveClosed moves closed journals into the archive. It first adds their
+// totals and names to the archive, then deletes the journals; a later round
+// removes the names of those deleted. The names prevent a journal from being
+// counted twice when a round is interrupted and the next one continues it.
 func (c *Closer) archiveClosed(ctx context.Context, stored []Snapshot) error {
-	var old, standing []string
-	sums := make(map[string]Snapshot)
+	var expired, existing []string
+	snapshots := make(map[string]Snapshot)
 	for _, a := range stored {
-		standing = append(standing, a.Journal)
+		existing = append(existing, a.Journal)
 		if a.Closed && a.Journal != ArchiveName && c.timers.Now().Sub(a.ClosedAt) > archiveDelay {
-			old = append(old, a.Journal)
-			sums[a.Journal] = a
+			expired = append(expired, a.Journal)
+			snapshots[a.Journal] = a
 		}
 	}
-	if len(old) == 0 {
+	if len(expired) == 0 {
 		return nil
 	}
 	_, err := document.Update(ctx, c.store, Key(ArchiveName), func(data []byte) ([]byte, error) {
@@ -40,12 +42,12 @@
 		if err != nil {
 			return nil, err
 		}
-		return json.Marshal(addToArchive(archive, old, sums, standing))
+		return json.Marshal(addToArchive(archive, expired, snapshots, existing))
 	})
 	if err != nil {
 		return err
 	}
-	for _, journal := range old {
+	for _, journal := range expired {
 		if err := c.deleteArchived(ctx, journal); err != nil {
 			return err
 		}
@@ -53,22 +55,22 @@
 	return nil
 }
 
-// addToArchive adds the old journals that the archive does not have yet, and forgets
-// the names of those that do not stand beside it any more.
-func addToArchive(archive Snapshot, old []string, sums map[string]Snapshot, standing []string) Snapshot {
+// addToArchive adds the expired journals that the archive does not contain yet,
+// and removes the names of those that no longer exist separately.
+func addToArchive(archive Snapshot, expired []string, snapshots map[string]Snapshot, existing []string) Snapshot {
 	archive.Closed = true
 	var names []string
 	for _, name := range archive.Archived {
-		if slices.Contains(standing, name) {
+		if slices.Contains(existing, name) {
 			names = append(names, name)
 		}
 	}
-	for _, name := range old {
+	for _, name := range expired {
 		if slices.Contains(archive.Archived, name) {
 			continue
 		}
-		for line, sum := range sums[name].Totals {
-			archive.add(line, sum)
+		for key, sum := range snapshots[name].Totals {
+			archive.add(key, sum)
 		}
 		names = append(names, name)
 	}
@@ -76,8 +78,8 @@
 	return archive
 }
 
-// errChangedAfterClose says that a journal changed after it was closed, which nothing
-// does.
+// errChangedAfterClose says that a journal was changed after it was closed, which
+// must not happen.
 var errChangedAfterClose = errors.New("a closed journal changed")
 
 func (c *Closer) deleteArchived(ctx context.Context, journal string) error {
--- a/ledger/closer.go
+++ b/ledger/closer.go
@@ -12,29 +12,30 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// ReplicatedBill is a bill of a gone node as the claim replicas remember it.
+// ReplicatedBill is a bill of a removed node as held by the claim replicas.
 type ReplicatedBill struct {
 	Sequence int64
 	Bill     Bill
-	// Token is that of the claim.
+	// Token is the token of the bill's claim.
 	Token string
 }
 
-// Replicas asks all replicas what they remember of a journal.
+// Replicas gives access to what all nodes hold about the journals of removed
+// nodes.
 type Replicas interface {
-	// CollectRecords returns the highest checkpoint and the bills beyond it. Complete
-	// is false while replicas are missing that may know more.
+	// CollectRecords returns a journal's highest checkpoint and the bills beyond
+	// it. Complete is false while replicas that may hold more do not respond.
 	CollectRecords(ctx context.Context, journal string) (checkpoint Snapshot, bills []ReplicatedBill, complete bool)
-	// Orphaned lists journals of nodes that are no longer in the view, as far as
-	// this node knows of them.
+	// Orphaned lists the journals known to this node whose owners are not in the
+	// view.
 	Orphaned() []string
-	// Settle ends the claim of a gone node's bill in its place and reports
-	// whether it is won. Whoever settles a claim, and however often, gets the
-	// same result.
+	// Settle settles the claim of a bill in place of a removed node and reports
+	// whether it is won. The result is the same for every node that settles the
+	// claim, and each time.
 	Settle(ctx context.Context, journal string, r ReplicatedBill) (won bool, err error)
 }
 
-// JournalStore lists the journals at the platform.
+// JournalStore stores the journals at the platform.
 type JournalStore interface {
 	document.Store
 	Journals(ctx context.Context) ([]Snapshot, error)
@@ -43,12 +44,13 @@
 
 const (
 	closeInterval = 5 * time.Second
-	// roundsPerListing is the number of rounds between two listings at the platform.
+	// roundsPerListing is the number of rounds between two listings of the
+	// journals at the platform.
 	roundsPerListing = 12
 )
 
-// Closer closes the journals of nodes that are gone, so that no bill is lost
-// with its node.
+// Closer closes the journals of removed nodes, so that no bill is lost with its
+// node.
 type Closer struct {
 	store       JournalStore
 	replicas    Replicas
@@ -58,14 +60,14 @@
 	closed      map[string]bool
 }
 
-// NewCloser returns a closer. It works while duty reports true, and leaves
-// alone the journals of present members.
-func NewCloser(store JournalStore, memory Replicas, member func(journal string) bool, duty func() bool, timers *timer.Service) *Closer {
+// NewCloser returns a closer. It works only while isActive returns true, and
+// skips the journals for which ownerInView returns true.
+func NewCloser(store JournalStore, replicas Replicas, ownerInView func(journal string) bool, isActive func() bool, timers *timer.Service) *Closer {
 	return &Closer{
 		store:       store,
-		replicas:    memory,
-		ownerInView: member,
-		isActive:    duty,
+		replicas:    replicas,
+		ownerInView: ownerInView,
+		isActive:    isActive,
 		timers:      timers,
 		closed:      make(map[string]bool),
 	}
@@ -117,14 +119,14 @@
 	return open
 }
 
-// Close folds what the replicas remember of a gone node's bills and marks its
-// journal closed. A bill counts if its claim is won, or can still be won in the
-// place of the node: a claim of one's own would find the old one in its way, or
-// count a bill again that the node has folded.
+// Close adds the bills that the replicas hold for a removed node to its journal
+// and marks the journal closed. A bill counts if its claim is won or can still
+// be won in place of the node. A new claim by the closer would not do: the old
+// claim would block it, or it would count again a bill that the node has folded.
 func (c *Closer) Close(ctx context.Context, journal string) error {
 	checkpoint, bills, complete := c.replicas.CollectRecords(ctx, journal)
 	if !complete {
-		slog.Info("journal not closed yet: not all members tell what they remember of it", "journal", journal)
+		slog.Info("journal not closed yet: some members did not report their records of it", "journal", journal)
 		return nil
 	}
 	stored, err := Read(ctx, c.store, journal)
@@ -157,7 +159,8 @@
 	return nil
 }
 
-// settleBills returns the bills beyond a sequence whose claims are won.
+// settleBills settles the claims of the bills beyond a sequence and returns the
+// bills whose claims are won.
 func (c *Closer) settleBills(ctx context.Context, journal string, bills []ReplicatedBill, after int64) ([]ReplicatedBill, error) {
 	var won []ReplicatedBill
 	for _, b := range bills {
@@ -175,7 +178,8 @@
 	return won, nil
 }
 
-// closedSnapshot returns the last form of a journal.
+// closedSnapshot returns the final snapshot of a journal: the later one of the
+// stored snapshot and the checkpoint, with the won bills beyond it added.
 func closedSnapshot(stored, checkpoint Snapshot, won []ReplicatedBill) Snapshot {
 	last := stored
 	if checkpoint.Sequence > last.Sequence {
@@ -191,21 +195,23 @@
 	return last
 }
 
-// Total sums up journals by line, for `violettally show ledger`.
+// Total adds up the totals of all journals by [Bill.TotalsKey]. It skips the
+// journals that the archive already includes. `violettally show ledger` prints
+// the result.
 func Total(journals []Snapshot) map[string]Sum {
-	absorbed := make(map[string]bool)
+	archived := make(map[string]bool)
 	for _, a := range journals {
 		for _, name := range a.Archived {
-			absorbed[name] = true
+			archived[name] = true
 		}
 	}
 	total := make(map[string]Sum)
 	for _, a := range journals {
-		if absorbed[a.Journal] {
+		if archived[a.Journal] {
 			continue
 		}
-		for line, sum := range a.Totals {
-			total[line] = total[line].Add(sum)
+		for key, sum := range a.Totals {
+			total[key] = total[key].Add(sum)
 		}
 	}
 	return total
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -1,22 +1,23 @@
-// Package ledger keeps the bills.
+// Package ledger records bills in one journal per node.
 //
-// A bill is a won claim (package claim) that holds the amount, so of all who
-// finish a request only one bills it. The winner enters the bill in its own
-// journal and sums it up; the sums are folded into one document per journal at
-// the platform, `ledger/<journal>`, by compare-and-swap, one write per node
-// and interval. Between a bill and its fold the claim's replicas remember it.
+// A bill is a won claim (package claim) that holds the amount, so of all nodes
+// that finish a request only one bills it. The winner commits the bill to its
+// own journal, which adds it to running totals. Folding writes the totals to one
+// document per journal at the platform, `ledger/<journal>`, by compare-and-swap,
+// once per node and interval. Until a bill is folded, its claim's replicas hold
+// it.
 //
-// In a long outage of the platform the sums go to a few peers instead
-// ([Checkpoint]), after which the single bills need not be remembered: memory
-// grows with accounts and versions, not with requests.
+// While the platform is unavailable, the totals are sent to a few peers instead
+// ([Checkpointer]). After that the replicas can discard the single bills, so
+// that memory grows with accounts and versions, not with requests.
 //
-// A node that is gone is closed by another: see closer.go.
+// The journal of a removed node is closed by another node, see [Closer].
 //
 // # Usage
 //
 //	sequence := journal.Begin(bill)
 //	… claim the bill …
-//	journal.Enter(sequence) // or journal.Skip(sequence)
+//	journal.Commit(sequence) // or journal.Skip(sequence)
 package ledger
 
 import (
@@ -42,11 +43,11 @@
 
 	// Closed says that another node has closed the journal.
 	Closed = namespace.NewType("closed")
-	// Malformed says that a stored journal cannot be read.
+	// Malformed says that a stored journal cannot be decoded.
 	Malformed = namespace.NewType("malformed")
 )
 
-// Bill is what one request cost.
+// Bill is the usage and cost of one request.
 type Bill struct {
 	Account          string `json:"account"`
 	Model            string `json:"model"`
@@ -58,10 +59,11 @@
 	Cost int64 `json:"cost"`
 }
 
-// TotalsKey names what bills are summed up by.
+// TotalsKey returns the key in [Snapshot.Totals] under which the bill is added
+// up: account, model and version.
 func (b Bill) TotalsKey() string { return b.Account + "/" + b.Model + "@" + b.Version }
 
-// Sum is the total of some bills.
+// Sum is the total of several bills.
 type Sum struct {
 	Requests         int64 `json:"requests"`
 	PromptTokens     int64 `json:"prompt_tokens"`
@@ -69,7 +71,7 @@
 	Cost             int64 `json:"cost"`
 }
 
-// Add returns the sum of both.
+// Add returns the sum of s and other.
 func (s Sum) Add(other Sum) Sum {
 	return Sum{
 		Requests:         s.Requests + other.Requests,
@@ -84,46 +86,47 @@
 	return Sum{Requests: 1, PromptTokens: b.PromptTokens, CompletionTokens: b.CompletionTokens, Cost: b.Cost}
 }
 
-// Snapshot is a journal as stored at the platform, and as checkpointed at
-// peers: the totals of all bills up to a sequence.
+// Snapshot is the totals of a journal's bills up to a sequence, as stored at the
+// platform and as checkpointed at peers.
 type Snapshot struct {
 	Journal  string         `json:"journal"`
 	Sequence int64          `json:"sequence"`
 	Totals   map[string]Sum `json:"totals"`
-	// Closed journals take no more bills. Swept lists the sequences beyond
-	// Sequence that the closer has found and added.
+	// Closed journals accept no more bills. Recovered lists the sequences beyond
+	// Sequence whose bills the closer collected from replicas and added.
 	Closed    bool      `json:"closed"`
 	ClosedAt  time.Time `json:"closed_at,omitzero"`
 	Recovered []int64   `json:"swept,omitempty"`
-	// Skipped lists the latest sequences up to Sequence whose bill another has
-	// won.
+	// Skipped lists the latest sequences whose bill another claim has won. They
+	// are not counted in Totals.
 	Skipped []int64 `json:"skipped,omitempty"`
-	// Archived lists, in the archive, journals that are in it and may still
-	// stand beside it.
+	// Archived is set only in the archive. It lists the journals whose totals are
+	// included but which may still exist separately.
 	Archived []string `json:"absorbed,omitempty"`
 }
 
-func (a *Snapshot) add(line string, sum Sum) {
+func (a *Snapshot) add(key string, sum Sum) {
 	if a.Totals == nil {
 		a.Totals = make(map[string]Sum)
 	}
-	a.Totals[line] = a.Totals[line].Add(sum)
+	a.Totals[key] = a.Totals[key].Add(sum)
 }
 
-// BillStatus is what has become of the bill of a sequence.
+// BillStatus says whether a sequence's bill counts in its journal.
 type BillStatus int
 
-// The fates of a bill.
+// The statuses of a bill.
 const (
-	// BillOpen is that of a bill which is not decided.
+	// BillOpen means that the bill's claim is not decided.
 	BillOpen BillStatus = iota
-	// BillWon bills are in their journal.
+	// BillWon means that the bill counts in its journal.
 	BillWon
-	// BillLost bills are in the journal of another.
+	// BillLost means that the bill does not count in its journal, because another
+	// claim has won it or the journal was closed without it.
 	BillLost
 )
 
-// BillStatus returns what has become of a bill as far as the stored journal tells.
+// BillStatus returns the status of a sequence's bill according to the snapshot.
 func (a Snapshot) BillStatus(sequence int64) BillStatus {
 	switch {
 	case slices.Contains(a.Skipped, sequence):
@@ -137,13 +140,14 @@
 	}
 }
 
-// Key returns the key of a journal at the platform.
+// Key returns the key of a journal's document at the platform.
 func Key(journal string) string { return KeyPrefix + journal }
 
-// KeyPrefix starts the keys of all journals.
+// KeyPrefix is the prefix of all journals' keys.
 const KeyPrefix = "ledger/"
 
-// Decode reads a stored journal; no data stands for an empty one.
+// Decode decodes a stored journal. Empty data decodes to an empty journal. It
+// returns [Malformed] for data that cannot be decoded.
 func Decode(data []byte, journal string) (Snapshot, error) {
 	a := Snapshot{Journal: journal}
 	if len(data) == 0 {
@@ -155,7 +159,7 @@
 	return a, nil
 }
 
-// Read returns a journal as it is stored.
+// Read returns a journal as stored at the platform.
 func Read(ctx context.Context, store document.Store, journal string) (Snapshot, error) {
 	data, _, err := store.Get(ctx, Key(journal))
 	if err != nil {
@@ -164,14 +168,14 @@
 	return Decode(data, journal)
 }
 
-// Checkpointer keeps sums at peers while the platform is out.
+// Checkpointer stores totals at peers while the platform is unavailable.
 type Checkpointer interface {
-	// Checkpoint gives the account to the journal's replicas and reports
-	// whether enough of them took it.
+	// Checkpoint sends the snapshot to the journal's replicas and reports whether
+	// enough of them have stored it.
 	Checkpoint(ctx context.Context, a Snapshot) bool
 }
 
-// Journal is one node's bills. It is safe for concurrent use.
+// Journal holds the bills of one node. It is safe for concurrent use.
 type Journal struct {
 	store        document.Store
 	checkpointer Checkpointer
@@ -182,19 +186,19 @@
 	name         string
 	lastSequence int64
 	summed       int64
-	// bills are those that are not in the sums yet; the open ones among them
-	// are not decided.
+	// bills are those not in the totals yet, by sequence. Those in open are not
+	// decided.
 	bills     map[int64]Bill
 	open      map[int64]bool
 	committed Snapshot
-	// folded is the sequence that stands at the platform, safe the one that
-	// stands there or at peers.
+	// folded is the sequence stored at the platform, durable the one stored at
+	// the platform or checkpointed at peers.
 	folded  int64
 	durable int64
 }
 
-// New returns an empty journal. The interval between two folds is asked for
-// anew each time, since it grows with the fleet.
+// New returns an empty journal. It calls interval before each fold, because the
+// interval grows with the number of nodes.
 func New(name string, store document.Store, checkpoints Checkpointer, timers *timer.Service, interval func() time.Duration) *Journal {
 	return &Journal{
 		store:        store,
@@ -208,16 +212,18 @@
 	}
 }
 
-// Name returns the journal's name, which is the node's member ID.
+// Name returns the journal's name: the node's member ID, with a "+" appended each
+// time that another node has closed the journal.
 func (j *Journal) Name() string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.name
 }
 
-// Begin takes the next sequence for a bill that is about to be claimed. Until
-// the bill is decided, neither it nor a later one is folded: replicas forget
-// what is folded, and only they can tell of it if the node goes.
+// Begin assigns the next sequence to a bill that is about to be claimed. Until
+// the bill is decided, neither it nor a later bill is folded: replicas discard
+// the bills up to the folded sequence, and if the node is lost only they still
+// hold the undecided one.
 func (j *Journal) Begin(b Bill) int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -227,7 +233,7 @@
 	return j.lastSequence
 }
 
-// Commit counts the bill of a sequence, which was won.
+// Commit counts the bill of a sequence, whose claim this node has won.
 func (j *Journal) Commit(sequence int64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -235,7 +241,7 @@
 	j.advance()
 }
 
-// Skip leaves out the bill of a sequence, which somebody else has won.
+// Skip drops the bill of a sequence, whose claim this node has lost.
 func (j *Journal) Skip(sequence int64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -246,20 +252,20 @@
 	j.advance()
 }
 
-// maxSkipped bounds the sequences that are told as skipped, also in what is
-// stored. Each stands for a request that two nodes answered, which is rare, and is
-// asked for within minutes if at all.
+// maxSkipped bounds the skipped sequences that are kept and stored. Each belongs
+// to a request that two nodes responded to, which is rare, and its status is
+// queried within minutes, if ever.
 const maxSkipped = 256
 
 // Undecided returns the sequences whose bill is not decided, and the latest of
-// those whose bill another has won.
+// those whose bill another claim has won.
 func (j *Journal) Undecided() (open, lost []int64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return slices.Sorted(maps.Keys(j.open)), j.committed.Skipped
 }
 
-// advance moves the contiguous part of the journal into the sums.
+// advance adds the bills up to the first undecided sequence to the totals.
 func (j *Journal) advance() {
 	for j.summed < j.lastSequence && !j.open[j.summed+1] {
 		j.summed++
@@ -271,22 +277,22 @@
 	j.committed.Sequence = j.summed
 }
 
-// DurableSequence returns the sequence up to which the bills are kept elsewhere, at the
-// platform or summed up at peers.
+// DurableSequence returns the sequence up to which the totals are stored at the
+// platform or checkpointed at peers.
 func (j *Journal) DurableSequence() int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.durable
 }
 
-// Pending returns how many bills wait for their fold.
+// Pending returns the number of sequences that are not durable yet.
 func (j *Journal) Pending() int64 {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.lastSequence - j.durable
 }
 
-// Run folds until the context ends.
+// Run folds at each interval until the context ends.
 func (j *Journal) Run(ctx context.Context) {
 	for {
 		ticks := j.timers.Subscribe(j.interval())
@@ -298,7 +304,8 @@
 			ticks.Stop()
 			err := j.Fold(ctx)
 			if errorx.IsOfType(err, Closed) {
-				// Only this process knows what the closer did not find.
+				// Fold has started a new journal. Write it at once: only this
+				// process knows the bills that the closer did not find.
 				err = j.Fold(ctx)
 			}
 			if err != nil {
@@ -308,30 +315,33 @@
 	}
 }
 
-// Fold writes the sums to the platform, or to peers if it is out.
+// Fold writes the totals to the platform or, if that fails, sends them to peers.
+// It returns the platform's error also if the peers have stored the totals. It
+// returns [Closed] if another node has closed the journal; the journal then
+// continues under a new name, which the next Fold writes.
 func (j *Journal) Fold(ctx context.Context) error {
-	sums := j.snapshot()
-	if sums.Sequence == j.foldedSequence() {
+	totals := j.snapshot()
+	if totals.Sequence == j.foldedSequence() {
 		return nil
 	}
 	var stored Snapshot
-	_, err := document.Update(ctx, j.store, Key(sums.Journal), func(old []byte) ([]byte, error) {
+	_, err := document.Update(ctx, j.store, Key(totals.Journal), func(old []byte) ([]byte, error) {
 		var err error
-		if stored, err = Decode(old, sums.Journal); err != nil {
+		if stored, err = Decode(old, totals.Journal); err != nil {
 			return nil, err
 		}
 		if stored.Closed {
-			return nil, errs.New(Closed, "fold", "journal %s", sums.Journal)
+			return nil, errs.New(Closed, "fold", "journal %s", totals.Journal)
 		}
-		return json.Marshal(sums)
+		return json.Marshal(totals)
 	})
 	switch {
 	case err == nil:
-		j.markFolded(sums)
+		j.markFolded(totals)
 	case stored.Closed:
 		j.reopen(stored)
-	case j.checkpointer.Checkpoint(ctx, sums):
-		j.markDurable(sums)
+	case j.checkpointer.Checkpoint(ctx, totals):
+		j.markDurable(totals)
 	}
 	return err
 }
@@ -350,38 +360,40 @@
 	return j.folded
 }
 
-func (j *Journal) markFolded(sums Snapshot) {
-	j.markDurable(sums)
+func (j *Journal) markFolded(totals Snapshot) {
+	j.markDurable(totals)
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.name == sums.Journal {
-		j.folded = max(j.folded, sums.Sequence)
+	if j.name == totals.Journal {
+		j.folded = max(j.folded, totals.Sequence)
 	}
 }
 
-func (j *Journal) markDurable(sums Snapshot) {
+func (j *Journal) markDurable(totals Snapshot) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if j.name == sums.Journal {
-		j.durable = max(j.durable, sums.Sequence)
+	if j.name == totals.Journal {
+		j.durable = max(j.durable, totals.Sequence)
 	}
 }
 
-// reopen starts a new journal after another node has closed this one while it
-// was paused. What the closer did not find goes into the new one.
+// reopen starts a new journal after another node has closed this one while this
+// process was paused. The new journal holds the bills that the closer did not
+// find.
 func (j *Journal) reopen(closed Snapshot) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	missed := Snapshot{}
-	for line, sum := range j.committed.Totals {
-		missed.add(line, sum)
+	for key, sum := range j.committed.Totals {
+		missed.add(key, sum)
 	}
-	for line, sum := range closed.Totals {
-		missed.add(line, Sum{}.minus(sum))
+	for key, sum := range closed.Totals {
+		missed.add(key, Sum{}.minus(sum))
 	}
 	for _, sequence := range closed.Recovered {
-		// What the closer has counted and the sums have not is not to be
-		// counted again, whenever it is decided here.
+		// The closer has counted this bill, but the totals here do not contain
+		// it yet. Offset the subtraction above and drop the bill, so that it is
+		// not counted again when it is decided here.
 		if b, ok := j.bills[sequence]; ok {
 			missed.add(b.TotalsKey(), b.Sum())
 			delete(j.bills, sequence)
@@ -391,7 +403,7 @@
 	j.name += "+"
 	j.committed = Snapshot{Journal: j.name, Sequence: j.summed, Totals: missed.Totals, Skipped: j.committed.Skipped}
 	j.folded, j.durable = 0, 0
-	slog.Warn("journal was closed meanwhile; going on in a new one", "journal", j.name)
+	slog.Warn("journal was closed by another node; continuing in a new journal", "journal", j.name)
 }
 
 func (s Sum) minus(other Sum) Sum {
