--- a/adapter/callers/callers.go
+++ b/adapter/callers/callers.go
@@ -8,7 +8,7 @@
 //
 // # Usage
 //
-//	door := callers.New(callers.Parts{…})
+//	door := callers.New(callers.Options{…})
 //	go door.Serve(ctx, listener)
 package callers
 
@@ -43,8 +43,8 @@
 	Weight   int    `json:"weight"`
 }
 
-// Parts is what a Door is made of.
-type Parts struct {
+// Options is what a Door is made of.
+type Options struct {
 	Dispatcher Dispatcher
 	Config     func() *config.Snapshot
 	// Configured is closed once a configuration is in force.
@@ -53,16 +53,16 @@
 	Addresses  func(dataHall string) []Address
 	AddressTTL time.Duration
 	Bounds     settings.Bounds
-	// RequestTime is the deadline of a request that brings none, and the
+	// RequestTimeout is the deadline of a request that brings none, and the
 	// longest that a request may bring.
-	RequestTime time.Duration
-	NewID       func() string
-	Refused     func(reason dispatch.Reason, account string)
+	RequestTimeout time.Duration
+	NewID          func() string
+	OnRefusal      func(reason dispatch.Reason, account string)
 }
 
-// Door serves callers.
-type Door struct {
-	Parts
+// Server serves callers.
+type Server struct {
+	Options
 	server *http.Server
 }
 
@@ -75,8 +75,8 @@
 )
 
 // New returns a door that is not open yet.
-func New(parts Parts) *Door {
-	d := &Door{Parts: parts}
+func New(parts Options) *Server {
+	d := &Server{Options: parts}
 	e := echo.New()
 	e.HideBanner = true
 	e.HTTPErrorHandler = d.fail
@@ -98,7 +98,7 @@
 }
 
 // Serve serves callers on a listener until Shutdown.
-func (d *Door) Serve(listener net.Listener) error {
+func (d *Server) Serve(listener net.Listener) error {
 	err := d.server.Serve(netutil.LimitListener(listener, d.Bounds.Connections))
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
@@ -106,17 +106,17 @@
 	return err
 }
 
-// CloseIdle ends each connection after its next answer, so that callers ask
+// DisableKeepAlives ends each connection after its next answer, so that callers ask
 // for addresses again.
-func (d *Door) CloseIdle() { d.server.SetKeepAlivesEnabled(false) }
+func (d *Server) DisableKeepAlives() { d.server.SetKeepAlivesEnabled(false) }
 
 // Shutdown closes the door once every request has its answer.
-func (d *Door) Shutdown(ctx context.Context) error { return d.server.Shutdown(ctx) }
+func (d *Server) Shutdown(ctx context.Context) error { return d.server.Shutdown(ctx) }
 
 const accountKey = "account"
 
 // authenticate finds the account of the bearer key.
-func (d *Door) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
+func (d *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		key := bearer(c.Request())
 		if key == "" {
@@ -124,7 +124,7 @@
 		}
 		if !d.awaitConfiguration(c.Request().Context()) {
 			refusal := dispatch.NoConfiguration(ranOf(c.Request()))
-			d.Refused(refusal.Reason(), "")
+			d.OnRefusal(refusal.Reason(), "")
 			return refusal
 		}
 		account := d.Config().AccountByKey(key)
@@ -144,7 +144,7 @@
 
 // awaitConfiguration reports whether a configuration is in force, once it is or
 // the patience is over.
-func (d *Door) awaitConfiguration(ctx context.Context) bool {
+func (d *Server) awaitConfiguration(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, startPatience)
 	defer cancel()
 	select {
@@ -157,7 +157,7 @@
 
 func account(c echo.Context) *config.Account { return c.Get(accountKey).(*config.Account) }
 
-func (d *Door) addresses(c echo.Context) error {
+func (d *Server) addresses(c echo.Context) error {
 	return c.JSON(http.StatusOK, struct {
 		Addresses []Address `json:"addresses"`
 		TTLMillis int64     `json:"ttl_ms"`
@@ -172,7 +172,7 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-func (d *Door) models(c echo.Context) error {
+func (d *Server) models(c echo.Context) error {
 	s := d.Config()
 	entries := []modelEntry{}
 	for _, name := range dispatch.Models(s, account(c)) {
@@ -184,7 +184,7 @@
 	}{"list", entries})
 }
 
-func (d *Door) chat(c echo.Context) error {
+func (d *Server) chat(c echo.Context) error {
 	r, wantsUsage, refusal := d.chatRequest(c)
 	if refusal != nil {
 		return d.refuse(c, refusal)
@@ -192,7 +192,7 @@
 	return d.start(c, r, wantsUsage)
 }
 
-func (d *Door) service(c echo.Context) error {
+func (d *Server) service(c echo.Context) error {
 	r, refusal := d.serviceRequest(c)
 	if refusal != nil {
 		return d.refuse(c, refusal)
@@ -201,7 +201,7 @@
 }
 
 // start runs a request and gives its answer, or 202 for patient work.
-func (d *Door) start(c echo.Context, r *dispatch.Request, wantsUsage bool) error {
+func (d *Server) start(c echo.Context, r *dispatch.Request, wantsUsage bool) error {
 	c.Response().Header().Set(requestIDHeader, r.ID)
 	x, refusal := d.Dispatcher.Start(c.Request().Context(), r)
 	if refusal != nil {
@@ -231,7 +231,7 @@
 	}{id, "pending"})
 }
 
-func (d *Door) fetch(c echo.Context) error {
+func (d *Server) fetch(c echo.Context) error {
 	id, refusal := pathID(c)
 	if refusal != nil {
 		return d.refuse(c, refusal)
@@ -247,7 +247,7 @@
 	return deliver(c, x, true)
 }
 
-func (d *Door) cancel(c echo.Context) error {
+func (d *Server) cancel(c echo.Context) error {
 	id, refusal := pathID(c)
 	if refusal != nil {
 		return d.refuse(c, refusal)
@@ -263,7 +263,7 @@
 }
 
 // refuse counts a refusal that did not come from Start.
-func (d *Door) refuse(c echo.Context, refusal *dispatch.Refusal) error {
-	d.Refused(refusal.Reason(), account(c).Name)
+func (d *Server) refuse(c echo.Context, refusal *dispatch.Refusal) error {
+	d.OnRefusal(refusal.Reason(), account(c).Name)
 	return refusal
 }
--- a/adapter/callers/callers_test.go
+++ b/adapter/callers/callers_test.go
@@ -24,11 +24,11 @@
 func TestNoConfiguration(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	door := callers.New(callers.Parts{
+	door := callers.New(callers.Options{
 		Config:     config.Empty,
 		Configured: make(chan struct{}),
 		Bounds:     settings.Bounds{Connections: 10, HeaderBytes: 1 << 14, BodyBytes: 1 << 14},
-		Refused:    func(dispatch.Reason, string) {},
+		OnRefusal:  func(dispatch.Reason, string) {},
 	})
 	served := make(chan error, 1)
 	go func() { served <- door.Serve(listener) }()
@@ -76,11 +76,11 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	configured := make(chan struct{})
-	door := callers.New(callers.Parts{
+	door := callers.New(callers.Options{
 		Config:     config.Empty,
 		Configured: configured,
 		Bounds:     settings.Bounds{Connections: 10, HeaderBytes: 1 << 14, BodyBytes: 1 << 14},
-		Refused:    func(dispatch.Reason, string) {},
+		OnRefusal:  func(dispatch.Reason, string) {},
 	})
 	served := make(chan error, 1)
 	go func() { served <- door.Serve(listener) }()
--- a/adapter/callers/reply.go
+++ b/adapter/callers/reply.go
@@ -45,7 +45,7 @@
 }
 
 // fail answers with an error, whatever its origin.
-func (d *Door) fail(err error, c echo.Context) {
+func (d *Server) fail(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
--- a/adapter/callers/request.go
+++ b/adapter/callers/request.go
@@ -54,7 +54,7 @@
 }
 
 // common reads what all requests have.
-func (d *Door) common(c echo.Context) (*dispatch.Request, *dispatch.Refusal) {
+func (d *Server) common(c echo.Context) (*dispatch.Request, *dispatch.Refusal) {
 	header := c.Request().Header
 	r := &dispatch.Request{Account: account(c), ID: header.Get(idempotencyHeader)}
 	if r.ID == "" {
@@ -66,7 +66,7 @@
 		return nil, invalid("%s %q: want 1 to 128 of letters, digits, '.', '_', ':', '-'", idempotencyHeader, r.ID)
 	}
 	r.Patient = strings.Contains(header.Get(preferHeader), respondAsync)
-	limit := d.RequestTime
+	limit := d.RequestTimeout
 	if r.Patient {
 		limit = patientTime
 	}
@@ -148,7 +148,7 @@
 	return nil
 }
 
-func (d *Door) chatRequest(c echo.Context) (_ *dispatch.Request, wantsUsage bool, _ *dispatch.Refusal) {
+func (d *Server) chatRequest(c echo.Context) (_ *dispatch.Request, wantsUsage bool, _ *dispatch.Refusal) {
 	r, refusal := d.common(c)
 	if refusal != nil {
 		return nil, false, refusal
@@ -189,7 +189,7 @@
 	return all.String()
 }
 
-func (d *Door) serviceRequest(c echo.Context) (*dispatch.Request, *dispatch.Refusal) {
+func (d *Server) serviceRequest(c echo.Context) (*dispatch.Request, *dispatch.Refusal) {
 	r, refusal := d.common(c)
 	if refusal != nil {
 		return nil, refusal
--- a/adapter/engine/engine.go
+++ b/adapter/engine/engine.go
@@ -57,8 +57,8 @@
 // Option changes a Client as New makes it.
 type Option func(*Client)
 
-// WithMaxBytes bounds an answer.
-func WithMaxBytes(n int64) Option { return func(c *Client) { c.maxBytes = n } }
+// WithMaxResponseBytes bounds an answer.
+func WithMaxResponseBytes(n int64) Option { return func(c *Client) { c.maxBytes = n } }
 
 const defaultMaxBytes = 1 << 20
 
@@ -266,8 +266,8 @@
 // controlTimeout bounds load reports.
 const controlTimeout = time.Second
 
-// Load asks a server for its load report.
-func (c *Client) Load(ctx context.Context, server config.Server) (route.Report, error) {
+// LoadReport asks a server for its load report.
+func (c *Client) LoadReport(ctx context.Context, server config.Server) (route.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, server.URL+"/load", nil)
--- a/adapter/operators/operators.go
+++ b/adapter/operators/operators.go
@@ -4,7 +4,7 @@
 //
 // # Usage
 //
-//	door := operators.New(operators.Parts{…})
+//	door := operators.New(operators.Options{…})
 //	go door.Serve(listener)
 package operators
 
@@ -32,20 +32,20 @@
 
 // Node is what operators ask.
 type Node interface {
-	// Ready returns why the node is not ready, or "".
-	Ready() string
+	// NotReadyReason returns why the node is not ready, or "".
+	NotReadyReason() string
 	Config() *config.Snapshot
 	Apply(ctx context.Context, c control.Change) (control.Result, error)
 	Explain(ctx context.Context, account, requestID string) (decision.Summary, bool)
 	View() *view.View
-	Status(id string) string
+	MemberStatus(id string) string
 	Rollouts() map[string]rollout.Progress
 	Journals(ctx context.Context) ([]ledger.Account, error)
 	NewID() string
 }
 
-// Parts is what a Door is made of.
-type Parts struct {
+// Options is what a Door is made of.
+type Options struct {
 	Node    Node
 	Metrics http.Handler
 	// BootstrapKey is the digest of a key that may apply the first
@@ -54,9 +54,9 @@
 	HeaderBytes  int
 }
 
-// Door serves operators.
-type Door struct {
-	Parts
+// Server serves operators.
+type Server struct {
+	Options
 	server *http.Server
 }
 
@@ -68,8 +68,8 @@
 )
 
 // New returns a door that is not open yet.
-func New(parts Parts) *Door {
-	d := &Door{Parts: parts}
+func New(parts Options) *Server {
+	d := &Server{Options: parts}
 	e := echo.New()
 	e.HideBanner = true
 	e.Use(middleware.Recover(), middleware.BodyLimit(strconv.Itoa(2*config.MaxBytes)+"B"))
@@ -88,7 +88,7 @@
 }
 
 // Serve serves operators on a listener until Shutdown.
-func (d *Door) Serve(listener net.Listener) error {
+func (d *Server) Serve(listener net.Listener) error {
 	err := d.server.Serve(listener)
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
@@ -97,10 +97,10 @@
 }
 
 // Shutdown closes the door.
-func (d *Door) Shutdown(ctx context.Context) error { return d.server.Shutdown(ctx) }
+func (d *Server) Shutdown(ctx context.Context) error { return d.server.Shutdown(ctx) }
 
-func (d *Door) ready(c echo.Context) error {
-	if why := d.Node.Ready(); why != "" {
+func (d *Server) ready(c echo.Context) error {
+	if why := d.Node.NotReadyReason(); why != "" {
 		return c.String(http.StatusServiceUnavailable, why+"\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
@@ -108,7 +108,7 @@
 
 // authenticate finds the operator of the bearer key. Until a configuration
 // declares operators, the bootstrap key of the settings counts.
-func (d *Door) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
+func (d *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		key, _ := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
 		snapshot := d.Node.Config()
@@ -124,12 +124,12 @@
 	}
 }
 
-func (d *Door) showConfig(c echo.Context) error {
+func (d *Server) showConfig(c echo.Context) error {
 	return c.JSON(http.StatusOK, d.Node.Config().Document())
 }
 
-// Applied is the answer to an apply.
-type Applied struct {
+// ApplyResponse is the answer to an apply.
+type ApplyResponse struct {
 	Revision int64          `json:"revision"`
 	ChangeID string         `json:"change_id"`
 	By       string         `json:"by"`
@@ -138,7 +138,7 @@
 	Differs  []string       `json:"differs,omitempty"`
 }
 
-func (d *Door) apply(c echo.Context) error {
+func (d *Server) apply(c echo.Context) error {
 	source, err := io.ReadAll(c.Request().Body)
 	if err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, "the body cannot be read")
@@ -159,10 +159,10 @@
 		}
 	}
 	if _, faults := config.Parse(change.File, source); len(faults) > 0 {
-		return c.JSON(http.StatusUnprocessableEntity, Applied{Message: "the file has faults; nothing was applied", Faults: faults})
+		return c.JSON(http.StatusUnprocessableEntity, ApplyResponse{Message: "the file has faults; nothing was applied", Faults: faults})
 	}
 	result, err := d.Node.Apply(c.Request().Context(), change)
-	answer := Applied{Revision: result.InForce.Revision, ChangeID: result.InForce.ChangeID, By: result.InForce.By, Differs: result.Differs}
+	answer := ApplyResponse{Revision: result.InForce.Revision, ChangeID: result.InForce.ChangeID, By: result.InForce.By, Differs: result.Differs}
 	switch {
 	case err == nil:
 		return c.JSON(http.StatusOK, answer)
@@ -170,11 +170,11 @@
 		answer.Message = err.Error()
 		return c.JSON(http.StatusConflict, answer)
 	default:
-		return c.JSON(http.StatusServiceUnavailable, Applied{ChangeID: change.ID, Message: err.Error()})
+		return c.JSON(http.StatusServiceUnavailable, ApplyResponse{ChangeID: change.ID, Message: err.Error()})
 	}
 }
 
-func (d *Door) explain(c echo.Context) error {
+func (d *Server) explain(c echo.Context) error {
 	summary, ok := d.Node.Explain(c.Request().Context(), c.QueryParam("account"), c.Param("id"))
 	if !ok {
 		return echo.NewHTTPError(http.StatusNotFound, "no node that answers remembers this request; look for its log line")
@@ -188,11 +188,11 @@
 	Status string `json:"status"`
 }
 
-func (d *Door) showView(c echo.Context) error {
+func (d *Server) showView(c echo.Context) error {
 	v := d.Node.View()
 	entries := make([]memberEntry, 0, len(v.Members()))
 	for _, m := range v.Members() {
-		entries = append(entries, memberEntry{Member: m, Status: d.Node.Status(m.ID)})
+		entries = append(entries, memberEntry{Member: m, Status: d.Node.MemberStatus(m.ID)})
 	}
 	return c.JSON(http.StatusOK, struct {
 		Epoch   int64         `json:"epoch"`
@@ -200,7 +200,7 @@
 	}{v.Epoch(), entries})
 }
 
-func (d *Door) showLedger(c echo.Context) error {
+func (d *Server) showLedger(c echo.Context) error {
 	journals, err := d.Node.Journals(c.Request().Context())
 	if err != nil {
 		return echo.NewHTTPError(http.StatusServiceUnavailable, "the platform does not answer")
--- a/adapter/peer/client.go
+++ b/adapter/peer/client.go
@@ -57,10 +57,10 @@
 	Unknown = namespace.NewType("unknown")
 	// Malformed says that a peer's answer cannot be read.
 	Malformed = namespace.NewType("malformed")
-	// NoBase says that a value came as the difference from one that is not known.
-	NoBase = namespace.NewType("no_base")
-	// Credentials says that the certificates cannot be used.
-	Credentials = namespace.NewType("credentials")
+	// UnknownBase says that a value came as the difference from one that is not known.
+	UnknownBase = namespace.NewType("no_base")
+	// InvalidCredentials says that the certificates cannot be used.
+	InvalidCredentials = namespace.NewType("credentials")
 )
 
 const (
@@ -75,23 +75,23 @@
 func (codec) Marshal(message drpc.Message) ([]byte, error)   { return cbor.Marshal(message) }
 func (codec) Unmarshal(data []byte, into drpc.Message) error { return cbor.Unmarshal(data, into) }
 
-// TLS returns the configuration for mutual TLS that the settings name, or nil
+// TLSConfig returns the configuration for mutual TLS that the settings name, or nil
 // if they name none.
-func TLS(door settings.PeerDoor) (*tls.Config, error) {
+func TLSConfig(door settings.PeerDoor) (*tls.Config, error) {
 	if !door.Encrypted() {
 		return nil, nil
 	}
 	certificate, err := tls.LoadX509KeyPair(door.Certificate, door.Key)
 	if err != nil {
-		return nil, errs.Wrap(Credentials, "load", err, "certificate %s", door.Certificate)
+		return nil, errs.Wrap(InvalidCredentials, "load", err, "certificate %s", door.Certificate)
 	}
 	authority, err := os.ReadFile(door.Authority)
 	if err != nil {
-		return nil, errs.Wrap(Credentials, "load", err, "authority %s", door.Authority)
+		return nil, errs.Wrap(InvalidCredentials, "load", err, "authority %s", door.Authority)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return nil, errs.New(Credentials, "load", "authority %s has no certificate", door.Authority)
+		return nil, errs.New(InvalidCredentials, "load", "authority %s has no certificate", door.Authority)
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -130,9 +130,9 @@
 	return func(c *Client) { c.calls = count }
 }
 
-// WithKnown names what this node knows of the platform's store, so that peers tell
+// WithKnownValues names what this node knows of the platform's store, so that peers tell
 // it only what has changed in large values.
-func WithKnown(known func(key string) (mirror.Item, bool)) Option {
+func WithKnownValues(known func(key string) (mirror.Item, bool)) Option {
 	return func(c *Client) { c.known = known }
 }
 
@@ -168,8 +168,8 @@
 	c.self, c.address, c.node, c.local = self, address, node, replica
 }
 
-// TLS returns the configuration of this node's peer door; nil for plain TCP.
-func (c *Client) TLS() *tls.Config { return c.tls }
+// TLSConfig returns the configuration of this node's peer door; nil for plain TCP.
+func (c *Client) TLSConfig() *tls.Config { return c.tls }
 
 // Close closes all connections.
 func (c *Client) Close() error { return c.pool.Close() }
@@ -355,8 +355,8 @@
 	return invoke[claim.TransferRequest, claim.TransferReply](ctx, c, to.Peer, callTransfer, r)
 }
 
-// AskLimit asks a grantor for a share.
-func (c *Client) AskLimit(ctx context.Context, to view.Member, ask limit.Ask) (limit.Grant, error) {
+// RequestLimitLease asks a grantor for a share.
+func (c *Client) RequestLimitLease(ctx context.Context, to view.Member, ask limit.Ask) (limit.Grant, error) {
 	if to.ID == c.self {
 		return c.node.Grant(ask), nil
 	}
@@ -376,7 +376,7 @@
 // Recall asks a node what it remembers of a journal.
 func (c *Client) Recall(ctx context.Context, to view.Member, journal string) (billing.Recollection, error) {
 	if to.ID == c.self {
-		return c.node.Recall(journal), nil
+		return c.node.JournalRecords(journal), nil
 	}
 	return invoke[recallRequest, billing.Recollection](ctx, c, to.Peer, callRecall, recallRequest{Journal: journal})
 }
@@ -384,7 +384,7 @@
 // Checkpoint gives a node the sums of a journal to keep.
 func (c *Client) Checkpoint(ctx context.Context, to view.Member, a ledger.Account) error {
 	if to.ID == c.self {
-		c.node.KeepCheckpoint(a)
+		c.node.StoreCheckpoint(a)
 		return nil
 	}
 	_, err := invoke[ledger.Account, empty](ctx, c, to.Peer, callCheckpoint, a)
@@ -394,7 +394,7 @@
 // Cancel stops an attempt at its holder.
 func (c *Client) Cancel(ctx context.Context, h claim.Holder, attempt string) (bool, error) {
 	if h.ID == c.self {
-		return c.node.CancelAnswer(attempt), nil
+		return c.node.CancelAttempt(attempt), nil
 	}
 	reply, err := invoke[attemptRequest, cancelReply](ctx, c, h.Peer, callCancel, attemptRequest{Attempt: attempt, Holder: h.ID})
 	return reply.Stopped, err
@@ -415,7 +415,7 @@
 // Attach follows an attempt's answer at its holder.
 func (c *Client) Attach(ctx context.Context, h claim.Holder, attempt string) (x *answer.Exchange, found, ran bool, err error) {
 	if h.ID == c.self {
-		x, ran := c.node.FindAnswer(attempt)
+		x, ran := c.node.FindResponse(attempt)
 		return x, x != nil, ran, nil
 	}
 	// The stream outlives this call, which only waits for its first message.
--- a/adapter/peer/difference_test.go
+++ b/adapter/peer/difference_test.go
@@ -62,7 +62,7 @@
 	defer cancel()
 	g := &changedOnce{}
 	go func() { _ = peer.NewGatewayServer(g).Serve(ctx, l, nil) }()
-	client := peer.NewClient(nil, peer.WithDialer(l.dial), peer.WithKnown(func(string) (mirror.Item, bool) {
+	client := peer.NewClient(nil, peer.WithDialer(l.dial), peer.WithKnownValues(func(string) (mirror.Item, bool) {
 		return mirror.Item{Key: "a", Value: declaration(99), Revision: 7}, true
 	}))
 	defer client.Close()
@@ -70,10 +70,10 @@
 	must.NoError(t, err)
 	must.True(t, bytes.Equal(declaration(200), batch.Items[0].Value))
 
-	reply, err := peer.NewPacking(g.Before).Reply(g.Await(ctx, 5, 0), peer.Request{After: 5, Differences: true})
+	reply, err := peer.NewPacking(g.Previous).Reply(g.Await(ctx, 5, 0), peer.Request{After: 5, Differences: true})
 	must.NoError(t, err)
 	_, err = peer.Batch(reply, nothing)
-	must.True(t, errorx.IsOfType(err, peer.NoBase))
+	must.True(t, errorx.IsOfType(err, peer.UnknownBase))
 }
 
 // changedOnce holds a declaration that has grown.
@@ -83,7 +83,7 @@
 	return mirror.Batch{Items: []mirror.Item{{Key: "a", Value: declaration(200), Revision: 9}}, Revision: 9}
 }
 
-func (*changedOnce) Before(string) (mirror.Item, bool) {
+func (*changedOnce) Previous(string) (mirror.Item, bool) {
 	return mirror.Item{Key: "a", Value: declaration(100), Revision: 5}, true
 }
 func (*changedOnce) Counts() (string, rollout.Counts)   { return "node", rollout.Counts{} }
--- a/adapter/peer/gateway.go
+++ b/adapter/peer/gateway.go
@@ -34,7 +34,7 @@
 // Gateway is what a gateway answers its peers with.
 type Gateway interface {
 	Await(ctx context.Context, revision int64, wait time.Duration) mirror.Batch
-	Before(key string) (mirror.Item, bool)
+	Previous(key string) (mirror.Item, bool)
 	Counts() (node string, counts rollout.Counts)
 	Exchange(m share.Message) share.Reply
 }
@@ -42,7 +42,7 @@
 // NewGatewayServer returns a server that answers the calls between gateways, and
 // none of those between the product's own nodes.
 func NewGatewayServer(g Gateway) *Server {
-	packer := newPacker(g.Before)
+	packer := newPacker(g.Previous)
 	return &Server{calls: map[string]func(drpc.Stream) error{
 		callFollow: handle(func(ctx context.Context, r followRequest) (followReply, error) {
 			return packer.reply(g.Await(ctx, r.After, r.Wait), r)
@@ -69,7 +69,7 @@
 func (c *Client) Follow(ctx context.Context, address string, after int64, wait time.Duration) (mirror.Batch, error) {
 	request := followRequest{After: after, Wait: wait, Packed: true, Differences: c.known != nil}
 	batch, err := c.follow(ctx, address, request)
-	if errorx.IsOfType(err, NoBase) {
+	if errorx.IsOfType(err, UnknownBase) {
 		slog.Info("difference from a value that is not known; asking for the value", "peer", address, "after", after, "error", err)
 		request.Differences = false
 		batch, err = c.follow(ctx, address, request)
--- a/adapter/peer/hall_test.go
+++ b/adapter/peer/hall_test.go
@@ -63,7 +63,7 @@
 		var nodes []*mirror.Mirror
 		for range followers {
 			var m *mirror.Mirror
-			client := peer.NewClient(nil, peer.WithDialer(l.dial), peer.WithKnown(func(key string) (mirror.Item, bool) { return m.Get(key) }))
+			client := peer.NewClient(nil, peer.WithDialer(l.dial), peer.WithKnownValues(func(key string) (mirror.Item, bool) { return m.Get(key) }))
 			defer client.Close()
 			m = mirror.New(&readOnce{heldStore: kept}, onePeer{client}, timers)
 			nodes = append(nodes, m)
@@ -195,9 +195,9 @@
 func (g following) Await(ctx context.Context, revision int64, wait time.Duration) mirror.Batch {
 	return g.m.Await(ctx, revision, wait)
 }
-func (g following) Before(key string) (mirror.Item, bool) { return g.m.Before(key) }
-func (following) Counts() (string, rollout.Counts)        { return "node", rollout.Counts{} }
-func (following) Exchange(share.Message) share.Reply      { return share.Reply{} }
+func (g following) Previous(key string) (mirror.Item, bool) { return g.m.Before(key) }
+func (following) Counts() (string, rollout.Counts)          { return "node", rollout.Counts{} }
+func (following) Exchange(share.Message) share.Reply        { return share.Reply{} }
 
 // link is a node's own link: what it sends on all its connections goes out at one
 // speed, in the order in which it was written.
--- a/adapter/peer/pack.go
+++ b/adapter/peer/pack.go
@@ -64,7 +64,7 @@
 	case i.Base != 0:
 		base, ok := known(i.Key)
 		if !ok || base.Revision != i.Base {
-			return nil, errs.New(NoBase, "follow", "%s is told from revision %d, known is %d", i.Key, i.Base, base.Revision)
+			return nil, errs.New(UnknownBase, "follow", "%s is told from revision %d, known is %d", i.Key, i.Base, base.Revision)
 		}
 		value, err = applyDifference(base.Value, i.Value)
 	case i.Packed:
--- a/adapter/peer/server.go
+++ b/adapter/peer/server.go
@@ -31,14 +31,14 @@
 // Node is what a node answers its peers with.
 type Node interface {
 	Probe(h member.Heartbeat) member.Heartbeat
-	Newer(known map[string]int64) map[string]document.Item
-	Heard(address string, revisions map[string]int64)
+	NewerDocuments(known map[string]int64) map[string]document.Item
+	RecordRevisions(address string, revisions map[string]int64)
 	Grant(ask limit.Ask) limit.Grant
 	Counts() (node string, counts rollout.Counts)
-	Recall(journal string) billing.Recollection
-	KeepCheckpoint(a ledger.Account)
-	FindAnswer(attempt string) (x *answer.Exchange, ran bool)
-	CancelAnswer(attempt string) bool
+	JournalRecords(journal string) billing.Recollection
+	StoreCheckpoint(a ledger.Account)
+	FindResponse(attempt string) (x *answer.Exchange, ran bool)
+	CancelAttempt(attempt string) bool
 	Explain(requestID string) (decision.Summary, bool)
 }
 
@@ -58,10 +58,10 @@
 		callProbe:    handle(func(_ context.Context, h member.Heartbeat) (member.Heartbeat, error) { return node.Probe(h), nil }),
 		callProbeVia: handle(s.probeVia),
 		callFetch: handle(func(_ context.Context, r fetchRequest) (fetchReply, error) {
-			return fetchReply{Items: node.Newer(r.Known)}, nil
+			return fetchReply{Items: node.NewerDocuments(r.Known)}, nil
 		}),
 		callNotify: handle(func(_ context.Context, r notifyRequest) (empty, error) {
-			node.Heard(r.From, r.Revisions)
+			node.RecordRevisions(r.From, r.Revisions)
 			return empty{}, nil
 		}),
 		callClaim:  handle(func(_ context.Context, r claim.Request) (claim.Reply, error) { return replica.Claim(r), nil }),
@@ -80,17 +80,17 @@
 		callLimit:  handle(func(_ context.Context, a limit.Ask) (limit.Grant, error) { return node.Grant(a), nil }),
 		callCounts: answerCounts(node.Counts),
 		callRecall: handle(func(_ context.Context, r recallRequest) (billing.Recollection, error) {
-			return node.Recall(r.Journal), nil
+			return node.JournalRecords(r.Journal), nil
 		}),
 		callCheckpoint: handle(func(_ context.Context, a ledger.Account) (empty, error) {
-			node.KeepCheckpoint(a)
+			node.StoreCheckpoint(a)
 			return empty{}, nil
 		}),
 		callCancel: handle(func(_ context.Context, r attemptRequest) (cancelReply, error) {
 			if err := s.checkHolder(r); err != nil {
 				return cancelReply{}, err
 			}
-			return cancelReply{Stopped: node.CancelAnswer(r.Attempt)}, nil
+			return cancelReply{Stopped: node.CancelAttempt(r.Attempt)}, nil
 		}),
 		callExplain: handle(func(_ context.Context, r explainRequest) (decision.Summary, error) {
 			summary, _ := node.Explain(r.RequestID)
@@ -161,7 +161,7 @@
 	if err := s.checkHolder(in); err != nil {
 		return err
 	}
-	x, ran := s.node.FindAnswer(in.Attempt)
+	x, ran := s.node.FindResponse(in.Attempt)
 	if x == nil {
 		return stream.MsgSend(&attachPart{Ran: ran}, codec{})
 	}
--- a/adapter/peer/silent_test.go
+++ b/adapter/peer/silent_test.go
@@ -20,7 +20,7 @@
 // gateway answers a call once as many wait as it is told.
 type gateway struct{ together sync.WaitGroup }
 
-func (g *gateway) Before(string) (mirror.Item, bool) { return mirror.Item{}, false }
+func (g *gateway) Previous(string) (mirror.Item, bool) { return mirror.Item{}, false }
 func (g *gateway) Await(context.Context, int64, time.Duration) mirror.Batch {
 	g.together.Done()
 	g.together.Wait()
--- a/adapter/vmlist/vmlist.go
+++ b/adapter/vmlist/vmlist.go
@@ -111,8 +111,8 @@
 	return l.vms[name].State == stateLeaving
 }
 
-// Peers returns the peer addresses on the list.
-func (l *List) Peers() []string {
+// PeerAddresses returns the peer addresses on the list.
+func (l *List) PeerAddresses() []string {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	var peers []string
--- a/command/remote.go
+++ b/command/remote.go
@@ -57,7 +57,7 @@
 		query.Set("expect", strconv.FormatInt(*args.Expect, 10))
 	}
 	status, body, err := call(http.MethodPost, args.Node, "/v1/config?"+query.Encode(), args.Key, source)
-	var applied operators.Applied
+	var applied operators.ApplyResponse
 	if err == nil {
 		err = json.Unmarshal(body, &applied)
 	}
@@ -88,7 +88,7 @@
 	}
 }
 
-func (r *runner) printRace(applied operators.Applied) {
+func (r *runner) printRace(applied operators.ApplyResponse) {
 	fmt.Fprintf(r.stderr, "nothing was applied: %s\n", applied.Message)
 	fmt.Fprintf(r.stderr, "revision %d by %s differs from your file at:\n", applied.Revision, applied.By)
 	for _, path := range applied.Differs {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -128,7 +128,7 @@
 	g.catalog.Store(catalog.Empty())
 	g.store = platform.NewStore(s.Store.Address, instruments.PlatformCall)
 	g.client = peer.NewClient(nil, peer.WithCallCounter(instruments.PeerCall),
-		peer.WithKnown(func(key string) (mirror.Item, bool) { return g.mirror.Get(key) }))
+		peer.WithKnownValues(func(key string) (mirror.Item, bool) { return g.mirror.Get(key) }))
 	g.registry = registry.New(g.timers)
 	g.runners = platform.NewRunners()
 	g.balancer = route.NewBalancer(s.DataHall, instruments.BreakerOpened, route.WithAnnouncer(func(s share.Send, news float64) { g.board.Tell(s, news) }))
@@ -316,8 +316,8 @@
 	return g.mirror.Await(ctx, revision, wait)
 }
 
-// Before tells a peer's door what a key held before its last change.
-func (g *Gateway) Before(key string) (mirror.Item, bool) { return g.mirror.Before(key) }
+// Previous tells a peer's door what a key held before its last change.
+func (g *Gateway) Previous(key string) (mirror.Item, bool) { return g.mirror.Before(key) }
 
 // Counts answers the driver of roll-outs.
 func (g *Gateway) Counts() (string, rollout.Counts) { return g.self.ID, g.picker.Counts() }
--- a/node/backends.go
+++ b/node/backends.go
@@ -121,7 +121,7 @@
 	b.asking[key] = true
 	b.n.metrics.LoadReport()
 	go func() {
-		if report, err := b.engines.Load(ctx, server); err == nil {
+		if report, err := b.engines.LoadReport(ctx, server); err == nil {
 			b.chooser.Observe(pool, server.Name, report)
 		}
 		b.mu.Lock()
@@ -143,7 +143,7 @@
 	for i, server := range servers {
 		asks.Go(func() {
 			holdings[i].Server = server
-			if report, err := b.engines.Load(ctx, server); err == nil {
+			if report, err := b.engines.LoadReport(ctx, server); err == nil {
 				holdings[i].Models = report.Models
 			}
 		})
--- a/node/node.go
+++ b/node/node.go
@@ -94,8 +94,8 @@
 	biller   *billing.Biller
 	dispatch *dispatch.Dispatcher
 
-	callers   *callers.Door
-	operators *operators.Door
+	callers   *callers.Server
+	operators *operators.Server
 	peers     *peer.Server
 
 	mu       sync.RWMutex
@@ -106,7 +106,7 @@
 
 // New makes a node that does not run yet.
 func New(s *settings.Settings) (*Node, error) {
-	tlsConfig, err := peer.TLS(s.Peer)
+	tlsConfig, err := peer.TLSConfig(s.Peer)
 	if err != nil {
 		return nil, errs.Wrap(Start, "new", err, "peer door")
 	}
@@ -197,7 +197,7 @@
 	n.leases = lease.New(driverLease, n.self.ID, n.store, n.timers, settings.Millis(s.Times.LeaseMillis),
 		lease.WithCandidates(n.mayDrive))
 	n.driver = rollout.NewDriver(spread.Rollouts, n.spreader, collector{n}, n.leases, func() []config.Model { return n.Config().Models() }, n.timers)
-	engines := engine.New(engine.WithMaxBytes(s.Bounds.AnswerBytes))
+	engines := engine.New(engine.WithMaxResponseBytes(s.Bounds.AnswerBytes))
 	chooser := route.New(n.self.ID,
 		route.WithLeaving(n.vms.Leaving),
 		route.WithNodes(n.sharers),
@@ -233,18 +233,18 @@
 
 func (n *Node) makeDoors() {
 	s := n.settings
-	n.callers = callers.New(callers.Parts{
-		Dispatcher:  n.dispatch,
-		Config:      n.Config,
-		Configured:  n.configured,
-		Addresses:   n.addresses,
-		AddressTTL:  settings.Millis(s.Times.AddressTTLMillis),
-		Bounds:      s.Bounds,
-		RequestTime: settings.Millis(s.Times.RequestMillis),
-		NewID:       newID,
-		Refused:     n.metrics.Refused,
+	n.callers = callers.New(callers.Options{
+		Dispatcher:     n.dispatch,
+		Config:         n.Config,
+		Configured:     n.configured,
+		Addresses:      n.addresses,
+		AddressTTL:     settings.Millis(s.Times.AddressTTLMillis),
+		Bounds:         s.Bounds,
+		RequestTimeout: settings.Millis(s.Times.RequestMillis),
+		NewID:          newID,
+		OnRefusal:      n.metrics.Refused,
 	})
-	n.operators = operators.New(operators.Parts{
+	n.operators = operators.New(operators.Options{
 		Node:         operatorNode{n},
 		Metrics:      n.metrics.Handler(),
 		BootstrapKey: s.BootstrapKey,
@@ -321,7 +321,7 @@
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	failed := make(chan error, 3)
-	go func() { failed <- n.peers.Serve(work, listeners.peer, n.client.TLS()) }()
+	go func() { failed <- n.peers.Serve(work, listeners.peer, n.client.TLSConfig()) }()
 	go func() { failed <- n.callers.Serve(listeners.caller) }()
 	go func() { failed <- n.operators.Serve(listeners.operator) }()
 	done := n.start(work)
@@ -393,7 +393,7 @@
 func (n *Node) drain() {
 	slog.Info("node is leaving")
 	n.prober.Leave()
-	n.callers.CloseIdle()
+	n.callers.DisableKeepAlives()
 	n.pause(noticeTime + settings.Millis(n.settings.Times.AddressTTLMillis))
 	n.dispatch.Drain()
 	limit := settings.Millis(n.settings.Times.RequestMillis)
--- a/node/operators.go
+++ b/node/operators.go
@@ -17,7 +17,7 @@
 // operatorNode answers operators.
 type operatorNode struct{ n *Node }
 
-func (o operatorNode) Ready() string {
+func (o operatorNode) NotReadyReason() string {
 	n := o.n
 	switch {
 	case n.prober.Leaving():
@@ -70,7 +70,7 @@
 
 func (o operatorNode) View() *view.View { return o.n.keeper.Current() }
 
-func (o operatorNode) Status(id string) string {
+func (o operatorNode) MemberStatus(id string) string {
 	status, _ := o.n.prober.Status(id)
 	return status.String()
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -31,7 +31,7 @@
 }
 
 // Seeds returns peer addresses to ask before there is a view.
-func (s seeds) Seeds() []string { return s.vms.Peers() }
+func (s seeds) Seeds() []string { return s.vms.PeerAddresses() }
 
 func (n *Node) fillHeartbeat(h *member.Heartbeat) {
 	h.Revisions = n.spreader.Revisions()
@@ -85,11 +85,11 @@
 
 func (p peerNode) Probe(h member.Heartbeat) member.Heartbeat { return p.n.prober.Receive(h) }
 
-func (p peerNode) Newer(known map[string]int64) map[string]document.Item {
+func (p peerNode) NewerDocuments(known map[string]int64) map[string]document.Item {
 	return p.n.spreader.Newer(known)
 }
 
-func (p peerNode) Heard(address string, revisions map[string]int64) {
+func (p peerNode) RecordRevisions(address string, revisions map[string]int64) {
 	p.n.spreader.Heard(address, revisions)
 }
 
@@ -97,15 +97,17 @@
 
 func (p peerNode) Counts() (string, rollout.Counts) { return p.n.self.ID, p.n.picker.Counts() }
 
-func (p peerNode) Recall(journal string) billing.Recollection { return p.n.bills.Local(journal) }
+func (p peerNode) JournalRecords(journal string) billing.Recollection {
+	return p.n.bills.Local(journal)
+}
 
-func (p peerNode) KeepCheckpoint(a ledger.Account) { p.n.bills.Keep(a) }
+func (p peerNode) StoreCheckpoint(a ledger.Account) { p.n.bills.Keep(a) }
 
-func (p peerNode) FindAnswer(attempt string) (*answer.Exchange, bool) {
+func (p peerNode) FindResponse(attempt string) (*answer.Exchange, bool) {
 	return p.n.answers.Find(attempt)
 }
 
-func (p peerNode) CancelAnswer(attempt string) bool { return p.n.dispatch.CancelAttempt(attempt) }
+func (p peerNode) CancelAttempt(attempt string) bool { return p.n.dispatch.CancelAttempt(attempt) }
 
 func (p peerNode) Explain(id string) (decision.Summary, bool) { return p.n.records.Find(id) }
 
@@ -139,7 +141,7 @@
 		return limit.Grant{Refused: true}, nil
 	}
 	ask.Epoch, ask.Node = v.Epoch(), g.n.self.ID
-	return g.n.client.AskLimit(ctx, owner, ask)
+	return g.n.client.RequestLimitLease(ctx, owner, ask)
 }
 
 func (n *Node) limitOwner(v *view.View, account string) (view.Member, bool) {
