--- a/adapter/callers/callers.go
+++ b/adapter/callers/callers.go
@@ -70,8 +70,8 @@
 	headerTimeout = 5 * time.Second
 	bodyTimeout   = 30 * time.Second
 	idleTimeout   = 90 * time.Second
-	// patientTime is the deadline of patient work that brings none.
-	patientTime = time.Hour
+	// asyncTimeout is the deadline of patient work that brings none.
+	asyncTimeout = time.Hour
 )
 
 // New returns a door that is not open yet.
@@ -79,7 +79,7 @@
 	d := &Server{Options: parts}
 	e := echo.New()
 	e.HideBanner = true
-	e.HTTPErrorHandler = d.fail
+	e.HTTPErrorHandler = d.handleError
 	e.Use(middleware.Recover(), middleware.BodyLimit(byteLimit(parts.Bounds.BodyBytes)))
 	v1 := e.Group("/v1", d.authenticate)
 	v1.GET("/addresses", d.addresses)
@@ -113,17 +113,17 @@
 // Shutdown closes the door once every request has its answer.
 func (d *Server) Shutdown(ctx context.Context) error { return d.server.Shutdown(ctx) }
 
-const accountKey = "account"
+const accountContextKey = "account"
 
 // authenticate finds the account of the bearer key.
 func (d *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		key := bearer(c.Request())
+		key := bearerKey(c.Request())
 		if key == "" {
 			return unauthorized("send the account's key as 'Authorization: Bearer KEY'")
 		}
 		if !d.awaitConfiguration(c.Request().Context()) {
-			refusal := dispatch.NoConfiguration(ranOf(c.Request()))
+			refusal := dispatch.NoConfiguration(ranWithoutAccount(c.Request()))
 			d.OnRefusal(refusal.Reason(), "")
 			return refusal
 		}
@@ -131,21 +131,21 @@
 		if account == nil {
 			return unauthorized("no client account has this key")
 		}
-		c.Set(accountKey, account)
+		c.Set(accountContextKey, account)
 		return next(c)
 	}
 }
 
-// startPatience is how long a request waits for a node that has just started to
+// configurationTimeout is how long a request waits for a node that has just started to
 // know its accounts: some 70 ms, more where the platform is slow. Clients take a
 // refusal of their key for final, and a refusal under an id that they chose
 // cannot say whether it ran.
-const startPatience = time.Second
+const configurationTimeout = time.Second
 
 // awaitConfiguration reports whether a configuration is in force, once it is or
 // the patience is over.
 func (d *Server) awaitConfiguration(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, startPatience)
+	ctx, cancel := context.WithTimeout(ctx, configurationTimeout)
 	defer cancel()
 	select {
 	case <-d.Configured:
@@ -155,7 +155,7 @@
 	}
 }
 
-func account(c echo.Context) *config.Account { return c.Get(accountKey).(*config.Account) }
+func account(c echo.Context) *config.Account { return c.Get(accountContextKey).(*config.Account) }
 
 func (d *Server) addresses(c echo.Context) error {
 	return c.JSON(http.StatusOK, struct {
@@ -187,7 +187,7 @@
 func (d *Server) chat(c echo.Context) error {
 	r, wantsUsage, refusal := d.chatRequest(c)
 	if refusal != nil {
-		return d.refuse(c, refusal)
+		return d.recordRefusal(c, refusal)
 	}
 	return d.start(c, r, wantsUsage)
 }
@@ -195,7 +195,7 @@
 func (d *Server) service(c echo.Context) error {
 	r, refusal := d.serviceRequest(c)
 	if refusal != nil {
-		return d.refuse(c, refusal)
+		return d.recordRefusal(c, refusal)
 	}
 	return d.start(c, r, false)
 }
@@ -209,10 +209,10 @@
 		return refusal
 	}
 	if r.Patient {
-		return accepted(c, r.ID)
+		return writeAccepted(c, r.ID)
 	}
 	detach := x.Attach()
-	err := deliver(c, x, wantsUsage)
+	err := writeResponse(c, x, wantsUsage)
 	// A caller that is gone and cannot come back needs no answer.
 	if last := detach(); last && c.Request().Context().Err() != nil && !r.Given && r.Repeatable() {
 		x.Cancel()
@@ -220,11 +220,11 @@
 	return err
 }
 
-// pollAfter is when to ask again for an answer that is not there yet.
-const pollAfter = time.Second
+// pollInterval is when to ask again for an answer that is not there yet.
+const pollInterval = time.Second
 
-func accepted(c echo.Context, id string) error {
-	setRetryAfter(c, pollAfter)
+func writeAccepted(c echo.Context, id string) error {
+	setRetryAfter(c, pollInterval)
 	return c.JSON(http.StatusAccepted, struct {
 		ID     string `json:"id"`
 		Status string `json:"status"`
@@ -234,27 +234,27 @@
 func (d *Server) fetch(c echo.Context) error {
 	id, refusal := pathID(c)
 	if refusal != nil {
-		return d.refuse(c, refusal)
+		return d.recordRefusal(c, refusal)
 	}
 	c.Response().Header().Set(requestIDHeader, id)
 	x, refusal := d.Dispatcher.Find(c.Request().Context(), account(c), id)
 	if refusal != nil {
-		return d.refuse(c, refusal)
+		return d.recordRefusal(c, refusal)
 	}
 	if !x.From(0).Done {
-		return accepted(c, id)
+		return writeAccepted(c, id)
 	}
-	return deliver(c, x, true)
+	return writeResponse(c, x, true)
 }
 
 func (d *Server) cancel(c echo.Context) error {
 	id, refusal := pathID(c)
 	if refusal != nil {
-		return d.refuse(c, refusal)
+		return d.recordRefusal(c, refusal)
 	}
 	stopped, refusal := d.Dispatcher.Cancel(c.Request().Context(), account(c), id)
 	if refusal != nil {
-		return d.refuse(c, refusal)
+		return d.recordRefusal(c, refusal)
 	}
 	return c.JSON(http.StatusOK, struct {
 		ID      string `json:"id"`
@@ -262,8 +262,8 @@
 	}{id, stopped})
 }
 
-// refuse counts a refusal that did not come from Start.
-func (d *Server) refuse(c echo.Context, refusal *dispatch.Refusal) error {
+// recordRefusal counts a refusal that did not come from Start.
+func (d *Server) recordRefusal(c echo.Context, refusal *dispatch.Refusal) error {
 	d.OnRefusal(refusal.Reason(), account(c).Name)
 	return refusal
 }
--- a/adapter/callers/callers_test.go
+++ b/adapter/callers/callers_test.go
@@ -70,9 +70,9 @@
 	}
 }
 
-// TestConfigurationComes asks a node whose first configuration has come: from
+// TestUnknownKeyOnceConfigured asks a node whose first configuration has come: from
 // then on a key that no account has is refused as such.
-func TestConfigurationComes(t *testing.T) {
+func TestUnknownKeyOnceConfigured(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	configured := make(chan struct{})
--- a/adapter/callers/request.go
+++ b/adapter/callers/request.go
@@ -40,21 +40,21 @@
 	maxMessages = 4096
 )
 
-// invalid refuses a request that cannot be read.
-func invalid(format string, args ...any) *dispatch.Refusal {
+// invalidRequest refuses a request that cannot be read.
+func invalidRequest(format string, args ...any) *dispatch.Refusal {
 	return dispatch.Refuse(dispatch.ReasonInvalid, 0, format, args...)
 }
 
 func pathID(c echo.Context) (string, *dispatch.Refusal) {
 	id := c.Param("id")
 	if !idPattern.MatchString(id) {
-		return "", invalid("request id %q: want 1 to 128 of letters, digits, '.', '_', ':', '-'", id)
+		return "", invalidRequest("request id %q: want 1 to 128 of letters, digits, '.', '_', ':', '-'", id)
 	}
 	return id, nil
 }
 
-// common reads what all requests have.
-func (d *Server) common(c echo.Context) (*dispatch.Request, *dispatch.Refusal) {
+// newRequest reads what all requests have.
+func (d *Server) newRequest(c echo.Context) (*dispatch.Request, *dispatch.Refusal) {
 	header := c.Request().Header
 	r := &dispatch.Request{Account: account(c), ID: header.Get(idempotencyHeader)}
 	if r.ID == "" {
@@ -63,14 +63,14 @@
 		r.Given = true
 	}
 	if !idPattern.MatchString(r.ID) {
-		return nil, invalid("%s %q: want 1 to 128 of letters, digits, '.', '_', ':', '-'", idempotencyHeader, r.ID)
+		return nil, invalidRequest("%s %q: want 1 to 128 of letters, digits, '.', '_', ':', '-'", idempotencyHeader, r.ID)
 	}
 	r.Patient = strings.Contains(header.Get(preferHeader), respondAsync)
 	limit := d.RequestTimeout
 	if r.Patient {
-		limit = patientTime
+		limit = asyncTimeout
 	}
-	timeout, refusal := timeoutOf(header.Get(timeoutHeader), limit)
+	timeout, refusal := parseTimeout(header.Get(timeoutHeader), limit)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -94,18 +94,18 @@
 	case errors.As(err, &tooLarge):
 		return nil, dispatch.Refuse(dispatch.ReasonBodyTooLarge, 0, "the body exceeds the bound for bodies")
 	case err != nil:
-		return nil, invalid("the body cannot be read: %v", err)
+		return nil, invalidRequest("the body cannot be read: %v", err)
 	}
 	return body, nil
 }
 
-func timeoutOf(value string, limit time.Duration) (time.Duration, *dispatch.Refusal) {
+func parseTimeout(value string, limit time.Duration) (time.Duration, *dispatch.Refusal) {
 	if value == "" {
 		return limit, nil
 	}
 	millis, err := strconv.ParseInt(value, 10, 64)
 	if err != nil || millis <= 0 {
-		return 0, invalid("%s %q: want a whole number of milliseconds above zero", timeoutHeader, value)
+		return 0, invalidRequest("%s %q: want a whole number of milliseconds above zero", timeoutHeader, value)
 	}
 	return min(limit, time.Duration(millis)*time.Millisecond), nil
 }
@@ -149,24 +149,24 @@
 }
 
 func (d *Server) chatRequest(c echo.Context) (_ *dispatch.Request, wantsUsage bool, _ *dispatch.Refusal) {
-	r, refusal := d.common(c)
+	r, refusal := d.newRequest(c)
 	if refusal != nil {
 		return nil, false, refusal
 	}
 	var body chatBody
 	if err := json.Unmarshal(r.Body, &body); err != nil {
-		return nil, false, invalid("the body is no chat completion request: %v", err)
+		return nil, false, invalidRequest("the body is no chat completion request: %v", err)
 	}
 	session := c.Request().Header.Get(sessionHeader)
 	switch {
 	case body.Model == "":
-		return nil, false, invalid("the body names no model")
+		return nil, false, invalidRequest("the body names no model")
 	case len(body.Messages) == 0:
-		return nil, false, invalid("the body has no messages")
+		return nil, false, invalidRequest("the body has no messages")
 	case len(body.Messages) > maxMessages:
-		return nil, false, invalid("the body has %d messages; %d are allowed", len(body.Messages), maxMessages)
+		return nil, false, invalidRequest("the body has %d messages; %d are allowed", len(body.Messages), maxMessages)
 	case session != "" && !idPattern.MatchString(session):
-		return nil, false, invalid("%s %q: want 1 to 128 of letters, digits, '.', '_', ':', '-'", sessionHeader, session)
+		return nil, false, invalidRequest("%s %q: want 1 to 128 of letters, digits, '.', '_', ':', '-'", sessionHeader, session)
 	}
 	prompt := body.prompt()
 	r.Chat = &dispatch.Chat{
@@ -190,7 +190,7 @@
 }
 
 func (d *Server) serviceRequest(c echo.Context) (*dispatch.Request, *dispatch.Refusal) {
-	r, refusal := d.common(c)
+	r, refusal := d.newRequest(c)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -217,7 +217,7 @@
 	return r, nil
 }
 
-func bearer(r *http.Request) string {
+func bearerKey(r *http.Request) string {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	if !ok {
 		return ""
--- a/adapter/callers/reply.go
+++ b/adapter/callers/response.go
@@ -29,7 +29,7 @@
 	RequestID   string  `json:"request_id,omitempty"`
 }
 
-func bodyOf(f *answer.Failure, requestID string) errorBody {
+func newErrorBody(f *answer.Failure, requestID string) errorBody {
 	kind := "server_error"
 	if f.Status < http.StatusInternalServerError {
 		kind = "invalid_request_error"
@@ -44,8 +44,8 @@
 	}}
 }
 
-// fail answers with an error, whatever its origin.
-func (d *Server) fail(err error, c echo.Context) {
+// handleError answers with an error, whatever its origin.
+func (d *Server) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
@@ -58,10 +58,10 @@
 		failure = refusal.Failure()
 	case errors.As(err, &httpErr):
 		failure = &answer.Failure{
-			Reason:  codeOf(httpErr.Code),
+			Reason:  errorCode(httpErr.Code),
 			Message: http.StatusText(httpErr.Code),
 			Status:  httpErr.Code,
-			Ran:     ranOf(c.Request()).String(),
+			Ran:     ranWithoutAccount(c.Request()).String(),
 		}
 		if text, ok := httpErr.Message.(string); ok {
 			failure.Message = text
@@ -75,21 +75,21 @@
 		}
 	}
 	setRetryAfter(c, time.Duration(failure.RetryMillis)*time.Millisecond)
-	_ = c.JSON(failure.Status, bodyOf(failure, c.Response().Header().Get(requestIDHeader)))
+	_ = c.JSON(failure.Status, newErrorBody(failure, c.Response().Header().Get(requestIDHeader)))
 }
 
-// ranOf returns what the door can tell of a request that it refuses before it
+// ranWithoutAccount returns what the door can tell of a request that it refuses before it
 // knows the account. Under an id that the caller has chosen a request may have
 // run before, and only the account's claims tell.
-func ranOf(r *http.Request) dispatch.Ran {
+func ranWithoutAccount(r *http.Request) dispatch.Ran {
 	if r.Method == http.MethodPost && r.Header.Get(idempotencyHeader) == "" {
 		return dispatch.RanNo
 	}
 	return dispatch.RanUnknown
 }
 
-// codeOf names the errors of the HTTP library.
-func codeOf(status int) string {
+// errorCode names the errors of the HTTP library.
+func errorCode(status int) string {
 	switch status {
 	case http.StatusUnauthorized:
 		return "unauthorized"
@@ -117,22 +117,22 @@
 	}
 }
 
-// deliver gives an answer as it grows.
-func deliver(c echo.Context, x *answer.Exchange, wantsUsage bool) error {
-	w := &writer{c: c, wantsUsage: wantsUsage}
+// writeResponse gives an answer as it grows.
+func writeResponse(c echo.Context, x *answer.Exchange, wantsUsage bool) error {
+	w := &responseWriter{c: c, wantsUsage: wantsUsage}
 	for sent := 0; ; {
 		state := x.From(sent)
 		sent += len(state.Parts)
 		if state.Headed {
-			w.begin(state.Head)
+			w.writeHead(state.Head)
 		}
 		for _, part := range state.Parts {
-			if err := w.part(part); err != nil {
+			if err := w.writePart(part); err != nil {
 				return err
 			}
 		}
 		if state.Done {
-			return w.end(state.Failure)
+			return w.finish(state.Failure)
 		}
 		w.flush()
 		select {
@@ -143,20 +143,20 @@
 	}
 }
 
-// writer writes one answer, whole or as server-sent events.
-type writer struct {
+// responseWriter writes one answer, whole or as server-sent events.
+type responseWriter struct {
 	c          echo.Context
 	wantsUsage bool
-	begun      bool
+	hasHead    bool
 	head       answer.Head
-	whole      []byte
+	buffered   []byte
 }
 
-func (w *writer) begin(head answer.Head) {
-	if w.begun {
+func (w *responseWriter) writeHead(head answer.Head) {
+	if w.hasHead {
 		return
 	}
-	w.begun, w.head = true, head
+	w.hasHead, w.head = true, head
 	if head.Version != "" {
 		w.c.Response().Header().Set(modelHeader, head.Model+"@"+head.Version)
 	}
@@ -168,18 +168,18 @@
 	w.c.Response().WriteHeader(head.Status)
 }
 
-func (w *writer) part(part []byte) error {
+func (w *responseWriter) writePart(part []byte) error {
 	if !w.head.Streamed {
-		w.whole = append(w.whole, part...)
+		w.buffered = append(w.buffered, part...)
 		return nil
 	}
 	if !w.wantsUsage && dispatch.UsageOnly(part) {
 		return nil
 	}
-	return w.event(part)
+	return w.writeEvent(part)
 }
 
-func (w *writer) event(data []byte) error {
+func (w *responseWriter) writeEvent(data []byte) error {
 	line := make([]byte, 0, len(data)+8)
 	line = append(line, "data: "...)
 	line = append(line, data...)
@@ -189,28 +189,28 @@
 }
 
 // flush sends what has been written; events that came together go together.
-func (w *writer) flush() {
+func (w *responseWriter) flush() {
 	if w.head.Streamed {
 		w.c.Response().Flush()
 	}
 }
 
-// end closes the answer. A stream that failed after its start carries the
+// finish closes the answer. A stream that failed after its start carries the
 // error as its last event and has no end mark, so that no client takes it for
 // whole.
-func (w *writer) end(failure *answer.Failure) error {
+func (w *responseWriter) finish(failure *answer.Failure) error {
 	switch {
 	case failure != nil && w.c.Response().Committed:
-		data, err := json.Marshal(bodyOf(failure, w.c.Response().Header().Get(requestIDHeader)))
+		data, err := json.Marshal(newErrorBody(failure, w.c.Response().Header().Get(requestIDHeader)))
 		if err != nil {
 			return err
 		}
-		return w.event(data)
+		return w.writeEvent(data)
 	case failure != nil:
 		return failure
 	case w.head.Streamed:
-		return w.event([]byte("[DONE]"))
+		return w.writeEvent([]byte("[DONE]"))
 	default:
-		return w.c.Blob(w.head.Status, w.head.ContentType, w.whole)
+		return w.c.Blob(w.head.Status, w.head.ContentType, w.buffered)
 	}
 }
--- a/adapter/engine/engine.go
+++ b/adapter/engine/engine.go
@@ -39,37 +39,37 @@
 	dialTimeout = 500 * time.Millisecond
 	// idleTimeout must stay below the servers' own, or a request may be sent
 	// on a connection that is being closed.
-	idleTimeout = 30 * time.Second
-	maxIdle     = 64
+	idleTimeout         = 30 * time.Second
+	maxIdleConnsPerHost = 64
 	// notRunHeader is a server's word that it did not run the request.
 	notRunHeader = "X-Not-Run"
 	streamHeader = "X-Stream-Id"
-	// maxLine bounds one server-sent event.
-	maxLine = 1 << 20
+	// maxEventBytes bounds one server-sent event.
+	maxEventBytes = 1 << 20
 )
 
 // Client talks to backend servers. It is safe for concurrent use.
 type Client struct {
-	http     *http.Client
-	maxBytes int64
+	http             *http.Client
+	maxResponseBytes int64
 }
 
 // Option changes a Client as New makes it.
 type Option func(*Client)
 
 // WithMaxResponseBytes bounds an answer.
-func WithMaxResponseBytes(n int64) Option { return func(c *Client) { c.maxBytes = n } }
+func WithMaxResponseBytes(n int64) Option { return func(c *Client) { c.maxResponseBytes = n } }
 
-const defaultMaxBytes = 1 << 20
+const defaultMaxResponseBytes = 1 << 20
 
 // New returns a client.
 func New(options ...Option) *Client {
 	c := &Client{
-		maxBytes: defaultMaxBytes,
+		maxResponseBytes: defaultMaxResponseBytes,
 		http: &http.Client{
 			Transport: &http.Transport{
 				DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-				MaxIdleConnsPerHost: maxIdle,
+				MaxIdleConnsPerHost: maxIdleConnsPerHost,
 				IdleConnTimeout:     idleTimeout,
 				DisableCompression:  true,
 			},
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.stream(response, call.Stream), nil
+	return c.newStream(response, call.Stream), nil
 }
 
 // Resume follows an engine's stream again.
@@ -118,7 +118,7 @@
 		response.Body.Close()
 		return nil, errs.New(dispatch.Failed, "resume", "server %s answered %d", server.Name, response.StatusCode)
 	}
-	resumed := c.stream(response, true)
+	resumed := c.newStream(response, true)
 	resumed.id = streamID
 	return resumed, nil
 }
@@ -159,11 +159,11 @@
 	return response, nil
 }
 
-func (c *Client) stream(response *http.Response, streamed bool) *stream {
-	s := &stream{response: response, id: response.Header.Get(streamHeader), left: c.maxBytes}
+func (c *Client) newStream(response *http.Response, streamed bool) *stream {
+	s := &stream{response: response, id: response.Header.Get(streamHeader), remaining: c.maxResponseBytes}
 	if streamed && response.StatusCode < http.StatusMultipleChoices {
 		s.events = bufio.NewScanner(response.Body)
-		s.events.Buffer(make([]byte, 0, 4<<10), maxLine)
+		s.events.Buffer(make([]byte, 0, 4<<10), maxEventBytes)
 	}
 	return s
 }
@@ -173,9 +173,9 @@
 	response *http.Response
 	id       string
 	// events is nil for an answer that is not streamed.
-	events *bufio.Scanner
-	left   int64
-	read   bool
+	events    *bufio.Scanner
+	remaining int64
+	bodyRead  bool
 }
 
 func (s *stream) Status() int         { return s.response.StatusCode }
@@ -189,7 +189,7 @@
 		return nil, errs.New(dispatch.Failed, "read", "engine answered %d", s.response.StatusCode)
 	}
 	if s.events == nil {
-		return s.whole()
+		return s.readBody()
 	}
 	for s.events.Scan() {
 		data, ok := strings.CutPrefix(s.events.Text(), "data:")
@@ -200,7 +200,7 @@
 		if data == "[DONE]" {
 			return nil, io.EOF
 		}
-		if s.left -= int64(len(data)); s.left < 0 {
+		if s.remaining -= int64(len(data)); s.remaining < 0 {
 			return nil, errs.New(dispatch.TooLarge, "read", "the answer exceeds its bound")
 		}
 		return []byte(data), nil
@@ -213,17 +213,17 @@
 	return nil, errs.Wrap(dispatch.Failed, "read", err, "stream broke off")
 }
 
-func (s *stream) whole() ([]byte, error) {
-	if s.read {
+func (s *stream) readBody() ([]byte, error) {
+	if s.bodyRead {
 		return nil, io.EOF
 	}
-	s.read = true
-	data, err := io.ReadAll(io.LimitReader(s.response.Body, s.left+1))
+	s.bodyRead = true
+	data, err := io.ReadAll(io.LimitReader(s.response.Body, s.remaining+1))
 	if err != nil {
 		return nil, errs.Wrap(dispatch.Failed, "read", err, "answer broke off")
 	}
-	if int64(len(data)) > s.left {
-		return nil, errs.New(dispatch.TooLarge, "read", "the answer exceeds %d bytes", s.left)
+	if int64(len(data)) > s.remaining {
+		return nil, errs.New(dispatch.TooLarge, "read", "the answer exceeds %d bytes", s.remaining)
 	}
 	if s.response.StatusCode < http.StatusMultipleChoices && !json.Valid(data) {
 		return nil, errs.New(dispatch.Failed, "read", "the answer is no JSON")
@@ -253,22 +253,22 @@
 		return dispatch.ServiceAnswer{}, err
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, c.maxBytes+1))
+	body, err := io.ReadAll(io.LimitReader(response.Body, c.maxResponseBytes+1))
 	if err != nil {
 		return dispatch.ServiceAnswer{}, errs.Wrap(dispatch.Failed, "call", err, "answer of server %s broke off", server.Name)
 	}
-	if int64(len(body)) > c.maxBytes {
-		return dispatch.ServiceAnswer{}, errs.New(dispatch.TooLarge, "call", "answer of server %s exceeds %d bytes", server.Name, c.maxBytes)
+	if int64(len(body)) > c.maxResponseBytes {
+		return dispatch.ServiceAnswer{}, errs.New(dispatch.TooLarge, "call", "answer of server %s exceeds %d bytes", server.Name, c.maxResponseBytes)
 	}
 	return dispatch.ServiceAnswer{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: body}, nil
 }
 
-// controlTimeout bounds load reports.
-const controlTimeout = time.Second
+// loadReportTimeout bounds load reports.
+const loadReportTimeout = time.Second
 
 // LoadReport asks a server for its load report.
 func (c *Client) LoadReport(ctx context.Context, server config.Server) (route.Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
+	ctx, cancel := context.WithTimeout(ctx, loadReportTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, server.URL+"/load", nil)
 	if err != nil {
--- a/adapter/etcd/etcd.go
+++ b/adapter/etcd/etcd.go
@@ -44,11 +44,11 @@
 
 // Client talks to the key-value service. It is safe for concurrent use.
 type Client struct {
-	endpoints []string
-	prefix    string
-	http      *http.Client
-	next      atomic.Uint32
-	calls     func(operation string)
+	endpoints     []string
+	prefix        string
+	http          *http.Client
+	endpointIndex atomic.Uint32
+	countCall     func(operation string)
 }
 
 // Option changes a Client as New makes it.
@@ -57,7 +57,7 @@
 // WithCallCounter calls count once for each call to the service, since the
 // platform counts them too.
 func WithCallCounter(count func(operation string)) Option {
-	return func(c *Client) { c.calls = count }
+	return func(c *Client) { c.countCall = count }
 }
 
 // New returns a client of the service at the endpoints, which are base URLs.
@@ -66,7 +66,7 @@
 	c := &Client{
 		endpoints: endpoints,
 		prefix:    prefix,
-		calls:     func(string) {},
+		countCall: func(string) {},
 		http: &http.Client{Transport: &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: callTimeout}).DialContext,
 			MaxIdleConnsPerHost: 8,
@@ -216,7 +216,7 @@
 // after the given revision, until the context ends or the connection breaks,
 // which it returns.
 func (c *Client) WatchPrefix(ctx context.Context, prefix string, after int64, changed func(key string, item document.Item)) error {
-	c.calls("watch")
+	c.countCall("watch")
 	start := c.key(prefix)
 	in := watchRequest{Create: watchCreate{Key: start, RangeEnd: prefixEnd(start), StartRevision: after + 1}}
 	response, err := c.post(ctx, "watch", "/v3/watch", in)
@@ -231,7 +231,7 @@
 			return errs.Wrap(Unavailable, "watch", err, "watch of %s broke", prefix)
 		}
 		for _, event := range out.Result.Events {
-			if event.Type == deleted {
+			if event.Type == eventDelete {
 				continue
 			}
 			changed(string(event.KV.Key[len(c.prefix):]), document.Item{Data: event.KV.Value, Revision: event.KV.ModRevision})
@@ -249,7 +249,7 @@
 }
 
 func (c *Client) call(ctx context.Context, operation, path string, in, out any) error {
-	c.calls(operation)
+	c.countCall(operation)
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	response, err := c.post(ctx, operation, path, in)
@@ -270,7 +270,7 @@
 	if err != nil {
 		return nil, errs.Wrap(Refused, operation, err, "request cannot be encoded")
 	}
-	at := c.next.Load()
+	at := c.endpointIndex.Load()
 	endpoint := c.endpoints[int(at)%len(c.endpoints)]
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, endpoint+path, bytes.NewReader(body))
 	if err != nil {
@@ -279,7 +279,7 @@
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(request)
 	if err != nil {
-		c.next.CompareAndSwap(at, at+1)
+		c.endpointIndex.CompareAndSwap(at, at+1)
 		return nil, errs.Wrap(Unavailable, operation, err, "key-value service")
 	}
 	if response.StatusCode != http.StatusOK {
--- a/adapter/etcd/messages.go
+++ b/adapter/etcd/messages.go
@@ -85,5 +85,5 @@
 	} `json:"result"`
 }
 
-// deleted is the type of the event of a key that is gone.
-const deleted = "DELETE"
+// eventDelete is the type of the event of a key that is gone.
+const eventDelete = "DELETE"
--- a/adapter/operators/operators.go
+++ b/adapter/operators/operators.go
@@ -61,10 +61,10 @@
 }
 
 const (
-	headerTimeout = 5 * time.Second
-	readTimeout   = 30 * time.Second
-	operatorKey   = "operator"
-	bootstrap     = "bootstrap"
+	headerTimeout      = 5 * time.Second
+	readTimeout        = 30 * time.Second
+	operatorContextKey = "operator"
+	bootstrapOperator  = "bootstrap"
 )
 
 // New returns a door that is not open yet.
@@ -114,12 +114,12 @@
 		snapshot := d.Node.Config()
 		operator := snapshot.OperatorByKey(key)
 		if operator == "" && snapshot.Revision() == 0 && d.BootstrapKey != "" && config.Digest(key) == d.BootstrapKey {
-			operator = bootstrap
+			operator = bootstrapOperator
 		}
 		if operator == "" {
 			return echo.NewHTTPError(http.StatusUnauthorized, "send an operator's key as 'Authorization: Bearer KEY'")
 		}
-		c.Set(operatorKey, operator)
+		c.Set(operatorContextKey, operator)
 		return next(c)
 	}
 }
@@ -145,7 +145,7 @@
 	}
 	change := control.Change{
 		ID:       c.QueryParam("change"),
-		Operator: c.Get(operatorKey).(string),
+		Operator: c.Get(operatorContextKey).(string),
 		File:     c.QueryParam("file"),
 		Source:   string(source),
 		Expected: control.AnyRevision,
--- a/adapter/peer/client.go
+++ b/adapter/peer/client.go
@@ -64,9 +64,9 @@
 )
 
 const (
-	dialTimeout = 300 * time.Millisecond
-	idleTimeout = 60 * time.Second
-	perPeer     = 8
+	dialTimeout    = 300 * time.Millisecond
+	idleTimeout    = 60 * time.Second
+	maxIdlePerPeer = 8
 )
 
 // codec is the encoding of all messages.
@@ -104,21 +104,21 @@
 
 // Client calls other nodes. It is safe for concurrent use.
 type Client struct {
-	tls   *tls.Config
-	open  func(ctx context.Context, address string) (net.Conn, error)
-	pool  *drpcpool.Pool[place, drpcpool.Conn]
-	calls func(call string, sent int)
-	known func(key string) (mirror.Item, bool)
-	self  string
+	tls        *tls.Config
+	dialConn   func(ctx context.Context, address string) (net.Conn, error)
+	pool       *drpcpool.Pool[connKey, drpcpool.Conn]
+	countCall  func(call string, sent int)
+	knownValue func(key string) (mirror.Item, bool)
+	self       string
 
 	mu sync.Mutex
-	// epochs counts by address how often the kept connections were left.
-	epochs map[string]uint64
+	// generations counts by address how often the kept connections were left.
+	generations map[string]uint64
 
 	// address is this node's own peer address.
 	address string
 	node    Node
-	local   *claim.Replica
+	replica *claim.Replica
 }
 
 // Option changes a Client as NewClient makes it.
@@ -127,18 +127,18 @@
 // WithCallCounter calls count with each call's name and the size of what was
 // sent, in bytes before framing.
 func WithCallCounter(count func(call string, sent int)) Option {
-	return func(c *Client) { c.calls = count }
+	return func(c *Client) { c.countCall = count }
 }
 
 // WithKnownValues names what this node knows of the platform's store, so that peers tell
 // it only what has changed in large values.
 func WithKnownValues(known func(key string) (mirror.Item, bool)) Option {
-	return func(c *Client) { c.known = known }
+	return func(c *Client) { c.knownValue = known }
 }
 
 // WithDialer opens connections in place of TCP's.
 func WithDialer(open func(ctx context.Context, address string) (net.Conn, error)) Option {
-	return func(c *Client) { c.open = open }
+	return func(c *Client) { c.dialConn = open }
 }
 
 // dialTCP opens a connection.
@@ -150,11 +150,11 @@
 // NewClient returns a client; config is nil for plain TCP.
 func NewClient(config *tls.Config, options ...Option) *Client {
 	c := &Client{
-		tls:    config,
-		open:   dialTCP,
-		pool:   drpcpool.New[place, drpcpool.Conn](drpcpool.Options{Expiration: idleTimeout, KeyCapacity: perPeer}),
-		calls:  func(string, int) {},
-		epochs: make(map[string]uint64),
+		tls:         config,
+		dialConn:    dialTCP,
+		pool:        drpcpool.New[connKey, drpcpool.Conn](drpcpool.Options{Expiration: idleTimeout, KeyCapacity: maxIdlePerPeer}),
+		countCall:   func(string, int) {},
+		generations: make(map[string]uint64),
 	}
 	for _, option := range options {
 		option(c)
@@ -165,7 +165,7 @@
 // SetLocal names this node, whose own calls stay inside. It must be called
 // before the first call.
 func (c *Client) SetLocal(self, address string, node Node, replica *claim.Replica) {
-	c.self, c.address, c.node, c.local = self, address, node, replica
+	c.self, c.address, c.node, c.replica = self, address, node, replica
 }
 
 // TLSConfig returns the configuration of this node's peer door; nil for plain TCP.
@@ -174,26 +174,26 @@
 // Close closes all connections.
 func (c *Client) Close() error { return c.pool.Close() }
 
-// place names the connections to a peer that are used in place of each other.
+// connKey names the connections to a peer that are used in place of each other.
 // Those of an earlier epoch stay unused until their time in the pool is over.
-type place struct {
-	address string
-	epoch   uint64
+type connKey struct {
+	address    string
+	generation uint64
 }
 
-func (c *Client) place(address string) place {
+func (c *Client) connKey(address string) connKey {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return place{address, c.epochs[address]}
+	return connKey{address, c.generations[address]}
 }
 
-// leave lets later calls go on new connections. Several calls on old ones leave
+// retireConns lets later calls go on new connections. Several calls on old ones leave
 // them once.
-func (c *Client) leave(p place) {
+func (c *Client) retireConns(p connKey) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.epochs[p.address] == p.epoch {
-		c.epochs[p.address]++
+	if c.generations[p.address] == p.generation {
+		c.generations[p.address]++
 	}
 }
 
@@ -201,12 +201,12 @@
 // library would cancel that call by a message and keep the connection.
 type conn struct {
 	*drpcconn.Conn
-	metered *metered
+	wire *progressConn
 }
 
 // Invoke makes a call.
 func (c conn) Invoke(ctx context.Context, call string, encoding drpc.Encoding, in, out drpc.Message) error {
-	c.metered.call.Store(&ctx)
+	c.wire.callContext.Store(&ctx)
 	err := c.Conn.Invoke(ctx, call, encoding, in, out)
 	if err != nil && progress.RanOut(ctx) {
 		_ = c.Close()
@@ -214,23 +214,23 @@
 	return err
 }
 
-// metered tells the call that is under way of each piece that comes: a large
+// progressConn tells the call that is under way of each piece that comes: a large
 // answer on a busy link is not to be given up while it comes.
-type metered struct {
+type progressConn struct {
 	net.Conn
-	call atomic.Pointer[context.Context]
+	callContext atomic.Pointer[context.Context]
 }
 
-func (m *metered) Read(p []byte) (int, error) {
+func (m *progressConn) Read(p []byte) (int, error) {
 	n, err := m.Conn.Read(p)
-	if call := m.call.Load(); call != nil && n > 0 {
+	if call := m.callContext.Load(); call != nil && n > 0 {
 		progress.Made(*call)
 	}
 	return n, err
 }
 
-func (c *Client) dial(ctx context.Context, p place) (drpcpool.Conn, error) {
-	raw, err := c.open(ctx, p.address)
+func (c *Client) dial(ctx context.Context, p connKey) (drpcpool.Conn, error) {
+	raw, err := c.dialConn(ctx, p.address)
 	if err != nil {
 		return nil, err
 	}
@@ -240,36 +240,36 @@
 		config.ServerName = host
 		raw = tls.Client(raw, config)
 	}
-	wire := &metered{Conn: raw}
-	return conn{metered: wire, Conn: drpcconn.NewWithOptions(wire, drpcconn.Options{
+	wire := &progressConn{Conn: raw}
+	return conn{wire: wire, Conn: drpcconn.NewWithOptions(wire, drpcconn.Options{
 		Manager: drpcmanager.Options{
-			Reader:     drpcwire.ReaderOptions{MaximumBufferSize: maxMessage},
+			Reader:     drpcwire.ReaderOptions{MaximumBufferSize: maxMessageBytes},
 			SoftCancel: true,
 		},
 	})}, nil
 }
 
-// sized counts what a message takes on the wire.
-type sized struct {
+// countingCodec counts what a message takes on the wire.
+type countingCodec struct {
 	codec
-	sent int
+	sentBytes int
 }
 
-func (s *sized) Marshal(message drpc.Message) ([]byte, error) {
+func (s *countingCodec) Marshal(message drpc.Message) ([]byte, error) {
 	data, err := s.codec.Marshal(message)
-	s.sent += len(data)
+	s.sentBytes += len(data)
 	return data, err
 }
 
 func invoke[Request, Reply any](ctx context.Context, c *Client, address, call string, in Request) (Reply, error) {
 	var out Reply
-	encoding := &sized{}
-	p := c.place(address)
+	encoding := &countingCodec{}
+	p := c.connKey(address)
 	err := c.pool.Get(ctx, p, c.dial).Invoke(ctx, call, encoding, &in, &out)
-	c.calls(call, encoding.sent)
+	c.countCall(call, encoding.sentBytes)
 	if err != nil {
 		if progress.RanOut(ctx) {
-			c.leave(p)
+			c.retireConns(p)
 		}
 		return out, errs.Wrap(Unreachable, call, err, "peer %s", address)
 	}
@@ -283,14 +283,14 @@
 
 // ProbeVia asks a peer to reach another.
 func (c *Client) ProbeVia(ctx context.Context, via, target string) error {
-	_, err := invoke[probeVia, empty](ctx, c, via, callProbeVia, probeVia{Target: target})
+	_, err := invoke[probeViaRequest, empty](ctx, c, via, callProbeVia, probeViaRequest{Target: target})
 	return err
 }
 
-// reach connects anew to a peer, since an old connection may still stand
+// checkReachable connects anew to a peer, since an old connection may still stand
 // where a new one would not come through, and makes an empty call.
-func (c *Client) reach(ctx context.Context, address string) error {
-	conn, err := c.dial(ctx, place{address: address})
+func (c *Client) checkReachable(ctx context.Context, address string) error {
+	conn, err := c.dial(ctx, connKey{address: address})
 	if err != nil {
 		return errs.Wrap(Unreachable, "reach", err, "peer %s", address)
 	}
@@ -317,7 +317,7 @@
 // Claim asks a replica for its vote.
 func (c *Client) Claim(ctx context.Context, to view.Member, r claim.Request) (claim.Reply, error) {
 	if to.ID == c.self {
-		return c.local.Claim(r), nil
+		return c.replica.Claim(r), nil
 	}
 	return invoke[claim.Request, claim.Reply](ctx, c, to.Peer, callClaim, r)
 }
@@ -325,7 +325,7 @@
 // Lookup reads a key at a replica.
 func (c *Client) Lookup(ctx context.Context, to view.Member, r claim.Request) (claim.Reply, error) {
 	if to.ID == c.self {
-		return c.local.Lookup(r), nil
+		return c.replica.Lookup(r), nil
 	}
 	return invoke[claim.Request, claim.Reply](ctx, c, to.Peer, callLookup, r)
 }
@@ -333,7 +333,7 @@
 // Advance moves a claim on at a replica.
 func (c *Client) Advance(ctx context.Context, to view.Member, e claim.Entry) error {
 	if to.ID == c.self {
-		c.local.Advance(e)
+		c.replica.Advance(e)
 		return nil
 	}
 	_, err := invoke[claim.Entry, empty](ctx, c, to.Peer, callAdvance, e)
@@ -343,7 +343,7 @@
 // Release gives a claim up at a replica.
 func (c *Client) Release(ctx context.Context, to view.Member, key claim.Key, token string, upTo claim.State) error {
 	if to.ID == c.self {
-		c.local.Release(key, token, upTo)
+		c.replica.Release(key, token, upTo)
 		return nil
 	}
 	_, err := invoke[releaseRequest, empty](ctx, c, to.Peer, callRelease, releaseRequest{Key: key, Token: token, UpTo: upTo})
@@ -421,15 +421,15 @@
 	// The stream outlives this call, which only waits for its first message.
 	streamCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	timer := time.AfterFunc(attachTimeout, cancel)
-	p := c.place(h.Peer)
+	p := c.connKey(h.Peer)
 	stream, err := c.pool.Get(streamCtx, p, c.dial).NewStream(streamCtx, callAttach, codec{})
 	if err != nil {
 		cancel()
 		return nil, false, false, errs.Wrap(Unreachable, callAttach, err, "peer %s", h.Peer)
 	}
-	first, err := firstPart(stream, attemptRequest{Attempt: attempt, Holder: h.ID})
+	first, err := receiveFirst(stream, attemptRequest{Attempt: attempt, Holder: h.ID})
 	if !timer.Stop() {
-		c.leave(p)
+		c.retireConns(p)
 		if err == nil {
 			err = context.DeadlineExceeded
 		}
@@ -447,17 +447,17 @@
 	// What the holder has already is taken in here, so that who only asks
 	// whether the answer is there sees it at once.
 	x = answer.NewExchange(attempt, func() {})
-	copyPart(x, first)
+	applyMessage(x, first)
 	go func() {
 		defer cancel()
 		defer stream.Close()
-		follow(stream, x, first.Done)
+		copyResponse(stream, x, first.Done)
 	}()
 	return x, true, true, nil
 }
 
-func firstPart(stream drpc.Stream, r attemptRequest) (attachPart, error) {
-	var part attachPart
+func receiveFirst(stream drpc.Stream, r attemptRequest) (attachMessage, error) {
+	var part attachMessage
 	if err := stream.MsgSend(&r, codec{}); err != nil {
 		return part, err
 	}
@@ -465,10 +465,10 @@
 	return part, err
 }
 
-// follow copies an answer until it ends or its holder is lost.
-func follow(stream drpc.Stream, x *answer.Exchange, done bool) {
+// copyResponse copies an answer until it ends or its holder is lost.
+func copyResponse(stream drpc.Stream, x *answer.Exchange, done bool) {
 	for !done {
-		var part attachPart
+		var part attachMessage
 		if err := stream.MsgRecv(&part, codec{}); err != nil {
 			x.Fail(&answer.Failure{
 				Reason:      "holder_unreachable",
@@ -479,24 +479,24 @@
 			})
 			return
 		}
-		copyPart(x, part)
+		applyMessage(x, part)
 		done = part.Done
 	}
 }
 
-func copyPart(x *answer.Exchange, part attachPart) {
-	if part.Headed {
+func applyMessage(x *answer.Exchange, part attachMessage) {
+	if part.HasHead {
 		x.Begin(part.Head)
 	}
 	for _, p := range part.Parts {
 		x.Append(p)
 	}
 	if part.Done {
-		finish(x, part.Failure)
+		finishResponse(x, part.Failure)
 	}
 }
 
-func finish(x *answer.Exchange, failure *answer.Failure) {
+func finishResponse(x *answer.Exchange, failure *answer.Failure) {
 	if failure != nil {
 		x.Fail(failure)
 		return
--- a/adapter/peer/hall_test.go
+++ b/adapter/peer/declaration_test.go
@@ -24,15 +24,15 @@
 const (
 	// followers of one node, as the largest data hall that has links of 10 Mbit/s.
 	followers = 30
-	// linkBytes is what such a link carries in a second.
-	linkBytes = 1_250_000
-	// inForce is the time after which a change must be in force everywhere.
-	inForce = 3 * time.Second
+	// linkBytesPerSecond is what such a link carries in a second.
+	linkBytesPerSecond = 1_250_000
+	// maxPropagation is the time after which a change must be in force everywhere.
+	maxPropagation = 3 * time.Second
 )
 
 // TestLargeDeclaration: a declaration with 1,600 routes is in force at all nodes of
 // a hall in time, though it comes to all of them over the link of one.
-func TestLargeDeclaration(t *testing.T) { grow(t, 20, 1600) }
+func TestLargeDeclaration(t *testing.T) { checkPropagation(t, 20, 1600) }
 
 // TestLargestDeclaration: a declaration grows again and again, up to the size that
 // the store takes under one key (1 MB), and each time all nodes of a hall hear of it
@@ -43,29 +43,29 @@
 // answer", three upstreams in turn, every 2 s, for 11 s). Packed, an answer takes a
 // tenth of that, but is still as large as the whole: 6,200 routes pass the 2.5 s that
 // a call may take now, for all followers at once, and again when they ask anew.
-func TestLargestDeclaration(t *testing.T) { grow(t, 4800, 6200) }
+func TestLargestDeclaration(t *testing.T) { checkPropagation(t, 4800, 6200) }
 
-// grow lets a declaration grow, and looks at what the nodes of a hall then know.
-func grow(t *testing.T, before, after int) {
+// checkPropagation lets a declaration grow, and looks at what the nodes of a hall then know.
+func checkPropagation(t *testing.T, before, after int) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		defer settle()
+		defer drainLink()
 		defer cancel()
 		timers := timer.New()
 		defer timers.Close()
-		kept := &heldStore{}
+		kept := &singleKeyStore{}
 		kept.put(declaration(before))
 		upstream := mirror.New(kept, noPeers{}, timers)
 		go upstream.Run(ctx)
-		l := newLink(linkBytes)
+		l := newLink(linkBytesPerSecond)
 		defer l.Close()
-		go func() { _ = peer.NewGatewayServer(following{upstream}).Serve(ctx, l, nil) }()
+		go func() { _ = peer.NewGatewayServer(mirrorGateway{upstream}).Serve(ctx, l, nil) }()
 		var nodes []*mirror.Mirror
 		for range followers {
 			var m *mirror.Mirror
 			client := peer.NewClient(nil, peer.WithDialer(l.dial), peer.WithKnownValues(func(key string) (mirror.Item, bool) { return m.Get(key) }))
 			defer client.Close()
-			m = mirror.New(&readOnce{heldStore: kept}, onePeer{client}, timers)
+			m = mirror.New(&readOnceStore{singleKeyStore: kept}, singlePeer{client}, timers)
 			nodes = append(nodes, m)
 			go m.Run(ctx)
 		}
@@ -73,7 +73,7 @@
 
 		large := declaration(after)
 		kept.put(large)
-		time.Sleep(inForce)
+		time.Sleep(maxPropagation)
 		for i, m := range nodes {
 			item, _ := m.Get(declarationKey)
 			test.Eq(t, len(large), len(item.Value), test.Sprintf("node %d of %d", i, followers))
@@ -81,9 +81,9 @@
 	})
 }
 
-// settle lets what the link still carries pass, in the test's own time, so that all
+// drainLink lets what the link still carries pass, in the test's own time, so that all
 // tasks end: a bubble must not be left while one of them waits.
-func settle() {
+func drainLink() {
 	time.Sleep(time.Minute)
 	synctest.Wait()
 }
@@ -114,27 +114,27 @@
 	return data
 }
 
-// heldStore holds one key.
-type heldStore struct {
+// singleKeyStore holds one key.
+type singleKeyStore struct {
 	mu       sync.Mutex
 	item     mirror.Item
 	revision int64
 }
 
-func (s *heldStore) put(value []byte) {
+func (s *singleKeyStore) put(value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
 	s.item = mirror.Item{Key: declarationKey, Value: value, Revision: s.revision}
 }
 
-func (s *heldStore) ReadAll(context.Context) (mirror.Batch, error) {
+func (s *singleKeyStore) ReadAll(context.Context) (mirror.Batch, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return mirror.Batch{Items: []mirror.Item{s.item}, Revision: s.revision, Whole: true}, nil
 }
 
-func (s *heldStore) Follow(ctx context.Context, after int64, wait time.Duration) (mirror.Batch, error) {
+func (s *singleKeyStore) Follow(ctx context.Context, after int64, wait time.Duration) (mirror.Batch, error) {
 	b, err := s.ReadAll(ctx)
 	if b.Revision <= after {
 		select {
@@ -148,25 +148,25 @@
 	return b, err
 }
 
-// readOnce is the store for a node that reaches it when it starts, and is to hear
+// readOnceStore is the store for a node that reaches it when it starts, and is to hear
 // from its upstream after that.
-type readOnce struct {
-	*heldStore
+type readOnceStore struct {
+	*singleKeyStore
 	read atomic.Bool
 }
 
-func (s *readOnce) ReadAll(ctx context.Context) (mirror.Batch, error) {
+func (s *readOnceStore) ReadAll(ctx context.Context) (mirror.Batch, error) {
 	if s.read.Swap(true) {
-		return mirror.Batch{}, errAway
+		return mirror.Batch{}, errStoreUnreachable
 	}
-	return s.heldStore.ReadAll(ctx)
+	return s.singleKeyStore.ReadAll(ctx)
 }
 
-func (*readOnce) Follow(context.Context, int64, time.Duration) (mirror.Batch, error) {
-	return mirror.Batch{}, errAway
+func (*readOnceStore) Follow(context.Context, int64, time.Duration) (mirror.Batch, error) {
+	return mirror.Batch{}, errStoreUnreachable
 }
 
-var errAway = errors.New("the store is not reached")
+var errStoreUnreachable = errors.New("the store is not reached")
 
 // noPeers are those of a node that follows the store.
 type noPeers struct{}
@@ -177,27 +177,27 @@
 	return mirror.Batch{}, errors.New("no peer")
 }
 
-// onePeer is the only one that a node follows.
-type onePeer struct{ client *peer.Client }
+// singlePeer is the only one that a node follows.
+type singlePeer struct{ client *peer.Client }
 
 const upstreamAddress = "upstream"
 
-func (onePeer) Addresses() []string { return []string{upstreamAddress} }
-func (onePeer) Upstream() []string  { return []string{upstreamAddress} }
+func (singlePeer) Addresses() []string { return []string{upstreamAddress} }
+func (singlePeer) Upstream() []string  { return []string{upstreamAddress} }
 
-func (p onePeer) Follow(ctx context.Context, address string, after int64, wait time.Duration) (mirror.Batch, error) {
+func (p singlePeer) Follow(ctx context.Context, address string, after int64, wait time.Duration) (mirror.Batch, error) {
 	return p.client.Follow(ctx, address, after, wait)
 }
 
-// following answers with what a mirror knows.
-type following struct{ m *mirror.Mirror }
+// mirrorGateway answers with what a mirror knows.
+type mirrorGateway struct{ m *mirror.Mirror }
 
-func (g following) Await(ctx context.Context, revision int64, wait time.Duration) mirror.Batch {
+func (g mirrorGateway) Await(ctx context.Context, revision int64, wait time.Duration) mirror.Batch {
 	return g.m.Await(ctx, revision, wait)
 }
-func (g following) Previous(key string) (mirror.Item, bool) { return g.m.Before(key) }
-func (following) Counts() (string, rollout.Counts)          { return "node", rollout.Counts{} }
-func (following) Exchange(share.Message) share.Reply        { return share.Reply{} }
+func (g mirrorGateway) Previous(key string) (mirror.Item, bool) { return g.m.Before(key) }
+func (mirrorGateway) Counts() (string, rollout.Counts)          { return "node", rollout.Counts{} }
+func (mirrorGateway) Exchange(share.Message) share.Reply        { return share.Reply{} }
 
 // link is a node's own link: what it sends on all its connections goes out at one
 // speed, in the order in which it was written.
@@ -208,9 +208,9 @@
 	perByte  time.Duration
 
 	mu sync.Mutex
-	// free is when all that has been written will have gone out.
-	free time.Time
-	open []net.Conn
+	// idleAt is when all that has been written will have gone out.
+	idleAt time.Time
+	open   []net.Conn
 }
 
 func newLink(bytesPerSecond int) *link {
@@ -223,7 +223,7 @@
 	l.open = append(l.open, near, far)
 	l.mu.Unlock()
 	select {
-	case l.accepted <- slowConn{far, l}:
+	case l.accepted <- throttledConn{far, l}:
 		return near, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -253,32 +253,32 @@
 
 func (l *link) Addr() net.Addr { return &net.TCPAddr{} }
 
-// pass returns when so many bytes have gone out.
-func (l *link) pass(n int) {
+// transmit returns when so many bytes have gone out.
+func (l *link) transmit(n int) {
 	l.mu.Lock()
-	if now := time.Now(); l.free.Before(now) {
-		l.free = now
+	if now := time.Now(); l.idleAt.Before(now) {
+		l.idleAt = now
 	}
-	l.free = l.free.Add(time.Duration(n) * l.perByte)
-	wait := time.Until(l.free)
+	l.idleAt = l.idleAt.Add(time.Duration(n) * l.perByte)
+	wait := time.Until(l.idleAt)
 	l.mu.Unlock()
 	time.Sleep(wait)
 }
 
-// slowConn is a connection over a link.
-type slowConn struct {
+// throttledConn is a connection over a link.
+type throttledConn struct {
 	net.Conn
 	link *link
 }
 
-// segment is what goes out at once, so that connections share the link.
-const segment = 1400
+// segmentBytes is what goes out at once, so that connections share the link.
+const segmentBytes = 1400
 
-func (c slowConn) Write(p []byte) (int, error) {
+func (c throttledConn) Write(p []byte) (int, error) {
 	written := 0
 	for written < len(p) {
-		piece := p[written:min(len(p), written+segment)]
-		c.link.pass(len(piece))
+		piece := p[written:min(len(p), written+segmentBytes)]
+		c.link.transmit(len(piece))
 		n, err := c.Conn.Write(piece)
 		written += n
 		if err != nil {
--- a/adapter/peer/difference.go
+++ b/adapter/peer/delta.go
@@ -12,17 +12,17 @@
 // which 30 followers take longer to get over a link of 10 Mbit/s than a call may
 // last (TestLargestDeclaration).
 
-// dictionary names the earlier value in what is packed from it: a format's detail,
+// dictionaryID names the earlier value in what is packed from it: a format's detail,
 // since both ends know which one it is.
-const dictionary = 1
+const dictionaryID = 1
 
-// difference packs a value from an earlier one.
-func difference(base, value []byte) ([]byte, error) {
+// encodeDelta packs a value from an earlier one.
+func encodeDelta(base, value []byte) ([]byte, error) {
 	w, err := zstd.NewWriter(nil,
-		zstd.WithEncoderDictRaw(dictionary, base),
+		zstd.WithEncoderDictRaw(dictionaryID, base),
 		zstd.WithEncoderLevel(zstd.SpeedFastest),
 		zstd.WithEncoderConcurrency(1),
-		zstd.WithWindowSize(window(len(base)+len(value))))
+		zstd.WithWindowSize(windowSize(len(base)+len(value))))
 	if err != nil {
 		return nil, err
 	}
@@ -30,16 +30,16 @@
 	return w.EncodeAll(value, nil), nil
 }
 
-// window is the least window that reaches back over so many bytes: a power of two,
+// windowSize is the least window that reaches back over so many bytes: a power of two,
 // as the format wants it.
-func window(size int) int { return min(1<<bits.Len(uint(size)), unpackedMax) }
+func windowSize(size int) int { return min(1<<bits.Len(uint(size)), maxDecompressedBytes) }
 
-// applyDifference returns the value that was packed from an earlier one.
-func applyDifference(base, data []byte) ([]byte, error) {
+// decodeDelta returns the value that was packed from an earlier one.
+func decodeDelta(base, data []byte) ([]byte, error) {
 	r, err := zstd.NewReader(nil,
-		zstd.WithDecoderDictRaw(dictionary, base),
+		zstd.WithDecoderDictRaw(dictionaryID, base),
 		zstd.WithDecoderConcurrency(1),
-		zstd.WithDecoderMaxMemory(unpackedMax))
+		zstd.WithDecoderMaxMemory(maxDecompressedBytes))
 	if err != nil {
 		return nil, err
 	}
--- a/adapter/peer/difference_test.go
+++ b/adapter/peer/delta_test.go
@@ -16,9 +16,9 @@
 	"github.com/violettally/violettally/share"
 )
 
-// TestDifference lists what a peer knows of a large value that has changed, and how
+// TestDeltaEncoding lists what a peer knows of a large value that has changed, and how
 // it is told of the change.
-func TestDifference(t *testing.T) {
+func TestDeltaEncoding(t *testing.T) {
 	old, changed := declaration(4800), declaration(6200)
 	earlier := mirror.Item{Key: "a", Value: old, Revision: 5}
 	tests := []struct {
@@ -29,23 +29,23 @@
 		base    int64
 		most    int
 	}{
-		{"knows the value before", earlier, peer.Request{After: 7, Packed: true, Differences: true}, 5, 40_000},
-		{"knows it just so", earlier, peer.Request{After: 5, Packed: true, Differences: true}, 5, 40_000},
-		{"knows an older one", earlier, peer.Request{After: 4, Packed: true, Differences: true}, 0, 150_000},
-		{"reads no differences", earlier, peer.Request{After: 7, Packed: true}, 0, 150_000},
-		{"nothing was there before", mirror.Item{}, peer.Request{After: 7, Packed: true, Differences: true}, 0, 150_000},
-		{"the node has gone on", mirror.Item{Key: "a", Value: changed, Revision: 9}, peer.Request{After: 7, Packed: true, Differences: true}, 0, 150_000},
+		{"knows the value before", earlier, peer.Request{After: 7, AcceptCompressed: true, AcceptDeltas: true}, 5, 40_000},
+		{"knows it just so", earlier, peer.Request{After: 5, AcceptCompressed: true, AcceptDeltas: true}, 5, 40_000},
+		{"knows an older one", earlier, peer.Request{After: 4, AcceptCompressed: true, AcceptDeltas: true}, 0, 150_000},
+		{"reads no differences", earlier, peer.Request{After: 7, AcceptCompressed: true}, 0, 150_000},
+		{"nothing was there before", mirror.Item{}, peer.Request{After: 7, AcceptCompressed: true, AcceptDeltas: true}, 0, 150_000},
+		{"the node has gone on", mirror.Item{Key: "a", Value: changed, Revision: 9}, peer.Request{After: 7, AcceptCompressed: true, AcceptDeltas: true}, 0, 150_000},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			packing := peer.NewPacking(func(string) (mirror.Item, bool) { return tt.before, tt.before.Revision != 0 })
+			packing := peer.NewBatchEncoder(func(string) (mirror.Item, bool) { return tt.before, tt.before.Revision != 0 })
 			b := mirror.Batch{Items: []mirror.Item{{Key: "a", Value: changed, Revision: 9}}, Revision: 9}
 			for range 2 {
-				reply, err := packing.Reply(b, tt.request)
+				reply, err := packing.Encode(b, tt.request)
 				must.NoError(t, err)
-				must.Eq(t, tt.base, reply.Items[0].Base)
+				must.Eq(t, tt.base, reply.Items[0].BaseRevision)
 				must.Less(t, tt.most, len(reply.Items[0].Value))
-				back, err := peer.Batch(reply, func(string) (mirror.Item, bool) { return earlier, true })
+				back, err := peer.Decode(reply, func(string) (mirror.Item, bool) { return earlier, true })
 				must.NoError(t, err)
 				must.True(t, reflect.DeepEqual(b, back))
 			}
@@ -55,12 +55,12 @@
 
 // TestNoBase: a node whose copy is not the one that it asked from, since another peer
 // has told it more meanwhile, asks for the value itself.
-func TestNoBase(t *testing.T) {
-	l := newLink(linkBytes)
+func TestUnknownBase(t *testing.T) {
+	l := newLink(linkBytesPerSecond)
 	defer l.Close()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	g := &changedOnce{}
+	g := &fakeGateway{}
 	go func() { _ = peer.NewGatewayServer(g).Serve(ctx, l, nil) }()
 	client := peer.NewClient(nil, peer.WithDialer(l.dial), peer.WithKnownValues(func(string) (mirror.Item, bool) {
 		return mirror.Item{Key: "a", Value: declaration(99), Revision: 7}, true
@@ -70,31 +70,31 @@
 	must.NoError(t, err)
 	must.True(t, bytes.Equal(declaration(200), batch.Items[0].Value))
 
-	reply, err := peer.NewPacking(g.Previous).Reply(g.Await(ctx, 5, 0), peer.Request{After: 5, Differences: true})
+	reply, err := peer.NewBatchEncoder(g.Previous).Encode(g.Await(ctx, 5, 0), peer.Request{After: 5, AcceptDeltas: true})
 	must.NoError(t, err)
-	_, err = peer.Batch(reply, nothing)
+	_, err = peer.Decode(reply, noValues)
 	must.True(t, errorx.IsOfType(err, peer.UnknownBase))
 }
 
-// changedOnce holds a declaration that has grown.
-type changedOnce struct{}
+// fakeGateway holds a declaration that has grown.
+type fakeGateway struct{}
 
-func (*changedOnce) Await(context.Context, int64, time.Duration) mirror.Batch {
+func (*fakeGateway) Await(context.Context, int64, time.Duration) mirror.Batch {
 	return mirror.Batch{Items: []mirror.Item{{Key: "a", Value: declaration(200), Revision: 9}}, Revision: 9}
 }
 
-func (*changedOnce) Previous(string) (mirror.Item, bool) {
+func (*fakeGateway) Previous(string) (mirror.Item, bool) {
 	return mirror.Item{Key: "a", Value: declaration(100), Revision: 5}, true
 }
-func (*changedOnce) Counts() (string, rollout.Counts)   { return "node", rollout.Counts{} }
-func (*changedOnce) Exchange(share.Message) share.Reply { return share.Reply{} }
+func (*fakeGateway) Counts() (string, rollout.Counts)   { return "node", rollout.Counts{} }
+func (*fakeGateway) Exchange(share.Message) share.Reply { return share.Reply{} }
 
 // FuzzDifference: whatever a peer sends as a difference is read or refused.
 func FuzzDifference(f *testing.F) {
 	base := mirror.Item{Key: "a", Value: declaration(100), Revision: 5}
 	known := func(string) (mirror.Item, bool) { return base, true }
-	reply, err := peer.NewPacking(known).Reply(
-		mirror.Batch{Items: []mirror.Item{{Key: "a", Value: declaration(200), Revision: 9}}}, peer.Request{After: 5, Differences: true})
+	reply, err := peer.NewBatchEncoder(known).Encode(
+		mirror.Batch{Items: []mirror.Item{{Key: "a", Value: declaration(200), Revision: 9}}}, peer.Request{After: 5, AcceptDeltas: true})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/adapter/peer/pack_test.go
+++ b/adapter/peer/encode_test.go
@@ -12,9 +12,9 @@
 	"github.com/violettally/violettally/mirror"
 )
 
-// TestPacked lists values and who asks for them: whoever it is gets them whole, and
+// TestCompression lists values and who asks for them: whoever it is gets them whole, and
 // only one that reads packed values gets any.
-func TestPacked(t *testing.T) {
+func TestCompression(t *testing.T) {
 	large := declaration(1600)
 	tests := []struct {
 		name   string
@@ -30,7 +30,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			packing := peer.NewPacking(nothing)
+			packing := peer.NewBatchEncoder(noValues)
 			for revision := range int64(2) {
 				b := mirror.Batch{
 					Items: []mirror.Item{
@@ -41,7 +41,7 @@
 					Revision: revision + 1, Whole: true, Age: time.Second,
 				}
 				for range 2 {
-					reply, err := packing.Reply(b, peer.Request{Packed: tt.packed})
+					reply, err := packing.Encode(b, peer.Request{AcceptCompressed: tt.packed})
 					must.NoError(t, err)
 					data, err := peer.Codec.Marshal(&reply)
 					must.NoError(t, err)
@@ -49,7 +49,7 @@
 					must.LessEq(t, tt.most, len(data))
 					var got peer.Reply
 					must.NoError(t, peer.Codec.Unmarshal(data, &got))
-					back, err := peer.Batch(got, nothing)
+					back, err := peer.Decode(got, noValues)
 					must.NoError(t, err)
 					must.True(t, reflect.DeepEqual(b, back))
 					if !tt.packed {
@@ -63,16 +63,16 @@
 	}
 }
 
-// nothing is known.
-func nothing(string) (mirror.Item, bool) { return mirror.Item{}, false }
+// noValues is known.
+func noValues(string) (mirror.Item, bool) { return mirror.Item{}, false }
 
 // FuzzPacked: whatever a peer sends is read or refused.
 func FuzzPacked(f *testing.F) {
-	reply, err := peer.NewPacking(nothing).Reply(mirror.Batch{Items: []mirror.Item{{Key: "a", Value: declaration(100)}}}, peer.Request{Packed: true})
+	reply, err := peer.NewBatchEncoder(noValues).Encode(mirror.Batch{Items: []mirror.Item{{Key: "a", Value: declaration(100)}}}, peer.Request{AcceptCompressed: true})
 	if err != nil {
 		f.Fatal(err)
 	}
-	fuzzValue(f, reply, nothing)
+	fuzzValue(f, reply, noValues)
 }
 
 // fuzzValue lets a peer send anything as the value of a reply's only item.
@@ -81,7 +81,7 @@
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		reply.Items[0].Value = data
-		if b, err := peer.Batch(reply, known); err == nil {
+		if b, err := peer.Decode(reply, known); err == nil {
 			must.Len(t, 1, b.Items)
 		}
 	})
--- a/adapter/peer/export_test.go
+++ b/adapter/peer/export_test.go
@@ -2,12 +2,12 @@
 
 import "github.com/violettally/violettally/mirror"
 
-// Packing is one node's, as its peers get it.
-type Packing struct{ p *packer }
+// BatchEncoder is one node's, as its peers get it.
+type BatchEncoder struct{ encoder *batchEncoder }
 
-// NewPacking returns the packing of a node whose keys held what before returns.
-func NewPacking(before func(key string) (mirror.Item, bool)) Packing {
-	return Packing{newPacker(before)}
+// NewBatchEncoder returns the packing of a node whose keys held what before returns.
+func NewBatchEncoder(before func(key string) (mirror.Item, bool)) BatchEncoder {
+	return BatchEncoder{newBatchEncoder(before)}
 }
 
 // Request is what a peer asks for.
@@ -16,12 +16,12 @@
 // Reply is what it gets.
 type Reply = followReply
 
-// Reply packs a batch for a request.
-func (p Packing) Reply(b mirror.Batch, r Request) (Reply, error) { return p.p.reply(b, r) }
+// Encode packs a batch for a request.
+func (p BatchEncoder) Encode(b mirror.Batch, r Request) (Reply, error) { return p.encoder.encode(b, r) }
 
-// Batch is what a peer that holds the known values makes of a reply.
-func Batch(r Reply, known func(key string) (mirror.Item, bool)) (mirror.Batch, error) {
-	return r.batch(known)
+// Decode is what a peer that holds the known values makes of a reply.
+func Decode(r Reply, known func(key string) (mirror.Item, bool)) (mirror.Batch, error) {
+	return r.decode(known)
 }
 
 // Codec is that of all calls.
--- a/adapter/peer/gateway.go
+++ b/adapter/peer/gateway.go
@@ -24,11 +24,11 @@
 type followRequest struct {
 	After int64         `cbor:"1,keyasint"`
 	Wait  time.Duration `cbor:"2,keyasint"`
-	// Packed says that the caller reads packed values; earlier versions do not.
-	Packed bool `cbor:"3,keyasint,omitempty"`
-	// Differences says that it knows the large values as they were at After, and
+	// AcceptCompressed says that the caller reads packed values; earlier versions do not.
+	AcceptCompressed bool `cbor:"3,keyasint,omitempty"`
+	// AcceptDeltas says that it knows the large values as they were at After, and
 	// reads what has changed in them.
-	Differences bool `cbor:"4,keyasint,omitempty"`
+	AcceptDeltas bool `cbor:"4,keyasint,omitempty"`
 }
 
 // Gateway is what a gateway answers its peers with.
@@ -42,21 +42,21 @@
 // NewGatewayServer returns a server that answers the calls between gateways, and
 // none of those between the product's own nodes.
 func NewGatewayServer(g Gateway) *Server {
-	packer := newPacker(g.Previous)
-	return &Server{calls: map[string]func(drpc.Stream) error{
-		callFollow: handle(func(ctx context.Context, r followRequest) (followReply, error) {
-			return packer.reply(g.Await(ctx, r.After, r.Wait), r)
+	packer := newBatchEncoder(g.Previous)
+	return &Server{handlers: map[string]func(drpc.Stream) error{
+		callFollow: unaryHandler(func(ctx context.Context, r followRequest) (followReply, error) {
+			return packer.encode(g.Await(ctx, r.After, r.Wait), r)
 		}),
-		callExchange: handle(func(_ context.Context, m share.Message) (share.Reply, error) {
+		callExchange: unaryHandler(func(_ context.Context, m share.Message) (share.Reply, error) {
 			return g.Exchange(m), nil
 		}),
-		callCounts: answerCounts(g.Counts),
+		callCounts: countsHandler(g.Counts),
 	}}
 }
 
-// answerCounts answers with what a node has counted of each version.
-func answerCounts(counted func() (node string, counts rollout.Counts)) func(drpc.Stream) error {
-	return handle(func(context.Context, empty) (countsReply, error) {
+// countsHandler answers with what a node has counted of each version.
+func countsHandler(counted func() (node string, counts rollout.Counts)) func(drpc.Stream) error {
+	return unaryHandler(func(context.Context, empty) (countsReply, error) {
 		node, counts := counted()
 		return countsReply{Node: node, Counts: counts}, nil
 	})
@@ -67,11 +67,11 @@
 // differences from them. Its copy may have gone on meanwhile, by another peer's
 // word; then the values are asked for as they are.
 func (c *Client) Follow(ctx context.Context, address string, after int64, wait time.Duration) (mirror.Batch, error) {
-	request := followRequest{After: after, Wait: wait, Packed: true, Differences: c.known != nil}
+	request := followRequest{After: after, Wait: wait, AcceptCompressed: true, AcceptDeltas: c.knownValue != nil}
 	batch, err := c.follow(ctx, address, request)
 	if errorx.IsOfType(err, UnknownBase) {
 		slog.Info("difference from a value that is not known; asking for the value", "peer", address, "after", after, "error", err)
-		request.Differences = false
+		request.AcceptDeltas = false
 		batch, err = c.follow(ctx, address, request)
 	}
 	return batch, err
@@ -82,7 +82,7 @@
 	if err != nil {
 		return mirror.Batch{}, err
 	}
-	return reply.batch(c.known)
+	return reply.decode(c.knownValue)
 }
 
 // Exchange tells a gateway what this node knows of sends to servers, and returns
--- a/adapter/peer/messages.go
+++ b/adapter/peer/messages.go
@@ -30,7 +30,7 @@
 // empty is the answer of calls that only take something.
 type empty struct{}
 
-type probeVia struct {
+type probeViaRequest struct {
 	Target string `cbor:"1,keyasint"`
 }
 
@@ -71,12 +71,12 @@
 	Holder  string `cbor:"2,keyasint"`
 }
 
-// attachPart is one message of an answer that is followed from another node.
+// attachMessage is one message of an answer that is followed from another node.
 // The first one says whether the attempt is known.
-type attachPart struct {
+type attachMessage struct {
 	Found   bool            `cbor:"1,keyasint"`
 	Ran     bool            `cbor:"2,keyasint"`
-	Headed  bool            `cbor:"3,keyasint"`
+	HasHead bool            `cbor:"3,keyasint"`
 	Head    answer.Head     `cbor:"4,keyasint"`
 	Parts   [][]byte        `cbor:"5,keyasint"`
 	Done    bool            `cbor:"6,keyasint"`
--- a/adapter/peer/server.go
+++ b/adapter/peer/server.go
@@ -24,9 +24,9 @@
 	"github.com/violettally/violettally/rollout"
 )
 
-// maxMessage bounds one message between nodes. The largest are pages of a
+// maxMessageBytes bounds one message between nodes. The largest are pages of a
 // transfer: 256 claims, of which patient ones hold their request.
-const maxMessage = 64 << 20
+const maxMessageBytes = 64 << 20
 
 // Node is what a node answers its peers with.
 type Node interface {
@@ -44,55 +44,55 @@
 
 // Server answers the calls of other nodes.
 type Server struct {
-	node    Node
-	replica *claim.Replica
-	client  *Client
-	calls   map[string]func(drpc.Stream) error
+	node     Node
+	replica  *claim.Replica
+	client   *Client
+	handlers map[string]func(drpc.Stream) error
 }
 
 // NewServer returns a server of the node and its claim replica. The client is
 // used to probe on behalf of others.
 func NewServer(node Node, replica *claim.Replica, client *Client) *Server {
 	s := &Server{node: node, replica: replica, client: client}
-	s.calls = map[string]func(drpc.Stream) error{
-		callProbe:    handle(func(_ context.Context, h member.Heartbeat) (member.Heartbeat, error) { return node.Probe(h), nil }),
-		callProbeVia: handle(s.probeVia),
-		callFetch: handle(func(_ context.Context, r fetchRequest) (fetchReply, error) {
+	s.handlers = map[string]func(drpc.Stream) error{
+		callProbe:    unaryHandler(func(_ context.Context, h member.Heartbeat) (member.Heartbeat, error) { return node.Probe(h), nil }),
+		callProbeVia: unaryHandler(s.probeVia),
+		callFetch: unaryHandler(func(_ context.Context, r fetchRequest) (fetchReply, error) {
 			return fetchReply{Items: node.NewerDocuments(r.Known)}, nil
 		}),
-		callNotify: handle(func(_ context.Context, r notifyRequest) (empty, error) {
+		callNotify: unaryHandler(func(_ context.Context, r notifyRequest) (empty, error) {
 			node.RecordRevisions(r.From, r.Revisions)
 			return empty{}, nil
 		}),
-		callClaim:  handle(func(_ context.Context, r claim.Request) (claim.Reply, error) { return replica.Claim(r), nil }),
-		callLookup: handle(func(_ context.Context, r claim.Request) (claim.Reply, error) { return replica.Lookup(r), nil }),
-		callAdvance: handle(func(_ context.Context, e claim.Entry) (empty, error) {
+		callClaim:  unaryHandler(func(_ context.Context, r claim.Request) (claim.Reply, error) { return replica.Claim(r), nil }),
+		callLookup: unaryHandler(func(_ context.Context, r claim.Request) (claim.Reply, error) { return replica.Lookup(r), nil }),
+		callAdvance: unaryHandler(func(_ context.Context, e claim.Entry) (empty, error) {
 			replica.Advance(e)
 			return empty{}, nil
 		}),
-		callRelease: handle(func(_ context.Context, r releaseRequest) (empty, error) {
+		callRelease: unaryHandler(func(_ context.Context, r releaseRequest) (empty, error) {
 			replica.Release(r.Key, r.Token, r.UpTo)
 			return empty{}, nil
 		}),
-		callTransfer: handle(func(_ context.Context, r claim.TransferRequest) (claim.TransferReply, error) {
+		callTransfer: unaryHandler(func(_ context.Context, r claim.TransferRequest) (claim.TransferReply, error) {
 			return replica.Transfer(r), nil
 		}),
-		callLimit:  handle(func(_ context.Context, a limit.Ask) (limit.Grant, error) { return node.Grant(a), nil }),
-		callCounts: answerCounts(node.Counts),
-		callRecall: handle(func(_ context.Context, r recallRequest) (billing.Recollection, error) {
+		callLimit:  unaryHandler(func(_ context.Context, a limit.Ask) (limit.Grant, error) { return node.Grant(a), nil }),
+		callCounts: countsHandler(node.Counts),
+		callRecall: unaryHandler(func(_ context.Context, r recallRequest) (billing.Recollection, error) {
 			return node.JournalRecords(r.Journal), nil
 		}),
-		callCheckpoint: handle(func(_ context.Context, a ledger.Account) (empty, error) {
+		callCheckpoint: unaryHandler(func(_ context.Context, a ledger.Account) (empty, error) {
 			node.StoreCheckpoint(a)
 			return empty{}, nil
 		}),
-		callCancel: handle(func(_ context.Context, r attemptRequest) (cancelReply, error) {
+		callCancel: unaryHandler(func(_ context.Context, r attemptRequest) (cancelReply, error) {
 			if err := s.checkHolder(r); err != nil {
 				return cancelReply{}, err
 			}
 			return cancelReply{Stopped: node.CancelAttempt(r.Attempt)}, nil
 		}),
-		callExplain: handle(func(_ context.Context, r explainRequest) (decision.Summary, error) {
+		callExplain: unaryHandler(func(_ context.Context, r explainRequest) (decision.Summary, error) {
 			summary, _ := node.Explain(r.RequestID)
 			return summary, nil
 		}),
@@ -101,8 +101,8 @@
 	return s
 }
 
-// handle makes a call with one request and one answer.
-func handle[Request, Reply any](answer func(context.Context, Request) (Reply, error)) func(drpc.Stream) error {
+// unaryHandler makes a call with one request and one answer.
+func unaryHandler[Request, Reply any](answer func(context.Context, Request) (Reply, error)) func(drpc.Stream) error {
 	return func(stream drpc.Stream) error {
 		var in Request
 		if err := stream.MsgRecv(&in, codec{}); err != nil {
@@ -118,7 +118,7 @@
 
 // HandleRPC answers one call.
 func (s *Server) HandleRPC(stream drpc.Stream, rpc string) error {
-	call := s.calls[rpc]
+	call := s.handlers[rpc]
 	if call == nil {
 		return errs.New(Unknown, "serve", "no call %q", rpc)
 	}
@@ -131,7 +131,7 @@
 		listener = tls.NewListener(listener, config)
 	}
 	server := drpcserver.NewWithOptions(s, drpcserver.Options{
-		Manager: drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: maxMessage}},
+		Manager: drpcmanager.Options{Reader: drpcwire.ReaderOptions{MaximumBufferSize: maxMessageBytes}},
 		Log:     func(err error) { slog.Debug("peer call failed", "error", err) },
 	})
 	err := server.Serve(ctx, listener)
@@ -141,8 +141,8 @@
 	return err
 }
 
-func (s *Server) probeVia(ctx context.Context, r probeVia) (empty, error) {
-	return empty{}, s.client.reach(ctx, r.Target)
+func (s *Server) probeVia(ctx context.Context, r probeViaRequest) (empty, error) {
+	return empty{}, s.client.checkReachable(ctx, r.Target)
 }
 
 func (s *Server) checkHolder(r attemptRequest) error {
@@ -163,13 +163,13 @@
 	}
 	x, ran := s.node.FindResponse(in.Attempt)
 	if x == nil {
-		return stream.MsgSend(&attachPart{Ran: ran}, codec{})
+		return stream.MsgSend(&attachMessage{Ran: ran}, codec{})
 	}
 	defer x.Attach()()
 	for sent := 0; ; {
 		state := x.From(sent)
 		sent += len(state.Parts)
-		part := attachPart{Found: true, Headed: state.Headed, Head: state.Head, Parts: state.Parts, Done: state.Done, Failure: state.Failure}
+		part := attachMessage{Found: true, HasHead: state.Headed, Head: state.Head, Parts: state.Parts, Done: state.Done, Failure: state.Failure}
 		if err := stream.MsgSend(&part, codec{}); err != nil {
 			return err
 		}
--- a/adapter/peer/silent_test.go
+++ b/adapter/peer/silent_test.go
@@ -17,24 +17,24 @@
 	"github.com/violettally/violettally/share"
 )
 
-// gateway answers a call once as many wait as it is told.
-type gateway struct{ together sync.WaitGroup }
+// blockingGateway answers a call once as many wait as it is told.
+type blockingGateway struct{ arrivals sync.WaitGroup }
 
-func (g *gateway) Previous(string) (mirror.Item, bool) { return mirror.Item{}, false }
-func (g *gateway) Await(context.Context, int64, time.Duration) mirror.Batch {
-	g.together.Done()
-	g.together.Wait()
+func (g *blockingGateway) Previous(string) (mirror.Item, bool) { return mirror.Item{}, false }
+func (g *blockingGateway) Await(context.Context, int64, time.Duration) mirror.Batch {
+	g.arrivals.Done()
+	g.arrivals.Wait()
 	return mirror.Batch{Revision: 1}
 }
 
-func (g *gateway) Counts() (string, rollout.Counts)   { return "node", rollout.Counts{} }
-func (g *gateway) Exchange(share.Message) share.Reply { return share.Reply{} }
+func (g *blockingGateway) Counts() (string, rollout.Counts)   { return "node", rollout.Counts{} }
+func (g *blockingGateway) Exchange(share.Message) share.Reply { return share.Reply{} }
 
 // TestSilentConnections: after one call that got no answer in time, the next one
 // goes on a new connection, whatever others were kept.
 func TestSilentConnections(t *testing.T) {
 	const kept = 3
-	g := &gateway{}
+	g := &blockingGateway{}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	go func() { _ = peer.NewGatewayServer(g).Serve(t.Context(), listener, nil) }()
@@ -43,7 +43,7 @@
 	t.Cleanup(p.Close)
 	client := peer.NewClient(nil)
 	t.Cleanup(func() { _ = client.Close() })
-	g.together.Add(kept)
+	g.arrivals.Add(kept)
 	var calls sync.WaitGroup
 	for range kept {
 		calls.Go(func() {
--- a/adapter/vmlist/vmlist.go
+++ b/adapter/vmlist/vmlist.go
@@ -27,9 +27,9 @@
 	timers   *timer.Service
 	interval time.Duration
 
-	mu    sync.RWMutex
-	vms   map[string]vm
-	known bool
+	mu     sync.RWMutex
+	vms    map[string]vm
+	loaded bool
 }
 
 type vm struct {
@@ -91,7 +91,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.vms, l.known = vms, true
+	l.vms, l.loaded = vms, true
 	return nil
 }
 
@@ -101,7 +101,7 @@
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	_, listed = l.vms[name]
-	return listed, l.known && len(l.vms) > 0
+	return listed, l.loaded && len(l.vms) > 0
 }
 
 // Leaving reports whether the list shows a VM as leaving.
