--- a/adapter/callers/callers.go
+++ b/adapter/callers/callers.go
@@ -1,15 +1,16 @@
-// Package callers is the door for client accounts: the OpenAI-compatible chat
-// API, plain services under a path of their own, requests by id, and the
-// addresses of the system's nodes. docs/INTERFACES.md lists the routes.
+// Package callers is the HTTP server for client accounts. It serves the
+// OpenAI-compatible chat API, plain services under their own path, requests by
+// id, and the addresses of the system's nodes. docs/INTERFACES.md lists the
+// routes.
 //
-// A name that comes from outside is never used as a key without the account
-// that its bearer key belongs to. Bodies, headers, times and connections are
-// bounded.
+// Names from clients are only used as keys together with the account that the
+// bearer key belongs to. The sizes of bodies and headers, the time to read
+// them, and the number of connections are limited.
 //
 // # Usage
 //
-//	door := callers.New(callers.Options{…})
-//	go door.Serve(ctx, listener)
+//	server := callers.New(callers.Options{…})
+//	go server.Serve(listener)
 package callers
 
 import (
@@ -29,38 +30,42 @@
 	"github.com/violettally/violettally/settings"
 )
 
-// Dispatcher takes requests along their path.
+// Dispatcher runs requests, finds their responses and cancels them.
 type Dispatcher interface {
 	Start(ctx context.Context, r *dispatch.Request) (*answer.Exchange, *dispatch.Refusal)
 	Find(ctx context.Context, account *config.Account, id string) (*answer.Exchange, *dispatch.Refusal)
 	Cancel(ctx context.Context, account *config.Account, id string) (bool, *dispatch.Refusal)
 }
 
-// Address is one node that callers may use.
+// Address is a node that clients may send requests to.
 type Address struct {
 	Address  string `json:"address"`
 	DataHall string `json:"data_hall"`
 	Weight   int    `json:"weight"`
 }
 
-// Options is what a Door is made of.
+// Options configures a Server.
 type Options struct {
 	Dispatcher Dispatcher
 	Config     func() *config.Snapshot
-	// Configured is closed once a configuration is in force.
+	// Configured is closed once the node has a configuration.
 	Configured <-chan struct{}
-	// Addresses returns the nodes to use, those of the data hall first.
+	// Addresses returns the nodes that clients may use, those in the given data
+	// hall first.
 	Addresses  func(dataHall string) []Address
 	AddressTTL time.Duration
 	Bounds     settings.Bounds
-	// RequestTimeout is the deadline of a request that brings none, and the
-	// longest that a request may bring.
+	// RequestTimeout is the default timeout of a synchronous request, and the
+	// longest that a client may ask for.
 	RequestTimeout time.Duration
-	NewID          func() string
-	OnRefusal      func(reason dispatch.Reason, account string)
+	// NewID returns an id for a request that the client gave none.
+	NewID func() string
+	// OnRefusal is called with each refusal but those of Dispatcher.Start, which
+	// reports its own. The account is "" if it is not known.
+	OnRefusal func(reason dispatch.Reason, account string)
 }
 
-// Server serves callers.
+// Server is the HTTP server for clients.
 type Server struct {
 	Options
 	server *http.Server
@@ -70,64 +75,65 @@
 	headerTimeout = 5 * time.Second
 	bodyTimeout   = 30 * time.Second
 	idleTimeout   = 90 * time.Second
-	// asyncTimeout is the deadline of patient work that brings none.
+	// asyncTimeout is the default and longest timeout of an asynchronous request.
 	asyncTimeout = time.Hour
 )
 
-// New returns a door that is not open yet.
-func New(parts Options) *Server {
-	d := &Server{Options: parts}
+// New returns a server; Serve starts it.
+func New(options Options) *Server {
+	s := &Server{Options: options}
 	e := echo.New()
 	e.HideBanner = true
-	e.HTTPErrorHandler = d.handleError
-	e.Use(middleware.Recover(), middleware.BodyLimit(byteLimit(parts.Bounds.BodyBytes)))
-	v1 := e.Group("/v1", d.authenticate)
-	v1.GET("/addresses", d.addresses)
-	v1.GET("/models", d.models)
-	v1.POST("/chat/completions", d.chat)
-	v1.GET("/requests/:id", d.fetch)
-	v1.DELETE("/requests/:id", d.cancel)
-	v1.Any("/services/:service/*", d.service)
-	d.server = &http.Server{
+	e.HTTPErrorHandler = s.handleError
+	e.Use(middleware.Recover(), middleware.BodyLimit(byteLimit(options.Bounds.BodyBytes)))
+	v1 := e.Group("/v1", s.authenticate)
+	v1.GET("/addresses", s.addresses)
+	v1.GET("/models", s.models)
+	v1.POST("/chat/completions", s.chat)
+	v1.GET("/requests/:id", s.fetch)
+	v1.DELETE("/requests/:id", s.cancel)
+	v1.Any("/services/:service/*", s.service)
+	s.server = &http.Server{
 		Handler:           e,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    parts.Bounds.HeaderBytes,
+		MaxHeaderBytes:    options.Bounds.HeaderBytes,
 	}
-	return d
+	return s
 }
 
-// Serve serves callers on a listener until Shutdown.
-func (d *Server) Serve(listener net.Listener) error {
-	err := d.server.Serve(netutil.LimitListener(listener, d.Bounds.Connections))
+// Serve accepts connections on a listener until Shutdown.
+func (s *Server) Serve(listener net.Listener) error {
+	err := s.server.Serve(netutil.LimitListener(listener, s.Bounds.Connections))
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-// DisableKeepAlives ends each connection after its next answer, so that callers ask
-// for addresses again.
-func (d *Server) DisableKeepAlives() { d.server.SetKeepAlivesEnabled(false) }
+// DisableKeepAlives closes each connection after its next response, so that
+// clients ask for addresses again.
+func (s *Server) DisableKeepAlives() { s.server.SetKeepAlivesEnabled(false) }
 
-// Shutdown closes the door once every request has its answer.
-func (d *Server) Shutdown(ctx context.Context) error { return d.server.Shutdown(ctx) }
+// Shutdown stops accepting connections and waits until all responses are sent or
+// the context ends.
+func (s *Server) Shutdown(ctx context.Context) error { return s.server.Shutdown(ctx) }
 
 const accountContextKey = "account"
 
-// authenticate finds the account of the bearer key.
-func (d *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
+// authenticate sets the account that the bearer key belongs to.
+func (s *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		key := bearerKey(c.Request())
 		if key == "" {
 			return unauthorized("send the account's key as 'Authorization: Bearer KEY'")
 		}
-		if !d.awaitConfiguration(c.Request().Context()) {
+		if !s.awaitConfiguration(c.Request().Context()) {
 			refusal := dispatch.NoConfiguration(ranWithoutAccount(c.Request()))
-			d.OnRefusal(refusal.Reason(), "")
+			s.OnRefusal(refusal.Reason(), "")
 			return refusal
 		}
-		account := d.Config().AccountByKey(key)
+		account := s.Config().AccountByKey(key)
 		if account == nil {
 			return unauthorized("no client account has this key")
 		}
@@ -136,19 +142,19 @@
 	}
 }
 
-// configurationTimeout is how long a request waits for a node that has just started to
-// know its accounts: some 70 ms, more where the platform is slow. Clients take a
-// refusal of their key for final, and a refusal under an id that they chose
-// cannot say whether it ran.
+// configurationTimeout is how long a request waits for the first configuration
+// of a node that has just started. It arrives after about 70 ms, later if the
+// platform is slow. Requests wait because clients don't retry a rejected key,
+// and a refusal can't say whether a request with the client's own id ran.
 const configurationTimeout = time.Second
 
-// awaitConfiguration reports whether a configuration is in force, once it is or
-// the patience is over.
-func (d *Server) awaitConfiguration(ctx context.Context) bool {
+// awaitConfiguration waits for a configuration, up to configurationTimeout, and
+// reports whether there is one.
+func (s *Server) awaitConfiguration(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, configurationTimeout)
 	defer cancel()
 	select {
-	case <-d.Configured:
+	case <-s.Configured:
 		return true
 	case <-ctx.Done():
 		return false
@@ -157,14 +163,14 @@
 
 func account(c echo.Context) *config.Account { return c.Get(accountContextKey).(*config.Account) }
 
-func (d *Server) addresses(c echo.Context) error {
+func (s *Server) addresses(c echo.Context) error {
 	return c.JSON(http.StatusOK, struct {
 		Addresses []Address `json:"addresses"`
 		TTLMillis int64     `json:"ttl_ms"`
-	}{d.Addresses(c.QueryParam("data_hall")), d.AddressTTL.Milliseconds()})
+	}{s.Addresses(c.QueryParam("data_hall")), s.AddressTTL.Milliseconds()})
 }
 
-// modelEntry is one model as the OpenAI API lists it.
+// modelEntry is a model in the format of the OpenAI API.
 type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -172,11 +178,11 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-func (d *Server) models(c echo.Context) error {
-	s := d.Config()
+func (s *Server) models(c echo.Context) error {
+	snapshot := s.Config()
 	entries := []modelEntry{}
-	for _, name := range dispatch.Models(s, account(c)) {
-		entries = append(entries, modelEntry{ID: name, Object: "model", Created: s.Document().AppliedAt.Unix(), OwnedBy: "violettally"})
+	for _, name := range dispatch.Models(snapshot, account(c)) {
+		entries = append(entries, modelEntry{ID: name, Object: "model", Created: snapshot.Document().AppliedAt.Unix(), OwnedBy: "violettally"})
 	}
 	return c.JSON(http.StatusOK, struct {
 		Object string       `json:"object"`
@@ -184,28 +190,28 @@
 	}{"list", entries})
 }
 
-func (d *Server) chat(c echo.Context) error {
-	r, wantsUsage, refusal := d.chatRequest(c)
+func (s *Server) chat(c echo.Context) error {
+	r, wantsUsage, refusal := s.chatRequest(c)
 	if refusal != nil {
-		return d.recordRefusal(c, refusal)
+		return s.recordRefusal(c, refusal)
 	}
-	return d.start(c, r, wantsUsage)
+	return s.start(c, r, wantsUsage)
 }
 
-func (d *Server) service(c echo.Context) error {
-	r, refusal := d.serviceRequest(c)
+func (s *Server) service(c echo.Context) error {
+	r, refusal := s.serviceRequest(c)
 	if refusal != nil {
-		return d.recordRefusal(c, refusal)
+		return s.recordRefusal(c, refusal)
 	}
-	return d.start(c, r, false)
+	return s.start(c, r, false)
 }
 
-// start runs a request and gives its answer, or 202 for patient work.
-func (d *Server) start(c echo.Context, r *dispatch.Request, wantsUsage bool) error {
+// start runs a request and writes its response, or 202 for an asynchronous one.
+func (s *Server) start(c echo.Context, r *dispatch.Request, wantsUsage bool) error {
 	c.Response().Header().Set(requestIDHeader, r.ID)
-	x, refusal := d.Dispatcher.Start(c.Request().Context(), r)
+	x, refusal := s.Dispatcher.Start(c.Request().Context(), r)
 	if refusal != nil {
-		// Start has counted it.
+		// Start has already counted this refusal.
 		return refusal
 	}
 	if r.Patient {
@@ -213,14 +219,15 @@
 	}
 	detach := x.Attach()
 	err := writeResponse(c, x, wantsUsage)
-	// A caller that is gone and cannot come back needs no answer.
+	// The client has disconnected and has no id with which to fetch the response
+	// later, so the run is of no use unless another reader follows it.
 	if last := detach(); last && c.Request().Context().Err() != nil && !r.Given && r.Repeatable() {
 		x.Cancel()
 	}
 	return err
 }
 
-// pollInterval is when to ask again for an answer that is not there yet.
+// pollInterval is the Retry-After of a response that is not complete yet.
 const pollInterval = time.Second
 
 func writeAccepted(c echo.Context, id string) error {
@@ -231,15 +238,15 @@
 	}{id, "pending"})
 }
 
-func (d *Server) fetch(c echo.Context) error {
+func (s *Server) fetch(c echo.Context) error {
 	id, refusal := pathID(c)
 	if refusal != nil {
-		return d.recordRefusal(c, refusal)
+		return s.recordRefusal(c, refusal)
 	}
 	c.Response().Header().Set(requestIDHeader, id)
-	x, refusal := d.Dispatcher.Find(c.Request().Context(), account(c), id)
+	x, refusal := s.Dispatcher.Find(c.Request().Context(), account(c), id)
 	if refusal != nil {
-		return d.recordRefusal(c, refusal)
+		return s.recordRefusal(c, refusal)
 	}
 	if !x.From(0).Done {
 		return writeAccepted(c, id)
@@ -247,14 +254,14 @@
 	return writeResponse(c, x, true)
 }
 
-func (d *Server) cancel(c echo.Context) error {
+func (s *Server) cancel(c echo.Context) error {
 	id, refusal := pathID(c)
 	if refusal != nil {
-		return d.recordRefusal(c, refusal)
+		return s.recordRefusal(c, refusal)
 	}
-	stopped, refusal := d.Dispatcher.Cancel(c.Request().Context(), account(c), id)
+	stopped, refusal := s.Dispatcher.Cancel(c.Request().Context(), account(c), id)
 	if refusal != nil {
-		return d.recordRefusal(c, refusal)
+		return s.recordRefusal(c, refusal)
 	}
 	return c.JSON(http.StatusOK, struct {
 		ID      string `json:"id"`
@@ -262,8 +269,9 @@
 	}{id, stopped})
 }
 
-// recordRefusal counts a refusal that did not come from Start.
-func (d *Server) recordRefusal(c echo.Context, refusal *dispatch.Refusal) error {
-	d.OnRefusal(refusal.Reason(), account(c).Name)
+// recordRefusal reports a refusal that did not come from Dispatcher.Start, and
+// returns it.
+func (s *Server) recordRefusal(c echo.Context, refusal *dispatch.Refusal) error {
+	s.OnRefusal(refusal.Reason(), account(c).Name)
 	return refusal
 }
--- a/adapter/callers/callers_test.go
+++ b/adapter/callers/callers_test.go
@@ -16,34 +16,33 @@
 	"github.com/violettally/violettally/settings"
 )
 
-// TestNoConfiguration asks a node that has just started. Its door is open some
-// 70 ms before it has the configuration, and until then it knows no account. It
-// told a caller with a valid key "401, no client account has this key, not run";
-// the caller had asked for the answer of patient work that had run elsewhere. A
-// client takes 401 for final, and "not run" was not true.
+// TestNoConfiguration sends requests to a node that has just started. It listens
+// about 70 ms before its configuration arrives, and knows no accounts until then.
+// It must not reject a valid key with 401 and "not run": clients don't retry a
+// 401, and an asynchronous request may have run on another node.
 func TestNoConfiguration(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	door := callers.New(callers.Options{
+	server := callers.New(callers.Options{
 		Config:     config.Empty,
 		Configured: make(chan struct{}),
 		Bounds:     settings.Bounds{Connections: 10, HeaderBytes: 1 << 14, BodyBytes: 1 << 14},
 		OnRefusal:  func(dispatch.Reason, string) {},
 	})
 	served := make(chan error, 1)
-	go func() { served <- door.Serve(listener) }()
+	go func() { served <- server.Serve(listener) }()
 	defer func() {
-		must.NoError(t, door.Shutdown(context.Background()))
+		must.NoError(t, server.Shutdown(context.Background()))
 		must.NoError(t, <-served)
 	}()
 	tests := []struct {
 		name, method, path, id string
 		ran                    dispatch.Ran
 	}{
-		{"a first request", http.MethodPost, "/v1/chat/completions", "", dispatch.RanNo},
-		{"one that may have run elsewhere", http.MethodPost, "/v1/chat/completions", "r1", dispatch.RanUnknown},
-		{"the answer of one", http.MethodGet, "/v1/requests/r1", "", dispatch.RanUnknown},
-		{"the end of one", http.MethodDelete, "/v1/requests/r1", "", dispatch.RanUnknown},
+		{"request without an id", http.MethodPost, "/v1/chat/completions", "", dispatch.RanNo},
+		{"request that may have run elsewhere", http.MethodPost, "/v1/chat/completions", "r1", dispatch.RanUnknown},
+		{"fetching a response", http.MethodGet, "/v1/requests/r1", "", dispatch.RanUnknown},
+		{"cancelling a request", http.MethodDelete, "/v1/requests/r1", "", dispatch.RanUnknown},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -70,20 +69,20 @@
 	}
 }
 
-// TestUnknownKeyOnceConfigured asks a node whose first configuration has come: from
-// then on a key that no account has is refused as such.
+// TestUnknownKeyOnceConfigured checks that a node with a configuration rejects a
+// key that no account has with 401.
 func TestUnknownKeyOnceConfigured(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	configured := make(chan struct{})
-	door := callers.New(callers.Options{
+	server := callers.New(callers.Options{
 		Config:     config.Empty,
 		Configured: configured,
 		Bounds:     settings.Bounds{Connections: 10, HeaderBytes: 1 << 14, BodyBytes: 1 << 14},
 		OnRefusal:  func(dispatch.Reason, string) {},
 	})
 	served := make(chan error, 1)
-	go func() { served <- door.Serve(listener) }()
+	go func() { served <- server.Serve(listener) }()
 	close(configured)
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+listener.Addr().String()+"/v1/requests/r1", http.NoBody)
 	must.NoError(t, err)
@@ -92,6 +91,6 @@
 	must.NoError(t, err)
 	defer response.Body.Close()
 	must.Eq(t, http.StatusUnauthorized, response.StatusCode)
-	must.NoError(t, door.Shutdown(context.Background()))
+	must.NoError(t, server.Shutdown(context.Background()))
 	must.NoError(t, <-served)
 }
--- a/adapter/callers/request.go
+++ b/adapter/callers/request.go
@@ -19,7 +19,7 @@
 	"github.com/violettally/violettally/dispatch"
 )
 
-// The headers of the callers' door.
+// The HTTP headers of requests and responses.
 const (
 	requestIDHeader   = "X-Request-Id"
 	idempotencyHeader = "Idempotency-Key"
@@ -30,17 +30,19 @@
 	modelHeader       = "X-Model-Version"
 )
 
-// idPattern bounds ids and sessions. The path adds '~' and '/' to them.
+// idPattern matches the ids and sessions that clients may choose. It excludes '~'
+// and '/', which separate what packages dispatch and session append to them.
 var idPattern = regexp.MustCompile(`^[A-Za-z0-9._:-]{1,128}$`)
 
 const (
-	// prefixBytes of the prompt decide which server may have it cached.
+	// prefixBytes is how much of the prompt is hashed to find servers that may
+	// have its prefix cached.
 	prefixBytes = 256
-	// maxMessages bounds the messages of one chat.
+	// maxMessages is the most messages in one chat request.
 	maxMessages = 4096
 )
 
-// invalidRequest refuses a request that cannot be read.
+// invalidRequest returns the refusal of a malformed request.
 func invalidRequest(format string, args ...any) *dispatch.Refusal {
 	return dispatch.Refuse(dispatch.ReasonInvalid, 0, format, args...)
 }
@@ -53,12 +55,12 @@
 	return id, nil
 }
 
-// newRequest reads what all requests have.
-func (d *Server) newRequest(c echo.Context) (*dispatch.Request, *dispatch.Refusal) {
+// newRequest reads the parts that chat and service requests have in common.
+func (s *Server) newRequest(c echo.Context) (*dispatch.Request, *dispatch.Refusal) {
 	header := c.Request().Header
 	r := &dispatch.Request{Account: account(c), ID: header.Get(idempotencyHeader)}
 	if r.ID == "" {
-		r.ID = d.NewID()
+		r.ID = s.NewID()
 	} else {
 		r.Given = true
 	}
@@ -66,7 +68,7 @@
 		return nil, invalidRequest("%s %q: want 1 to 128 of letters, digits, '.', '_', ':', '-'", idempotencyHeader, r.ID)
 	}
 	r.Patient = strings.Contains(header.Get(preferHeader), respondAsync)
-	limit := d.RequestTimeout
+	limit := s.RequestTimeout
 	if r.Patient {
 		limit = asyncTimeout
 	}
@@ -82,8 +84,8 @@
 	return r, nil
 }
 
-// readBody reads the body within bodyTimeout. The server's own ReadTimeout
-// would go on after the body and end long answers.
+// readBody reads the body within bodyTimeout. http.Server.ReadTimeout would also
+// end responses that take longer than it.
 func readBody(c echo.Context) ([]byte, *dispatch.Refusal) {
 	control := http.NewResponseController(c.Response())
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
@@ -110,7 +112,7 @@
 	return min(limit, time.Duration(millis)*time.Millisecond), nil
 }
 
-// chatBody is the part of a chat completion request that the path needs.
+// chatBody is the part of a chat completion request that dispatch needs.
 type chatBody struct {
 	Model    string        `json:"model"`
 	Messages []chatMessage `json:"messages"`
@@ -125,11 +127,10 @@
 	Content chatContent `json:"content"`
 }
 
-// chatContent is the text of a message, which may be a string or a list of
-// parts.
+// chatContent is the text of a message. In JSON it is a string or a list of parts.
 type chatContent string
 
-// UnmarshalJSON reads either form.
+// UnmarshalJSON implements json.Unmarshaler.
 func (t *chatContent) UnmarshalJSON(data []byte) error {
 	var text string
 	if json.Unmarshal(data, &text) == nil {
@@ -148,8 +149,8 @@
 	return nil
 }
 
-func (d *Server) chatRequest(c echo.Context) (_ *dispatch.Request, wantsUsage bool, _ *dispatch.Refusal) {
-	r, refusal := d.newRequest(c)
+func (s *Server) chatRequest(c echo.Context) (_ *dispatch.Request, wantsUsage bool, _ *dispatch.Refusal) {
+	r, refusal := s.newRequest(c)
 	if refusal != nil {
 		return nil, false, refusal
 	}
@@ -189,13 +190,13 @@
 	return all.String()
 }
 
-func (d *Server) serviceRequest(c echo.Context) (*dispatch.Request, *dispatch.Refusal) {
-	r, refusal := d.newRequest(c)
+func (s *Server) serviceRequest(c echo.Context) (*dispatch.Request, *dispatch.Refusal) {
+	r, refusal := s.newRequest(c)
 	if refusal != nil {
 		return nil, refusal
 	}
 	name, path := c.Param("service"), "/"+c.Param("*")
-	service := d.Config().Service(name)
+	service := s.Config().Service(name)
 	if service == nil || !slices.Contains(r.Account.Services, name) {
 		return nil, dispatch.Refuse(dispatch.ReasonServiceNotFound, 0, "service %q is not one that account %q may use", name, r.Account.Name)
 	}
--- a/adapter/callers/response.go
+++ b/adapter/callers/response.go
@@ -13,8 +13,8 @@
 	"github.com/violettally/violettally/dispatch"
 )
 
-// errorBody is a refusal as the OpenAI API shapes errors, with what callers
-// need beyond it: whether the request ran, and when to come back.
+// errorBody is a refusal in the error format of the OpenAI API. It adds whether
+// the request ran, and when to retry.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -44,8 +44,9 @@
 	}}
 }
 
-// handleError answers with an error, whatever its origin.
-func (d *Server) handleError(err error, c echo.Context) {
+// handleError writes the response for an error: an answer.Failure, a refusal, an
+// error from echo, or any other.
+func (s *Server) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
@@ -78,9 +79,9 @@
 	_ = c.JSON(failure.Status, newErrorBody(failure, c.Response().Header().Get(requestIDHeader)))
 }
 
-// ranWithoutAccount returns what the door can tell of a request that it refuses before it
-// knows the account. Under an id that the caller has chosen a request may have
-// run before, and only the account's claims tell.
+// ranWithoutAccount returns whether a request ran that is refused before its
+// account is known. A request with an id of the client's choice may have run
+// before, which only the account's claims can tell.
 func ranWithoutAccount(r *http.Request) dispatch.Ran {
 	if r.Method == http.MethodPost && r.Header.Get(idempotencyHeader) == "" {
 		return dispatch.RanNo
@@ -88,7 +89,7 @@
 	return dispatch.RanUnknown
 }
 
-// errorCode names the errors of the HTTP library.
+// errorCode returns the error code for the status of an error from echo.
 func errorCode(status int) string {
 	switch status {
 	case http.StatusUnauthorized:
@@ -108,8 +109,8 @@
 	return echo.NewHTTPError(http.StatusUnauthorized, message)
 }
 
-// setRetryAfter sets the header in whole seconds, rounded up; the body has
-// milliseconds.
+// setRetryAfter sets the Retry-After header in whole seconds, rounded up. The
+// body gives milliseconds.
 func setRetryAfter(c echo.Context, wait time.Duration) {
 	if wait > 0 {
 		seconds := int64((wait + time.Second - 1) / time.Second)
@@ -117,7 +118,8 @@
 	}
 }
 
-// writeResponse gives an answer as it grows.
+// writeResponse writes a response as its parts arrive, until it is complete or
+// the client disconnects.
 func writeResponse(c echo.Context, x *answer.Exchange, wantsUsage bool) error {
 	w := &responseWriter{c: c, wantsUsage: wantsUsage}
 	for sent := 0; ; {
@@ -143,7 +145,7 @@
 	}
 }
 
-// responseWriter writes one answer, whole or as server-sent events.
+// responseWriter writes one response, in one piece or as server-sent events.
 type responseWriter struct {
 	c          echo.Context
 	wantsUsage bool
@@ -188,16 +190,17 @@
 	return err
 }
 
-// flush sends what has been written; events that came together go together.
+// flush sends the events written so far, so that events that arrived together
+// are sent together.
 func (w *responseWriter) flush() {
 	if w.head.Streamed {
 		w.c.Response().Flush()
 	}
 }
 
-// finish closes the answer. A stream that failed after its start carries the
-// error as its last event and has no end mark, so that no client takes it for
-// whole.
+// finish ends the response. A stream that failed after its start ends with the
+// error as its last event and without [DONE], so that no client takes it for
+// complete.
 func (w *responseWriter) finish(failure *answer.Failure) error {
 	switch {
 	case failure != nil && w.c.Response().Committed:
--- a/adapter/operators/operators.go
+++ b/adapter/operators/operators.go
@@ -1,11 +1,11 @@
-// Package operators is the door for operators: health, metrics, applying and
-// showing configurations, and asking about decisions. It listens apart from
-// the callers' door. docs/INTERFACES.md lists the routes.
+// Package operators is the HTTP server for operators: health, metrics, applying
+// and showing configurations, and explaining decisions. It has its own listener,
+// apart from that for clients. docs/INTERFACES.md lists the routes.
 //
 // # Usage
 //
-//	door := operators.New(operators.Options{…})
-//	go door.Serve(listener)
+//	server := operators.New(operators.Options{…})
+//	go server.Serve(listener)
 package operators
 
 import (
@@ -30,9 +30,9 @@
 	"github.com/violettally/violettally/view"
 )
 
-// Node is what operators ask.
+// Node is what the server needs of its node.
 type Node interface {
-	// NotReadyReason returns why the node is not ready, or "".
+	// NotReadyReason returns why the node is not ready, or "" if it is.
 	NotReadyReason() string
 	Config() *config.Snapshot
 	Apply(ctx context.Context, c control.Change) (control.Result, error)
@@ -44,17 +44,18 @@
 	NewID() string
 }
 
-// Options is what a Door is made of.
+// Options configures a Server.
 type Options struct {
 	Node    Node
 	Metrics http.Handler
-	// BootstrapKey is the digest of a key that may apply the first
+	// BootstrapKey is the digest of the key that may apply the first
 	// configuration, before any operator is declared.
 	BootstrapKey string
-	HeaderBytes  int
+	// HeaderBytes is the largest size of a request's headers.
+	HeaderBytes int
 }
 
-// Server serves operators.
+// Server is the HTTP server for operators.
 type Server struct {
 	Options
 	server *http.Server
@@ -67,53 +68,54 @@
 	bootstrapOperator  = "bootstrap"
 )
 
-// New returns a door that is not open yet.
-func New(parts Options) *Server {
-	d := &Server{Options: parts}
+// New returns a server; Serve starts it.
+func New(options Options) *Server {
+	s := &Server{Options: options}
 	e := echo.New()
 	e.HideBanner = true
 	e.Use(middleware.Recover(), middleware.BodyLimit(strconv.Itoa(2*config.MaxBytes)+"B"))
 	e.GET("/health", func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
-	e.GET("/ready", d.ready)
-	e.GET("/metrics", echo.WrapHandler(parts.Metrics))
-	v1 := e.Group("/v1", d.authenticate)
-	v1.GET("/config", d.showConfig)
-	v1.POST("/config", d.apply)
-	v1.GET("/explain/:id", d.explain)
-	v1.GET("/view", d.showView)
-	v1.GET("/rollouts", func(c echo.Context) error { return c.JSON(http.StatusOK, parts.Node.Rollouts()) })
-	v1.GET("/ledger", d.showLedger)
-	d.server = &http.Server{Handler: e, ReadHeaderTimeout: headerTimeout, ReadTimeout: readTimeout, MaxHeaderBytes: parts.HeaderBytes}
-	return d
+	e.GET("/ready", s.ready)
+	e.GET("/metrics", echo.WrapHandler(options.Metrics))
+	v1 := e.Group("/v1", s.authenticate)
+	v1.GET("/config", s.showConfig)
+	v1.POST("/config", s.apply)
+	v1.GET("/explain/:id", s.explain)
+	v1.GET("/view", s.showView)
+	v1.GET("/rollouts", func(c echo.Context) error { return c.JSON(http.StatusOK, options.Node.Rollouts()) })
+	v1.GET("/ledger", s.showLedger)
+	s.server = &http.Server{Handler: e, ReadHeaderTimeout: headerTimeout, ReadTimeout: readTimeout, MaxHeaderBytes: options.HeaderBytes}
+	return s
 }
 
-// Serve serves operators on a listener until Shutdown.
-func (d *Server) Serve(listener net.Listener) error {
-	err := d.server.Serve(listener)
+// Serve accepts connections on a listener until Shutdown.
+func (s *Server) Serve(listener net.Listener) error {
+	err := s.server.Serve(listener)
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-// Shutdown closes the door.
-func (d *Server) Shutdown(ctx context.Context) error { return d.server.Shutdown(ctx) }
+// Shutdown stops accepting connections and waits until all responses are sent or
+// the context ends.
+func (s *Server) Shutdown(ctx context.Context) error { return s.server.Shutdown(ctx) }
 
-func (d *Server) ready(c echo.Context) error {
-	if why := d.Node.NotReadyReason(); why != "" {
+func (s *Server) ready(c echo.Context) error {
+	if why := s.Node.NotReadyReason(); why != "" {
 		return c.String(http.StatusServiceUnavailable, why+"\n")
 	}
 	return c.String(http.StatusOK, "ready\n")
 }
 
-// authenticate finds the operator of the bearer key. Until a configuration
-// declares operators, the bootstrap key of the settings counts.
-func (d *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
+// authenticate sets the operator that the bearer key belongs to. The bootstrap
+// key from the settings is valid until there is a first configuration.
+func (s *Server) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		key, _ := strings.CutPrefix(c.Request().Header.Get("Authorization"), "Bearer ")
-		snapshot := d.Node.Config()
+		snapshot := s.Node.Config()
 		operator := snapshot.OperatorByKey(key)
-		if operator == "" && snapshot.Revision() == 0 && d.BootstrapKey != "" && config.Digest(key) == d.BootstrapKey {
+		if operator == "" && snapshot.Revision() == 0 && s.BootstrapKey != "" && config.Digest(key) == s.BootstrapKey {
 			operator = bootstrapOperator
 		}
 		if operator == "" {
@@ -124,11 +126,11 @@
 	}
 }
 
-func (d *Server) showConfig(c echo.Context) error {
-	return c.JSON(http.StatusOK, d.Node.Config().Document())
+func (s *Server) showConfig(c echo.Context) error {
+	return c.JSON(http.StatusOK, s.Node.Config().Document())
 }
 
-// ApplyResponse is the answer to an apply.
+// ApplyResponse is the response to applying a configuration.
 type ApplyResponse struct {
 	Revision int64          `json:"revision"`
 	ChangeID string         `json:"change_id"`
@@ -138,7 +140,7 @@
 	Differs  []string       `json:"differs,omitempty"`
 }
 
-func (d *Server) apply(c echo.Context) error {
+func (s *Server) apply(c echo.Context) error {
 	source, err := io.ReadAll(c.Request().Body)
 	if err != nil {
 		return echo.NewHTTPError(http.StatusBadRequest, "the body cannot be read")
@@ -151,7 +153,7 @@
 		Expected: control.AnyRevision,
 	}
 	if change.ID == "" {
-		change.ID = d.Node.NewID()
+		change.ID = s.Node.NewID()
 	}
 	if expected := c.QueryParam("expect"); expected != "" {
 		if change.Expected, err = strconv.ParseInt(expected, 10, 64); err != nil {
@@ -161,38 +163,38 @@
 	if _, faults := config.Parse(change.File, source); len(faults) > 0 {
 		return c.JSON(http.StatusUnprocessableEntity, ApplyResponse{Message: "the file has faults; nothing was applied", Faults: faults})
 	}
-	result, err := d.Node.Apply(c.Request().Context(), change)
-	answer := ApplyResponse{Revision: result.InForce.Revision, ChangeID: result.InForce.ChangeID, By: result.InForce.By, Differs: result.Differs}
+	result, err := s.Node.Apply(c.Request().Context(), change)
+	response := ApplyResponse{Revision: result.InForce.Revision, ChangeID: result.InForce.ChangeID, By: result.InForce.By, Differs: result.Differs}
 	switch {
 	case err == nil:
-		return c.JSON(http.StatusOK, answer)
+		return c.JSON(http.StatusOK, response)
 	case errorx.IsOfType(err, control.Raced):
-		answer.Message = err.Error()
-		return c.JSON(http.StatusConflict, answer)
+		response.Message = err.Error()
+		return c.JSON(http.StatusConflict, response)
 	default:
 		return c.JSON(http.StatusServiceUnavailable, ApplyResponse{ChangeID: change.ID, Message: err.Error()})
 	}
 }
 
-func (d *Server) explain(c echo.Context) error {
-	summary, ok := d.Node.Explain(c.Request().Context(), c.QueryParam("account"), c.Param("id"))
+func (s *Server) explain(c echo.Context) error {
+	summary, ok := s.Node.Explain(c.Request().Context(), c.QueryParam("account"), c.Param("id"))
 	if !ok {
 		return echo.NewHTTPError(http.StatusNotFound, "no node that answers remembers this request; look for its log line")
 	}
 	return c.JSON(http.StatusOK, summary)
 }
 
-// memberEntry is one member as operators see it.
+// memberEntry is a member of the view with its status as this node sees it.
 type memberEntry struct {
 	view.Member
 	Status string `json:"status"`
 }
 
-func (d *Server) showView(c echo.Context) error {
-	v := d.Node.View()
+func (s *Server) showView(c echo.Context) error {
+	v := s.Node.View()
 	entries := make([]memberEntry, 0, len(v.Members()))
 	for _, m := range v.Members() {
-		entries = append(entries, memberEntry{Member: m, Status: d.Node.MemberStatus(m.ID)})
+		entries = append(entries, memberEntry{Member: m, Status: s.Node.MemberStatus(m.ID)})
 	}
 	return c.JSON(http.StatusOK, struct {
 		Epoch   int64         `json:"epoch"`
@@ -200,8 +202,8 @@
 	}{v.Epoch(), entries})
 }
 
-func (d *Server) showLedger(c echo.Context) error {
-	journals, err := d.Node.Journals(c.Request().Context())
+func (s *Server) showLedger(c echo.Context) error {
+	journals, err := s.Node.Journals(c.Request().Context())
 	if err != nil {
 		return echo.NewHTTPError(http.StatusServiceUnavailable, "the platform does not answer")
 	}
