--- a/adapter/engine/engine.go
+++ b/adapter/engine/engine.go
@@ -1,11 +1,12 @@
-// Package engine is the adapter to the backend servers: model engines, which
-// speak the OpenAI-compatible API with server-sent events, and plain services,
-// which speak HTTP. docs/INTERFACES.md describes what goes beyond those:
-// stream ids and resume, load reports, and load orders.
+// Package engine is a client of the backend servers: model engines, which speak
+// the OpenAI-compatible API with server-sent events, and plain services, which
+// speak HTTP. docs/INTERFACES.md describes the extensions: stream ids and resume,
+// load reports, and load orders.
 //
-// The adapter's first duty is to tell truthfully whether a request ran. It
-// says dispatch.NotRun only if no connection was made, or if the server itself
-// said so; everything else is dispatch.Failed.
+// Errors tell whether a request may have run. It is dispatch.NotRun only if the
+// request could not be built, if no connection was made, or if the server said so.
+// A response that is too large is dispatch.TooLarge; any other error of a chat
+// completion or a call is dispatch.Failed.
 //
 // # Usage
 //
@@ -37,27 +38,28 @@
 
 const (
 	dialTimeout = 500 * time.Millisecond
-	// idleTimeout must stay below the servers' own, or a request may be sent
-	// on a connection that is being closed.
+	// idleTimeout must be shorter than that of the servers, or a request may be
+	// sent on a connection that the server is closing.
 	idleTimeout         = 30 * time.Second
 	maxIdleConnsPerHost = 64
-	// notRunHeader is a server's word that it did not run the request.
+	// notRunHeader marks a response by which a server tells that it did not run
+	// the request.
 	notRunHeader = "X-Not-Run"
 	streamHeader = "X-Stream-Id"
-	// maxEventBytes bounds one server-sent event.
+	// maxEventBytes is the largest size of a line of a server-sent event.
 	maxEventBytes = 1 << 20
 )
 
-// Client talks to backend servers. It is safe for concurrent use.
+// Client is a client of backend servers. It is safe for concurrent use.
 type Client struct {
 	http             *http.Client
 	maxResponseBytes int64
 }
 
-// Option changes a Client as New makes it.
+// Option configures a Client in New.
 type Option func(*Client)
 
-// WithMaxResponseBytes bounds an answer.
+// WithMaxResponseBytes sets the largest size of a response; the default is 1 MiB.
 func WithMaxResponseBytes(n int64) Option { return func(c *Client) { c.maxResponseBytes = n } }
 
 const defaultMaxResponseBytes = 1 << 20
@@ -102,7 +104,7 @@
 	return c.newStream(response, call.Stream), nil
 }
 
-// Resume follows an engine's stream again.
+// Resume continues an engine's stream after the given number of events.
 func (c *Client) Resume(ctx context.Context, server config.Server, streamID string, after int, call dispatch.EngineCall) (dispatch.EngineStream, error) {
 	query := url.Values{"after": {strconv.Itoa(after)}, "model": {call.Model}}
 	address := server.URL + "/v1/streams/" + url.PathEscape(streamID) + "?" + query.Encode()
@@ -123,8 +125,8 @@
 	return resumed, nil
 }
 
-// engineBody puts the engine's name of the model into the body, and asks for
-// the usage at the end of a stream.
+// engineBody returns the request's body with the engine's name of the model, and
+// with usage requested at the end of a stream.
 func engineBody(call dispatch.EngineCall) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(call.Body, &fields); err != nil {
@@ -141,7 +143,7 @@
 	return json.Marshal(fields)
 }
 
-// send sends a request and sorts its failures.
+// send sends a request and classifies its errors by whether it may have run.
 func (c *Client) send(request *http.Request, server config.Server) (*http.Response, error) {
 	response, err := c.http.Do(request)
 	if err != nil {
@@ -168,11 +170,11 @@
 	return s
 }
 
-// stream is an engine's answer as it comes in.
+// stream is an engine's response that is being read.
 type stream struct {
 	response *http.Response
 	id       string
-	// events is nil for an answer that is not streamed.
+	// events is nil if the response is not streamed.
 	events    *bufio.Scanner
 	remaining int64
 	bodyRead  bool
@@ -183,7 +185,8 @@
 func (s *stream) ID() string          { return s.id }
 func (s *stream) Close()              { s.response.Body.Close() }
 
-// Next returns the next event's data, or the whole body.
+// Next returns the data of the next event, or the whole body of a response that
+// is not streamed.
 func (s *stream) Next() ([]byte, error) {
 	if s.response.StatusCode >= http.StatusInternalServerError {
 		return nil, errs.New(dispatch.Failed, "read", "engine answered %d", s.response.StatusCode)
@@ -205,7 +208,7 @@
 		}
 		return []byte(data), nil
 	}
-	// A stream that ends without its end mark was cut.
+	// A stream that ends without [DONE] is incomplete.
 	err := s.events.Err()
 	if err == nil {
 		err = io.ErrUnexpectedEOF
@@ -241,8 +244,8 @@
 	if err != nil {
 		return dispatch.ServiceAnswer{}, errs.Wrap(dispatch.NotRun, "call", err, "server %s", server.Name)
 	}
-	// The transport must not send a call a second time by itself; without
-	// GetBody it cannot.
+	// The call must not be sent twice. Without GetBody the transport can't resend
+	// it.
 	request.GetBody = nil
 	if call.ContentType != "" {
 		request.Header.Set("Content-Type", call.ContentType)
@@ -263,10 +266,10 @@
 	return dispatch.ServiceAnswer{Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: body}, nil
 }
 
-// loadReportTimeout bounds load reports.
+// loadReportTimeout limits the request for a load report.
 const loadReportTimeout = time.Second
 
-// LoadReport asks a server for its load report.
+// LoadReport fetches a server's load report.
 func (c *Client) LoadReport(ctx context.Context, server config.Server) (route.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadReportTimeout)
 	defer cancel()
@@ -287,7 +290,7 @@
 		AgeMillis int64    `json:"age_ms"`
 	}
 	if response.StatusCode != http.StatusOK {
-		return route.Report{}, fmt.Errorf("server %s answered %d", server.Name, response.StatusCode)
+		return route.Report{}, fmt.Errorf("server %s returned status %d", server.Name, response.StatusCode)
 	}
 	if err := json.NewDecoder(response.Body).Decode(&in); err != nil {
 		return route.Report{}, err
@@ -301,7 +304,7 @@
 	}, nil
 }
 
-// Order gives an engine a load order with its fencing token.
+// Order sends an engine a load order with its fencing token.
 func (c *Client) Order(ctx context.Context, o placement.Order, token int64) error {
 	body, err := json.Marshal(map[string]any{"token": token, "action": o.Action, "model": o.Model})
 	if err != nil {
@@ -317,7 +320,7 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("server %s answered %d", o.Server.Name, response.StatusCode)
+		return fmt.Errorf("server %s returned status %d", o.Server.Name, response.StatusCode)
 	}
 	return nil
 }
--- a/adapter/etcd/etcd.go
+++ b/adapter/etcd/etcd.go
@@ -1,10 +1,10 @@
-// Package etcd is the adapter to the platform's key-value service, which
-// speaks etcd's v3 API in its JSON form over HTTP (etcd documentation, "gRPC
-// gateway"; bytes in base64, 64-bit integers as strings).
+// Package etcd is a client of the platform's key-value service, which speaks
+// etcd's v3 API as JSON over HTTP (etcd documentation, "gRPC gateway"; bytes in
+// base64, 64-bit integers as strings).
 //
-// A write whose answer is lost may have taken effect. The adapter never
-// repeats a write by itself; it returns [Unavailable], and the caller reads
-// back (see package document).
+// A write whose response is lost may have taken effect. The client never retries
+// a write; it returns [Unavailable], and the caller has to read the key again
+// (see package document).
 //
 // # Usage
 //
@@ -32,17 +32,18 @@
 var (
 	namespace = errs.Namespace("etcd")
 
-	// Unavailable says that no answer came; a write may have taken effect.
+	// Unavailable is the error type for a missing, incomplete or 5xx response. A
+	// write may have taken effect.
 	Unavailable = namespace.NewType("unavailable")
-	// Refused says that the service answered and did nothing.
+	// Refused is the error type for a request that the service rejected, or that
+	// could not be built. It had no effect.
 	Refused = namespace.NewType("refused")
 )
 
-// callTimeout bounds one call; the service answers in milliseconds when it
-// is well.
+// callTimeout limits one call. A healthy service responds within milliseconds.
 const callTimeout = 2 * time.Second
 
-// Client talks to the key-value service. It is safe for concurrent use.
+// Client is a client of the key-value service. It is safe for concurrent use.
 type Client struct {
 	endpoints     []string
 	prefix        string
@@ -51,17 +52,17 @@
 	countCall     func(operation string)
 }
 
-// Option changes a Client as New makes it.
+// Option configures a Client in New.
 type Option func(*Client)
 
-// WithCallCounter calls count once for each call to the service, since the
-// platform counts them too.
+// WithCallCounter calls count once for each call to the service. The platform
+// counts calls, too.
 func WithCallCounter(count func(operation string)) Option {
 	return func(c *Client) { c.countCall = count }
 }
 
 // New returns a client of the service at the endpoints, which are base URLs.
-// The prefix goes before every key.
+// Every key is prefixed with prefix.
 func New(endpoints []string, prefix string, options ...Option) *Client {
 	c := &Client{
 		endpoints: endpoints,
@@ -78,15 +79,15 @@
 	return c
 }
 
-// Pair is one key of a listing, without the client's prefix.
+// Pair is a key-value pair of a listing. The key is without the client's prefix.
 type Pair struct {
 	Key      string
 	Data     []byte
 	Revision int64
 }
 
-// Get returns a key's value and the revision at which it was last written;
-// zero if there is no such key.
+// Get returns a key's value and the revision of its last write, which is zero if
+// there is no such key.
 func (c *Client) Get(ctx context.Context, key string) ([]byte, int64, error) {
 	var out rangeResponse
 	err := c.call(ctx, "range", "/v3/kv/range", rangeRequest{Key: c.key(key)}, &out)
@@ -115,14 +116,14 @@
 	return pairs, nil
 }
 
-// Swap writes a key if its revision still is the expected one, zero standing
-// for "no such key". It returns the new revision and whether it won.
+// Swap writes a key if its revision is the expected one; zero means that the key
+// does not exist. It returns the new revision and whether the key was written.
 func (c *Client) Swap(ctx context.Context, key string, data []byte, expected int64) (int64, bool, error) {
 	return c.SwapLeased(ctx, key, data, expected, 0)
 }
 
-// SwapLeased is Swap with the key bound to a lease, so that it goes when the
-// lease does. Lease zero binds to none.
+// SwapLeased is Swap with the key attached to a lease, so that it is deleted when
+// the lease ends. Lease zero attaches none.
 func (c *Client) SwapLeased(ctx context.Context, key string, data []byte, expected, lease int64) (int64, bool, error) {
 	in := txnRequest{
 		Compare: []compare{{Result: "EQUAL", Target: "MOD", Key: c.key(key), ModRevision: expected}},
@@ -131,14 +132,15 @@
 	return c.txn(ctx, in)
 }
 
-// Delete removes a key if its revision still is the expected one.
+// Delete removes a key if its revision is the expected one, and reports whether
+// it was removed.
 func (c *Client) Delete(ctx context.Context, key string, expected int64) (bool, error) {
 	in := txnRequest{
 		Compare: []compare{{Result: "EQUAL", Target: "MOD", Key: c.key(key), ModRevision: expected}},
 		Success: []requestOp{{Delete: &rangeRequest{Key: c.key(key)}}},
 	}
-	_, won, err := c.txn(ctx, in)
-	return won, err
+	_, deleted, err := c.txn(ctx, in)
+	return deleted, err
 }
 
 func (c *Client) txn(ctx context.Context, in txnRequest) (int64, bool, error) {
@@ -149,7 +151,8 @@
 	return out.Header.Revision, out.Succeeded, nil
 }
 
-// Grant makes a lease that lasts for ttl, in whole seconds rounded up.
+// Grant creates a lease with a TTL, rounded up to whole seconds, and returns its
+// id.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	var out leaseResponse
@@ -157,20 +160,20 @@
 	return out.ID, err
 }
 
-// KeepAlive renews a lease. It returns false if the lease is gone.
+// KeepAlive renews a lease. It returns false if the lease has ended.
 func (c *Client) KeepAlive(ctx context.Context, lease int64) (bool, error) {
 	var out keepAliveResponse
 	err := c.call(ctx, "lease_keepalive", "/v3/lease/keepalive", leaseRequest{ID: lease}, &out)
 	return out.Result.TTL > 0, err
 }
 
-// Revoke ends a lease and removes the keys bound to it.
+// Revoke ends a lease and deletes the keys attached to it.
 func (c *Client) Revoke(ctx context.Context, lease int64) error {
 	return c.call(ctx, "lease_revoke", "/v3/lease/revoke", leaseRequest{ID: lease}, new(leaseResponse))
 }
 
-// Shared returns the documents whose keys start with a prefix, by the rest of
-// their keys.
+// Shared returns the documents whose keys start with a prefix. The map's keys are
+// without that prefix.
 func (c *Client) Shared(ctx context.Context, prefix string) (map[string]document.Item, error) {
 	pairs, err := c.List(ctx, prefix)
 	if err != nil {
@@ -183,8 +186,8 @@
 	return items, nil
 }
 
-// SharedRevisions returns the revisions of the keys that start with a prefix,
-// by the rest of the keys.
+// SharedRevisions returns the revisions of the keys that start with a prefix. The
+// map's keys are without that prefix.
 func (c *Client) SharedRevisions(ctx context.Context, prefix string) (map[string]int64, error) {
 	pairs, err := c.list(ctx, prefix, true)
 	if err != nil {
@@ -197,7 +200,7 @@
 	return revisions, nil
 }
 
-// Journals returns the bills' journals (package ledger).
+// Journals returns all journals of bills (package ledger).
 func (c *Client) Journals(ctx context.Context) ([]ledger.Account, error) {
 	pairs, err := c.List(ctx, ledger.Prefix)
 	if err != nil {
@@ -213,8 +216,8 @@
 }
 
 // WatchPrefix calls changed for each write of a key that starts with a prefix
-// after the given revision, until the context ends or the connection breaks,
-// which it returns.
+// after the given revision. It skips deletions. It runs until the context ends or
+// the connection breaks, and returns the error.
 func (c *Client) WatchPrefix(ctx context.Context, prefix string, after int64, changed func(key string, item document.Item)) error {
 	c.countCall("watch")
 	start := c.key(prefix)
@@ -228,7 +231,7 @@
 	for {
 		var out watchResponse
 		if err := decoder.Decode(&out); err != nil {
-			return errs.Wrap(Unavailable, "watch", err, "watch of %s broke", prefix)
+			return errs.Wrap(Unavailable, "watch", err, "watch of prefix %s ended", prefix)
 		}
 		for _, event := range out.Result.Events {
 			if event.Type == eventDelete {
@@ -241,7 +244,8 @@
 
 func (c *Client) key(name string) []byte { return []byte(c.prefix + name) }
 
-// prefixEnd returns the first key after all keys that start with a prefix.
+// prefixEnd returns the end of the range of keys that start with a prefix, which
+// is the first key after them.
 func prefixEnd(prefix []byte) []byte {
 	end := bytes.Clone(prefix)
 	end[len(end)-1]++
@@ -263,15 +267,15 @@
 	return nil
 }
 
-// post sends a request to the endpoint that last worked, and moves on to the
-// next one when it does not.
+// post sends a request to the current endpoint. If it can't be reached, later
+// requests go to the next endpoint.
 func (c *Client) post(ctx context.Context, operation, path string, in any) (*http.Response, error) {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return nil, errs.Wrap(Refused, operation, err, "request cannot be encoded")
 	}
-	at := c.endpointIndex.Load()
-	endpoint := c.endpoints[int(at)%len(c.endpoints)]
+	index := c.endpointIndex.Load()
+	endpoint := c.endpoints[int(index)%len(c.endpoints)]
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, endpoint+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, errs.Wrap(Refused, operation, err, "request cannot be made")
@@ -279,7 +283,7 @@
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.http.Do(request)
 	if err != nil {
-		c.endpointIndex.CompareAndSwap(at, at+1)
+		c.endpointIndex.CompareAndSwap(index, index+1)
 		return nil, errs.Wrap(Unavailable, operation, err, "key-value service")
 	}
 	if response.StatusCode != http.StatusOK {
--- a/adapter/etcd/messages.go
+++ b/adapter/etcd/messages.go
@@ -1,8 +1,8 @@
 package etcd
 
-// The messages of etcd's v3 API that this adapter uses. encoding/json writes
-// byte slices in base64 and, with the string option, integers as strings, as
-// the JSON form of the API wants.
+// The messages of etcd's v3 API that the client uses. encoding/json encodes byte
+// slices in base64 and, with the string option, integers as strings, as the JSON
+// form of the API requires.
 
 type header struct {
 	Revision int64 `json:"revision,string"`
@@ -85,5 +85,5 @@
 	} `json:"result"`
 }
 
-// eventDelete is the type of the event of a key that is gone.
+// eventDelete is the type of the event for a deleted key.
 const eventDelete = "DELETE"
--- a/adapter/rating/rating.go
+++ b/adapter/rating/rating.go
@@ -1,4 +1,4 @@
-// Package rating is the adapter to the platform's rating service
+// Package rating is a client of the platform's rating service
 // (docs/INTERFACES.md).
 package rating
 
@@ -10,17 +10,17 @@
 	"net/http"
 )
 
-// Client asks the rating service. It is safe for concurrent use.
+// Client is a client of the rating service. It is safe for concurrent use.
 type Client struct {
 	url  string
 	http *http.Client
 }
 
-// New returns a client of the service at a base URL. Without a URL there is
-// no service, and nothing is rated.
+// New returns a client of the service at a base URL. If it is empty, there is no
+// service and Rate returns an error.
 func New(url string) *Client { return &Client{url: url, http: &http.Client{}} }
 
-// Rate returns the rating of an answer, from 0 to 1.
+// Rate returns the rating of a model's answer to a prompt, from 0 to 1.
 func (c *Client) Rate(ctx context.Context, model, version, prompt, answer string) (float64, error) {
 	if c.url == "" {
 		return 0, fmt.Errorf("no rating service is set")
--- a/adapter/vmlist/vmlist.go
+++ b/adapter/vmlist/vmlist.go
@@ -1,4 +1,4 @@
-// Package vmlist is the adapter to the platform's VM list, which lags
+// Package vmlist reads the platform's VM list, which may be some time out of date
 // (docs/INTERFACES.md).
 //
 // # Usage
@@ -20,7 +20,8 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// List is the VM list as it was read last. It is safe for concurrent use.
+// List is a copy of the VM list that is read periodically. It is safe for
+// concurrent use.
 type List struct {
 	url      string
 	http     *http.Client
@@ -35,7 +36,7 @@
 type vm struct {
 	Name  string `json:"name"`
 	State string `json:"state"`
-	// Peer is the address of an entry VM's peer door, if the list has it.
+	// Peer is the address of the VM's listener for peers, if the list has one.
 	Peer string `json:"peer"`
 }
 
@@ -44,7 +45,7 @@
 	readTimeout  = 2 * time.Second
 )
 
-// New returns a list that is read every interval from a base URL.
+// New returns a list that Run reads every interval from a base URL.
 func New(url string, timers *timer.Service, interval time.Duration) *List {
 	return &List{url: url, http: &http.Client{Timeout: readTimeout}, timers: timers, interval: interval}
 }
@@ -55,7 +56,7 @@
 	defer ticks.Stop()
 	for {
 		if err := l.Read(ctx); err != nil {
-			slog.Debug("VM list not read", "error", err)
+			slog.Debug("reading the VM list failed", "error", err)
 		}
 		select {
 		case <-ctx.Done():
@@ -65,7 +66,7 @@
 	}
 }
 
-// Read reads the list once. A list that cannot be read stays as it was.
+// Read reads the list once. If that fails, the previous list is kept.
 func (l *List) Read(ctx context.Context) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, l.url+"/vms", nil)
 	if err != nil {
@@ -80,7 +81,7 @@
 		VMs []vm `json:"vms"`
 	}
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("VM list answered %d", response.StatusCode)
+		return fmt.Errorf("VM list service returned status %d", response.StatusCode)
 	}
 	if err := json.NewDecoder(response.Body).Decode(&in); err != nil {
 		return err
@@ -95,8 +96,8 @@
 	return nil
 }
 
-// Listed reports whether a VM is on the list; ok is false until the list has
-// been read. An empty list says nothing.
+// Listed reports whether a VM is on the list. ok is false if that is not known
+// because the list has not been read yet or is empty.
 func (l *List) Listed(name string) (listed, ok bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
@@ -111,7 +112,7 @@
 	return l.vms[name].State == stateLeaving
 }
 
-// PeerAddresses returns the peer addresses on the list.
+// PeerAddresses returns the peer addresses of the VMs that have one.
 func (l *List) PeerAddresses() []string {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
