--- a/adapter/peer/client.go
+++ b/adapter/peer/client.go
@@ -1,12 +1,12 @@
-// Package peer is the adapter between the system's own processes: drpc over
-// TCP, under mutual TLS where certificates are set, with messages in CBOR
-// (RFC 8949), whose integer keys let fields be added later.
+// Package peer implements the calls between the system's nodes: drpc over TCP,
+// with mutual TLS if certificates are set. Messages are in CBOR (RFC 8949) with
+// integer keys, so that fields can be added later.
 //
-// A drpc connection carries one call at a time, so the client keeps a small
-// pool of connections per peer. Connections may go silent for good while new
-// ones work, so a call that gets no answer in time ends its connection, and the
-// others that were kept with it are not used any more. Calls to this node itself
-// do not leave it.
+// A drpc connection carries one call at a time, so the client keeps a small pool
+// of connections per peer. Existing connections may stop working for good while
+// new ones work. So a call that times out closes its connection, and the other
+// pooled connections to that peer are not used any more. Calls to the node itself
+// don't go over the network.
 //
 // # Usage
 //
@@ -51,15 +51,16 @@
 var (
 	namespace = errs.Namespace("peer")
 
-	// Unreachable says that a peer did not answer.
+	// Unreachable is the error type for a call that failed or got no reply.
 	Unreachable = namespace.NewType("unreachable")
-	// Unknown says that a peer does not know a call.
+	// Unknown is the error type for a call that the server does not have, or that
+	// is meant for another node.
 	Unknown = namespace.NewType("unknown")
-	// Malformed says that a peer's answer cannot be read.
+	// Malformed is the error type for a value in a reply that can't be decoded.
 	Malformed = namespace.NewType("malformed")
-	// UnknownBase says that a value came as the difference from one that is not known.
+	// UnknownBase is the error type for a delta whose base is not known.
 	UnknownBase = namespace.NewType("no_base")
-	// InvalidCredentials says that the certificates cannot be used.
+	// InvalidCredentials is the error type for unusable certificates.
 	InvalidCredentials = namespace.NewType("credentials")
 )
 
@@ -69,29 +70,29 @@
 	maxIdlePerPeer = 8
 )
 
-// codec is the encoding of all messages.
+// codec encodes messages in CBOR.
 type codec struct{}
 
 func (codec) Marshal(message drpc.Message) ([]byte, error)   { return cbor.Marshal(message) }
 func (codec) Unmarshal(data []byte, into drpc.Message) error { return cbor.Unmarshal(data, into) }
 
-// TLSConfig returns the configuration for mutual TLS that the settings name, or nil
-// if they name none.
-func TLSConfig(door settings.PeerDoor) (*tls.Config, error) {
-	if !door.Encrypted() {
+// TLSConfig returns the configuration for mutual TLS with the certificates of the
+// settings, or nil if there are none.
+func TLSConfig(peer settings.PeerDoor) (*tls.Config, error) {
+	if !peer.Encrypted() {
 		return nil, nil
 	}
-	certificate, err := tls.LoadX509KeyPair(door.Certificate, door.Key)
+	certificate, err := tls.LoadX509KeyPair(peer.Certificate, peer.Key)
 	if err != nil {
-		return nil, errs.Wrap(InvalidCredentials, "load", err, "certificate %s", door.Certificate)
+		return nil, errs.Wrap(InvalidCredentials, "load", err, "certificate %s", peer.Certificate)
 	}
-	authority, err := os.ReadFile(door.Authority)
+	authority, err := os.ReadFile(peer.Authority)
 	if err != nil {
-		return nil, errs.Wrap(InvalidCredentials, "load", err, "authority %s", door.Authority)
+		return nil, errs.Wrap(InvalidCredentials, "load", err, "authority %s", peer.Authority)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(authority) {
-		return nil, errs.New(InvalidCredentials, "load", "authority %s has no certificate", door.Authority)
+		return nil, errs.New(InvalidCredentials, "load", "authority file %s contains no certificate", peer.Authority)
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -112,7 +113,7 @@
 	self       string
 
 	mu sync.Mutex
-	// generations counts by address how often the kept connections were left.
+	// generations counts by address how often the pooled connections were retired.
 	generations map[string]uint64
 
 	// address is this node's own peer address.
@@ -121,33 +122,33 @@
 	replica *claim.Replica
 }
 
-// Option changes a Client as NewClient makes it.
+// Option configures a Client in NewClient.
 type Option func(*Client)
 
-// WithCallCounter calls count with each call's name and the size of what was
-// sent, in bytes before framing.
+// WithCallCounter calls count for each call, with its name and the size of the
+// request in bytes before framing.
 func WithCallCounter(count func(call string, sent int)) Option {
 	return func(c *Client) { c.countCall = count }
 }
 
-// WithKnownValues names what this node knows of the platform's store, so that peers tell
-// it only what has changed in large values.
+// WithKnownValues sets the function that returns this node's copy of a key in the
+// platform's store, so that peers send only deltas of large values.
 func WithKnownValues(known func(key string) (mirror.Item, bool)) Option {
 	return func(c *Client) { c.knownValue = known }
 }
 
-// WithDialer opens connections in place of TCP's.
+// WithDialer sets the function that opens connections, in place of TCP.
 func WithDialer(open func(ctx context.Context, address string) (net.Conn, error)) Option {
 	return func(c *Client) { c.dialConn = open }
 }
 
-// dialTCP opens a connection.
+// dialTCP opens a TCP connection.
 func dialTCP(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// NewClient returns a client; config is nil for plain TCP.
+// NewClient returns a client. A nil config means plain TCP.
 func NewClient(config *tls.Config, options ...Option) *Client {
 	c := &Client{
 		tls:         config,
@@ -162,20 +163,20 @@
 	return c
 }
 
-// SetLocal names this node, whose own calls stay inside. It must be called
-// before the first call.
+// SetLocal sets this node's id, address, handlers and replica, to which calls to
+// itself go directly. It must be called before the first call.
 func (c *Client) SetLocal(self, address string, node Node, replica *claim.Replica) {
 	c.self, c.address, c.node, c.replica = self, address, node, replica
 }
 
-// TLSConfig returns the configuration of this node's peer door; nil for plain TCP.
+// TLSConfig returns the client's TLS configuration, or nil for plain TCP.
 func (c *Client) TLSConfig() *tls.Config { return c.tls }
 
 // Close closes all connections.
 func (c *Client) Close() error { return c.pool.Close() }
 
-// connKey names the connections to a peer that are used in place of each other.
-// Those of an earlier epoch stay unused until their time in the pool is over.
+// connKey identifies the pooled connections to a peer that are interchangeable.
+// Those of an earlier generation are not used again, and expire in the pool.
 type connKey struct {
 	address    string
 	generation uint64
@@ -187,24 +188,24 @@
 	return connKey{address, c.generations[address]}
 }
 
-// retireConns lets later calls go on new connections. Several calls on old ones leave
-// them once.
-func (c *Client) retireConns(p connKey) {
+// retireConns makes later calls use new connections. If several calls of one
+// generation fail, only the first has an effect.
+func (c *Client) retireConns(key connKey) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.generations[p.address] == p.generation {
-		c.generations[p.address]++
+	if c.generations[key.address] == key.generation {
+		c.generations[key.address]++
 	}
 }
 
-// conn is a connection that ends with a call that got no answer in time. The
-// library would cancel that call by a message and keep the connection.
+// conn is a connection that is closed when a call on it times out. drpc itself
+// would send a cancellation and keep the connection.
 type conn struct {
 	*drpcconn.Conn
 	wire *progressConn
 }
 
-// Invoke makes a call.
+// Invoke implements drpc.Conn.
 func (c conn) Invoke(ctx context.Context, call string, encoding drpc.Encoding, in, out drpc.Message) error {
 	c.wire.callContext.Store(&ctx)
 	err := c.Conn.Invoke(ctx, call, encoding, in, out)
@@ -214,28 +215,28 @@
 	return err
 }
 
-// progressConn tells the call that is under way of each piece that comes: a large
-// answer on a busy link is not to be given up while it comes.
+// progressConn reports received data as progress of the current call, so that a
+// large reply over a busy link does not time out while it is arriving.
 type progressConn struct {
 	net.Conn
 	callContext atomic.Pointer[context.Context]
 }
 
-func (m *progressConn) Read(p []byte) (int, error) {
-	n, err := m.Conn.Read(p)
-	if call := m.callContext.Load(); call != nil && n > 0 {
+func (c *progressConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	if call := c.callContext.Load(); call != nil && n > 0 {
 		progress.Made(*call)
 	}
 	return n, err
 }
 
-func (c *Client) dial(ctx context.Context, p connKey) (drpcpool.Conn, error) {
-	raw, err := c.dialConn(ctx, p.address)
+func (c *Client) dial(ctx context.Context, key connKey) (drpcpool.Conn, error) {
+	raw, err := c.dialConn(ctx, key.address)
 	if err != nil {
 		return nil, err
 	}
 	if c.tls != nil {
-		host, _, _ := net.SplitHostPort(p.address)
+		host, _, _ := net.SplitHostPort(key.address)
 		config := c.tls.Clone()
 		config.ServerName = host
 		raw = tls.Client(raw, config)
@@ -249,46 +250,46 @@
 	})}, nil
 }
 
-// countingCodec counts what a message takes on the wire.
+// countingCodec counts the bytes of encoded messages.
 type countingCodec struct {
 	codec
 	sentBytes int
 }
 
-func (s *countingCodec) Marshal(message drpc.Message) ([]byte, error) {
-	data, err := s.codec.Marshal(message)
-	s.sentBytes += len(data)
+func (c *countingCodec) Marshal(message drpc.Message) ([]byte, error) {
+	data, err := c.codec.Marshal(message)
+	c.sentBytes += len(data)
 	return data, err
 }
 
 func invoke[Request, Reply any](ctx context.Context, c *Client, address, call string, in Request) (Reply, error) {
 	var out Reply
 	encoding := &countingCodec{}
-	p := c.connKey(address)
-	err := c.pool.Get(ctx, p, c.dial).Invoke(ctx, call, encoding, &in, &out)
+	key := c.connKey(address)
+	err := c.pool.Get(ctx, key, c.dial).Invoke(ctx, call, encoding, &in, &out)
 	c.countCall(call, encoding.sentBytes)
 	if err != nil {
 		if progress.RanOut(ctx) {
-			c.retireConns(p)
+			c.retireConns(key)
 		}
 		return out, errs.Wrap(Unreachable, call, err, "peer %s", address)
 	}
 	return out, nil
 }
 
-// Probe sends a heartbeat.
+// Probe sends a heartbeat and returns that of the peer.
 func (c *Client) Probe(ctx context.Context, address string, h member.Heartbeat) (member.Heartbeat, error) {
 	return invoke[member.Heartbeat, member.Heartbeat](ctx, c, address, callProbe, h)
 }
 
-// ProbeVia asks a peer to reach another.
+// ProbeVia asks the peer at via to check that the one at target is reachable.
 func (c *Client) ProbeVia(ctx context.Context, via, target string) error {
 	_, err := invoke[probeViaRequest, empty](ctx, c, via, callProbeVia, probeViaRequest{Target: target})
 	return err
 }
 
-// checkReachable connects anew to a peer, since an old connection may still stand
-// where a new one would not come through, and makes an empty call.
+// checkReachable makes an empty call on a new connection, since a pooled one may
+// still work when new ones can't be opened.
 func (c *Client) checkReachable(ctx context.Context, address string) error {
 	conn, err := c.dial(ctx, connKey{address: address})
 	if err != nil {
@@ -302,19 +303,19 @@
 	return nil
 }
 
-// Fetch asks a peer for newer documents.
+// Fetch asks a peer for the documents that are newer than the known revisions.
 func (c *Client) Fetch(ctx context.Context, address string, known map[string]int64) (map[string]document.Item, error) {
 	reply, err := invoke[fetchRequest, fetchReply](ctx, c, address, callFetch, fetchRequest{Known: known})
 	return reply.Items, err
 }
 
-// Notify tells a peer which revisions this node has.
+// Notify tells a peer the revisions of this node's documents.
 func (c *Client) Notify(ctx context.Context, address string, revisions map[string]int64) error {
 	_, err := invoke[notifyRequest, empty](ctx, c, address, callNotify, notifyRequest{From: c.address, Revisions: revisions})
 	return err
 }
 
-// Claim asks a replica for its vote.
+// Claim requests a replica's vote for a claim.
 func (c *Client) Claim(ctx context.Context, to view.Member, r claim.Request) (claim.Reply, error) {
 	if to.ID == c.self {
 		return c.replica.Claim(r), nil
@@ -330,7 +331,7 @@
 	return invoke[claim.Request, claim.Reply](ctx, c, to.Peer, callLookup, r)
 }
 
-// Advance moves a claim on at a replica.
+// Advance updates the state of a claim at a replica.
 func (c *Client) Advance(ctx context.Context, to view.Member, e claim.Entry) error {
 	if to.ID == c.self {
 		c.replica.Advance(e)
@@ -340,7 +341,7 @@
 	return err
 }
 
-// Release gives a claim up at a replica.
+// Release gives up a claim at a replica, if its state is at most upTo.
 func (c *Client) Release(ctx context.Context, to view.Member, key claim.Key, token string, upTo claim.State) error {
 	if to.ID == c.self {
 		c.replica.Release(key, token, upTo)
@@ -350,12 +351,12 @@
 	return err
 }
 
-// Transfer reads a page of the claims that this node takes over.
+// Transfer fetches a page of the claims that this node takes over from another.
 func (c *Client) Transfer(ctx context.Context, to view.Member, r claim.TransferRequest) (claim.TransferReply, error) {
 	return invoke[claim.TransferRequest, claim.TransferReply](ctx, c, to.Peer, callTransfer, r)
 }
 
-// RequestLimitLease asks a grantor for a share.
+// RequestLimitLease requests a share of an account's limit from a grantor.
 func (c *Client) RequestLimitLease(ctx context.Context, to view.Member, ask limit.Ask) (limit.Grant, error) {
 	if to.ID == c.self {
 		return c.node.Grant(ask), nil
@@ -363,7 +364,7 @@
 	return invoke[limit.Ask, limit.Grant](ctx, c, to.Peer, callLimit, ask)
 }
 
-// Counts asks a node for its counts of good and bad answers.
+// Counts fetches a node's name and its counts of good and bad responses.
 func (c *Client) Counts(ctx context.Context, to view.Member) (string, rollout.Counts, error) {
 	if to.ID == c.self {
 		name, counts := c.node.Counts()
@@ -373,7 +374,7 @@
 	return reply.Node, reply.Counts, err
 }
 
-// Recall asks a node what it remembers of a journal.
+// Recall fetches a node's records of a journal.
 func (c *Client) Recall(ctx context.Context, to view.Member, journal string) (billing.Recollection, error) {
 	if to.ID == c.self {
 		return c.node.JournalRecords(journal), nil
@@ -381,7 +382,7 @@
 	return invoke[recallRequest, billing.Recollection](ctx, c, to.Peer, callRecall, recallRequest{Journal: journal})
 }
 
-// Checkpoint gives a node the sums of a journal to keep.
+// Checkpoint stores the sums of a journal at a node.
 func (c *Client) Checkpoint(ctx context.Context, to view.Member, a ledger.Account) error {
 	if to.ID == c.self {
 		c.node.StoreCheckpoint(a)
@@ -391,7 +392,7 @@
 	return err
 }
 
-// Cancel stops an attempt at its holder.
+// Cancel cancels an attempt at its holder, and reports whether it was stopped.
 func (c *Client) Cancel(ctx context.Context, h claim.Holder, attempt string) (bool, error) {
 	if h.ID == c.self {
 		return c.node.CancelAttempt(attempt), nil
@@ -400,7 +401,7 @@
 	return reply.Stopped, err
 }
 
-// Explain asks a node for a decision record.
+// Explain fetches a decision record from a node. It is empty if the node has none.
 func (c *Client) Explain(ctx context.Context, h claim.Holder, requestID string) (decision.Summary, error) {
 	if h.ID == c.self {
 		summary, _ := c.node.Explain(requestID)
@@ -409,27 +410,28 @@
 	return invoke[explainRequest, decision.Summary](ctx, c, h.Peer, callExplain, explainRequest{RequestID: requestID})
 }
 
-// attachTimeout bounds the first message of an answer that is followed.
+// attachTimeout limits the wait for the first message of a followed response.
 const attachTimeout = time.Second
 
-// Attach follows an attempt's answer at its holder.
+// Attach follows an attempt's response at its holder. Found is false if the holder
+// does not know the attempt; ran then tells whether it knows that the attempt ran.
 func (c *Client) Attach(ctx context.Context, h claim.Holder, attempt string) (x *answer.Exchange, found, ran bool, err error) {
 	if h.ID == c.self {
 		x, ran := c.node.FindResponse(attempt)
 		return x, x != nil, ran, nil
 	}
-	// The stream outlives this call, which only waits for its first message.
+	// The stream outlives this call, which only waits for the first message.
 	streamCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	timer := time.AfterFunc(attachTimeout, cancel)
-	p := c.connKey(h.Peer)
-	stream, err := c.pool.Get(streamCtx, p, c.dial).NewStream(streamCtx, callAttach, codec{})
+	key := c.connKey(h.Peer)
+	stream, err := c.pool.Get(streamCtx, key, c.dial).NewStream(streamCtx, callAttach, codec{})
 	if err != nil {
 		cancel()
 		return nil, false, false, errs.Wrap(Unreachable, callAttach, err, "peer %s", h.Peer)
 	}
 	first, err := receiveFirst(stream, attemptRequest{Attempt: attempt, Holder: h.ID})
 	if !timer.Stop() {
-		c.retireConns(p)
+		c.retireConns(key)
 		if err == nil {
 			err = context.DeadlineExceeded
 		}
@@ -444,8 +446,8 @@
 	case !first.Found:
 		return nil, false, first.Ran, nil
 	}
-	// What the holder has already is taken in here, so that who only asks
-	// whether the answer is there sees it at once.
+	// The first message is applied before returning, so that a caller which only
+	// checks whether the response is complete need not wait.
 	x = answer.NewExchange(attempt, func() {})
 	applyMessage(x, first)
 	go func() {
@@ -457,19 +459,20 @@
 }
 
 func receiveFirst(stream drpc.Stream, r attemptRequest) (attachMessage, error) {
-	var part attachMessage
+	var message attachMessage
 	if err := stream.MsgSend(&r, codec{}); err != nil {
-		return part, err
+		return message, err
 	}
-	err := stream.MsgRecv(&part, codec{})
-	return part, err
+	err := stream.MsgRecv(&message, codec{})
+	return message, err
 }
 
-// copyResponse copies an answer until it ends or its holder is lost.
+// copyResponse copies a response until it ends or the stream from its holder
+// breaks.
 func copyResponse(stream drpc.Stream, x *answer.Exchange, done bool) {
 	for !done {
-		var part attachMessage
-		if err := stream.MsgRecv(&part, codec{}); err != nil {
+		var message attachMessage
+		if err := stream.MsgRecv(&message, codec{}); err != nil {
 			x.Fail(&answer.Failure{
 				Reason:      "holder_unreachable",
 				Message:     "the node that runs the request was lost; ask again with the same id",
@@ -479,20 +482,20 @@
 			})
 			return
 		}
-		applyMessage(x, part)
-		done = part.Done
+		applyMessage(x, message)
+		done = message.Done
 	}
 }
 
-func applyMessage(x *answer.Exchange, part attachMessage) {
-	if part.HasHead {
-		x.Begin(part.Head)
+func applyMessage(x *answer.Exchange, message attachMessage) {
+	if message.HasHead {
+		x.Begin(message.Head)
 	}
-	for _, p := range part.Parts {
-		x.Append(p)
+	for _, part := range message.Parts {
+		x.Append(part)
 	}
-	if part.Done {
-		finishResponse(x, part.Failure)
+	if message.Done {
+		finishResponse(x, message.Failure)
 	}
 }
 
--- a/adapter/peer/declaration_test.go
+++ b/adapter/peer/declaration_test.go
@@ -22,30 +22,32 @@
 )
 
 const (
-	// followers of one node, as the largest data hall that has links of 10 Mbit/s.
+	// followers is the number of followers of one node, as in the largest data hall
+	// with links of 10 Mbit/s.
 	followers = 30
-	// linkBytesPerSecond is what such a link carries in a second.
+	// linkBytesPerSecond is the capacity of such a link.
 	linkBytesPerSecond = 1_250_000
-	// maxPropagation is the time after which a change must be in force everywhere.
+	// maxPropagation is the longest allowed time until a change has reached all nodes.
 	maxPropagation = 3 * time.Second
 )
 
-// TestLargeDeclaration: a declaration with 1,600 routes is in force at all nodes of
-// a hall in time, though it comes to all of them over the link of one.
+// TestLargeDeclaration checks that a declaration with 1,600 routes reaches all nodes
+// of a hall in time over the link of the one node that they follow.
 func TestLargeDeclaration(t *testing.T) { checkPropagation(t, 20, 1600) }
 
-// TestLargestDeclaration: a declaration grows again and again, up to the size that
-// the store takes under one key (1 MB), and each time all nodes of a hall hear of it
-// over the link of one. 38 s into such a day, with 2,800 routes, one node was without
-// the newest declaration 4.9 s after it had been acknowledged: answers of 525 kB took
-// the 30 followers longer than the 0.8 s for which a call was waited for, so all of
-// them were given up and asked for again, and the link stayed full ("upstream did not
-// answer", three upstreams in turn, every 2 s, for 11 s). Packed, an answer takes a
-// tenth of that, but is still as large as the whole: 6,200 routes pass the 2.5 s that
-// a call may take now, for all followers at once, and again when they ask anew.
+// TestLargestDeclaration checks the same for a declaration that grows to the largest
+// value that the store takes (1 MB).
+//
+// Uncompressed, the reply for 2,800 routes has 525 kB. Sending it to 30 followers took
+// longer than a timeout of 0.8 s, so all of them gave up and asked again, the link
+// stayed full, and one node lacked the newest declaration 4.9 s after it was
+// acknowledged. Compressed, a reply takes a tenth of that, but still grows with the
+// whole value: for 6,200 routes and all followers it exceeds a timeout of 2.5 s, also
+// when they retry.
 func TestLargestDeclaration(t *testing.T) { checkPropagation(t, 4800, 6200) }
 
-// checkPropagation lets a declaration grow, and looks at what the nodes of a hall then know.
+// checkPropagation changes a declaration from before to after routes, and checks that
+// all nodes of a hall have the change within maxPropagation.
 func checkPropagation(t *testing.T, before, after int) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -53,9 +55,9 @@
 		defer cancel()
 		timers := timer.New()
 		defer timers.Close()
-		kept := &singleKeyStore{}
-		kept.put(declaration(before))
-		upstream := mirror.New(kept, noPeers{}, timers)
+		store := &singleKeyStore{}
+		store.put(declaration(before))
+		upstream := mirror.New(store, noPeers{}, timers)
 		go upstream.Run(ctx)
 		l := newLink(linkBytesPerSecond)
 		defer l.Close()
@@ -65,24 +67,24 @@
 			var m *mirror.Mirror
 			client := peer.NewClient(nil, peer.WithDialer(l.dial), peer.WithKnownValues(func(key string) (mirror.Item, bool) { return m.Get(key) }))
 			defer client.Close()
-			m = mirror.New(&readOnceStore{singleKeyStore: kept}, singlePeer{client}, timers)
+			m = mirror.New(&readOnceStore{singleKeyStore: store}, singlePeer{client}, timers)
 			nodes = append(nodes, m)
 			go m.Run(ctx)
 		}
 		time.Sleep(2 * time.Second)
 
-		large := declaration(after)
-		kept.put(large)
+		changed := declaration(after)
+		store.put(changed)
 		time.Sleep(maxPropagation)
 		for i, m := range nodes {
 			item, _ := m.Get(declarationKey)
-			test.Eq(t, len(large), len(item.Value), test.Sprintf("node %d of %d", i, followers))
+			test.Eq(t, len(changed), len(item.Value), test.Sprintf("node %d of %d", i, followers))
 		}
 	})
 }
 
-// drainLink lets what the link still carries pass, in the test's own time, so that all
-// tasks end: a bubble must not be left while one of them waits.
+// drainLink waits, in the bubble's fake time, until the link has sent all that was
+// written and all goroutines have ended: none may be blocked when the bubble ends.
 func drainLink() {
 	time.Sleep(time.Minute)
 	synctest.Wait()
@@ -90,7 +92,7 @@
 
 const declarationKey = "declaration"
 
-// declaration is one with so many routes.
+// declaration returns a declaration with a number of routes.
 func declaration(routes int) []byte {
 	type route struct {
 		Name     string  `json:"name"`
@@ -103,7 +105,7 @@
 	}
 	all := make([]route, routes)
 	for i := range all {
-		// Names are as good as random, so that they do not shrink.
+		// Names are pseudo-random, so that they do not compress.
 		name := fmt.Sprintf("%x", uint64(i+1)*0x9e3779b97f4a7c15)
 		all[i] = route{"r-" + name, name + ".example", "/" + name + "/", "idempotent", 20000, 3, "pool"}
 	}
@@ -114,7 +116,7 @@
 	return data
 }
 
-// singleKeyStore holds one key.
+// singleKeyStore is a store with one key.
 type singleKeyStore struct {
 	mu       sync.Mutex
 	item     mirror.Item
@@ -148,8 +150,8 @@
 	return b, err
 }
 
-// readOnceStore is the store for a node that reaches it when it starts, and is to hear
-// from its upstream after that.
+// readOnceStore is a store that only the first ReadAll reaches, so that the node gets
+// all later changes from its upstream.
 type readOnceStore struct {
 	*singleKeyStore
 	read atomic.Bool
@@ -166,9 +168,9 @@
 	return mirror.Batch{}, errStoreUnreachable
 }
 
-var errStoreUnreachable = errors.New("the store is not reached")
+var errStoreUnreachable = errors.New("store unreachable")
 
-// noPeers are those of a node that follows the store.
+// noPeers is the peers of a node that follows the store.
 type noPeers struct{}
 
 func (noPeers) Addresses() []string { return nil }
@@ -177,7 +179,7 @@
 	return mirror.Batch{}, errors.New("no peer")
 }
 
-// singlePeer is the only one that a node follows.
+// singlePeer is the peers of a node that has only one to follow.
 type singlePeer struct{ client *peer.Client }
 
 const upstreamAddress = "upstream"
@@ -189,7 +191,7 @@
 	return p.client.Follow(ctx, address, after, wait)
 }
 
-// mirrorGateway answers with what a mirror knows.
+// mirrorGateway is a gateway that serves a mirror.
 type mirrorGateway struct{ m *mirror.Mirror }
 
 func (g mirrorGateway) Await(ctx context.Context, revision int64, wait time.Duration) mirror.Batch {
@@ -199,8 +201,8 @@
 func (mirrorGateway) Counts() (string, rollout.Counts)          { return "node", rollout.Counts{} }
 func (mirrorGateway) Exchange(share.Message) share.Reply        { return share.Reply{} }
 
-// link is a node's own link: what it sends on all its connections goes out at one
-// speed, in the order in which it was written.
+// link simulates a node's network link: all its connections share one rate, and send
+// in the order of writing.
 type link struct {
 	accepted chan net.Conn
 	closed   chan struct{}
@@ -208,7 +210,7 @@
 	perByte  time.Duration
 
 	mu sync.Mutex
-	// idleAt is when all that has been written will have gone out.
+	// idleAt is when all data written so far will have been sent.
 	idleAt time.Time
 	open   []net.Conn
 }
@@ -253,7 +255,7 @@
 
 func (l *link) Addr() net.Addr { return &net.TCPAddr{} }
 
-// transmit returns when so many bytes have gone out.
+// transmit blocks until n more bytes are sent.
 func (l *link) transmit(n int) {
 	l.mu.Lock()
 	if now := time.Now(); l.idleAt.Before(now) {
@@ -265,13 +267,14 @@
 	time.Sleep(wait)
 }
 
-// throttledConn is a connection over a link.
+// throttledConn is a connection whose writes go over a link.
 type throttledConn struct {
 	net.Conn
 	link *link
 }
 
-// segmentBytes is what goes out at once, so that connections share the link.
+// segmentBytes is the size in which writes are sent, so that connections share the
+// link.
 const segmentBytes = 1400
 
 func (c throttledConn) Write(p []byte) (int, error) {
--- a/adapter/peer/delta.go
+++ b/adapter/peer/delta.go
@@ -6,17 +6,17 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// A change of a large declaration is small against it, but comes as a whole new
-// value. Told as the difference from the value before, 1,400 routes more are 24 kB
-// whatever stands beside them; as a whole of 6,200 routes they were 110 kB packed,
-// which 30 followers take longer to get over a link of 10 Mbit/s than a call may
-// last (TestLargestDeclaration).
+// A change of a large declaration is small compared to it, but the store holds the
+// whole new value. As a delta of the previous value, 1,400 more routes take 24 kB,
+// however many there were before. The whole value with 6,200 routes takes 110 kB
+// compressed, and sending that to 30 followers over a link of 10 Mbit/s takes longer
+// than a call's timeout (TestLargestDeclaration).
 
-// dictionaryID names the earlier value in what is packed from it: a format's detail,
-// since both ends know which one it is.
+// dictionaryID is the zstd dictionary id of the base value. Any fixed id works, as
+// both ends know the base.
 const dictionaryID = 1
 
-// encodeDelta packs a value from an earlier one.
+// encodeDelta compresses a value with an earlier one as the dictionary.
 func encodeDelta(base, value []byte) ([]byte, error) {
 	w, err := zstd.NewWriter(nil,
 		zstd.WithEncoderDictRaw(dictionaryID, base),
@@ -30,11 +30,11 @@
 	return w.EncodeAll(value, nil), nil
 }
 
-// windowSize is the least window that reaches back over so many bytes: a power of two,
-// as the format wants it.
+// windowSize returns the smallest window that covers a number of bytes. It is a
+// power of two, as zstd requires.
 func windowSize(size int) int { return min(1<<bits.Len(uint(size)), maxDecompressedBytes) }
 
-// decodeDelta returns the value that was packed from an earlier one.
+// decodeDelta returns the value of a delta of base.
 func decodeDelta(base, data []byte) ([]byte, error) {
 	r, err := zstd.NewReader(nil,
 		zstd.WithDecoderDictRaw(dictionaryID, base),
--- a/adapter/peer/delta_test.go
+++ b/adapter/peer/delta_test.go
@@ -16,45 +16,45 @@
 	"github.com/violettally/violettally/share"
 )
 
-// TestDeltaEncoding lists what a peer knows of a large value that has changed, and how
-// it is told of the change.
+// TestDeltaEncoding checks whether a changed large value is sent as a delta, by what
+// the peer and the sender have of it.
 func TestDeltaEncoding(t *testing.T) {
 	old, changed := declaration(4800), declaration(6200)
 	earlier := mirror.Item{Key: "a", Value: old, Revision: 5}
 	tests := []struct {
 		name string
-		// before is what the key held at the node that is asked.
-		before  mirror.Item
-		request peer.Request
-		base    int64
-		most    int
+		// previous is the key's value before its last change, at the sender.
+		previous mirror.Item
+		request  peer.Request
+		base     int64
+		maxBytes int
 	}{
-		{"knows the value before", earlier, peer.Request{After: 7, AcceptCompressed: true, AcceptDeltas: true}, 5, 40_000},
-		{"knows it just so", earlier, peer.Request{After: 5, AcceptCompressed: true, AcceptDeltas: true}, 5, 40_000},
-		{"knows an older one", earlier, peer.Request{After: 4, AcceptCompressed: true, AcceptDeltas: true}, 0, 150_000},
-		{"reads no differences", earlier, peer.Request{After: 7, AcceptCompressed: true}, 0, 150_000},
-		{"nothing was there before", mirror.Item{}, peer.Request{After: 7, AcceptCompressed: true, AcceptDeltas: true}, 0, 150_000},
-		{"the node has gone on", mirror.Item{Key: "a", Value: changed, Revision: 9}, peer.Request{After: 7, AcceptCompressed: true, AcceptDeltas: true}, 0, 150_000},
+		{"has the previous value", earlier, peer.Request{After: 7, AcceptCompressed: true, AcceptDeltas: true}, 5, 40_000},
+		{"has the previous value, at the same revision", earlier, peer.Request{After: 5, AcceptCompressed: true, AcceptDeltas: true}, 5, 40_000},
+		{"has an older value", earlier, peer.Request{After: 4, AcceptCompressed: true, AcceptDeltas: true}, 0, 150_000},
+		{"accepts no deltas", earlier, peer.Request{After: 7, AcceptCompressed: true}, 0, 150_000},
+		{"no previous value", mirror.Item{}, peer.Request{After: 7, AcceptCompressed: true, AcceptDeltas: true}, 0, 150_000},
+		{"sender's copy has changed again", mirror.Item{Key: "a", Value: changed, Revision: 9}, peer.Request{After: 7, AcceptCompressed: true, AcceptDeltas: true}, 0, 150_000},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			packing := peer.NewBatchEncoder(func(string) (mirror.Item, bool) { return tt.before, tt.before.Revision != 0 })
+			encoder := peer.NewBatchEncoder(func(string) (mirror.Item, bool) { return tt.previous, tt.previous.Revision != 0 })
 			b := mirror.Batch{Items: []mirror.Item{{Key: "a", Value: changed, Revision: 9}}, Revision: 9}
 			for range 2 {
-				reply, err := packing.Encode(b, tt.request)
+				reply, err := encoder.Encode(b, tt.request)
 				must.NoError(t, err)
 				must.Eq(t, tt.base, reply.Items[0].BaseRevision)
-				must.Less(t, tt.most, len(reply.Items[0].Value))
-				back, err := peer.Decode(reply, func(string) (mirror.Item, bool) { return earlier, true })
+				must.Less(t, tt.maxBytes, len(reply.Items[0].Value))
+				decoded, err := peer.Decode(reply, func(string) (mirror.Item, bool) { return earlier, true })
 				must.NoError(t, err)
-				must.True(t, reflect.DeepEqual(b, back))
+				must.True(t, reflect.DeepEqual(b, decoded))
 			}
 		})
 	}
 }
 
-// TestNoBase: a node whose copy is not the one that it asked from, since another peer
-// has told it more meanwhile, asks for the value itself.
+// TestUnknownBase checks that a node asks for the whole value if it does not have the
+// base of a delta, because another peer updated its copy in the meantime.
 func TestUnknownBase(t *testing.T) {
 	l := newLink(linkBytesPerSecond)
 	defer l.Close()
@@ -76,7 +76,7 @@
 	must.True(t, errorx.IsOfType(err, peer.UnknownBase))
 }
 
-// fakeGateway holds a declaration that has grown.
+// fakeGateway is a gateway with a declaration that has grown.
 type fakeGateway struct{}
 
 func (*fakeGateway) Await(context.Context, int64, time.Duration) mirror.Batch {
@@ -89,7 +89,7 @@
 func (*fakeGateway) Counts() (string, rollout.Counts)   { return "node", rollout.Counts{} }
 func (*fakeGateway) Exchange(share.Message) share.Reply { return share.Reply{} }
 
-// FuzzDifference: whatever a peer sends as a difference is read or refused.
+// FuzzDifference checks that any delta from a peer is decoded or rejected.
 func FuzzDifference(f *testing.F) {
 	base := mirror.Item{Key: "a", Value: declaration(100), Revision: 5}
 	known := func(string) (mirror.Item, bool) { return base, true }
--- a/adapter/peer/encode.go
+++ b/adapter/peer/encode.go
@@ -11,17 +11,17 @@
 	"github.com/violettally/violettally/mirror"
 )
 
-// A large value goes from one node to all others of its data hall, over a link
-// that may carry 10 Mbit/s. Values of such a size are declarations, whose
-// names and fields repeat: one of 268 kB with 1,600 routes takes 28 kB packed
-// (TestPacked), and is then known to 30 followers over such a link within 3 s.
-// Those who have the value before it get only what has changed (difference.go).
-
-// maxDecompressedBytes bounds a value that is unpacked, in bytes: four times what the
-// platform's store holds under one key.
+// A large value is sent by one node to all others of its data hall, over a link that
+// may have only 10 Mbit/s. Large values are declarations, which compress well: one
+// with 1,600 routes takes 28 kB instead of 268 kB (TestCompression), and reaches 30
+// followers over such a link within 3 s. Followers that have the previous value get
+// only a delta (delta.go).
+
+// maxDecompressedBytes is the largest size of a decompressed value, four times the
+// limit of the platform's store for one value.
 const maxDecompressedBytes = 16 << 20
 
-// followReply is a mirror.Batch on the wire.
+// followReply is the message for a mirror.Batch.
 type followReply struct {
 	Items    []followItem  `cbor:"1,keyasint"`
 	Revision int64         `cbor:"2,keyasint"`
@@ -30,7 +30,7 @@
 	Waited   time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
-// followItem is a mirror.Item on the wire.
+// followItem is the message for a mirror.Item.
 type followItem struct {
 	Key        string `cbor:"1,keyasint"`
 	Value      []byte `cbor:"2,keyasint,omitempty"`
@@ -38,12 +38,13 @@
 	Deleted    bool   `cbor:"4,keyasint,omitempty"`
 	Compressed bool   `cbor:"5,keyasint,omitempty"`
 	Lease      int64  `cbor:"6,keyasint,omitempty"`
-	// BaseRevision is the revision of the value that Value is the difference from; zero
-	// if it stands by itself.
+	// BaseRevision is the revision of the value that Value is a delta of, or zero if
+	// it is no delta.
 	BaseRevision int64 `cbor:"7,keyasint,omitempty"`
 }
 
-// decode returns what the reply tells to a node that holds the values in known.
+// decode returns the reply's batch. Known returns the values that the receiver has,
+// the bases of deltas.
 func (r followReply) decode(known func(key string) (mirror.Item, bool)) (mirror.Batch, error) {
 	b := mirror.Batch{Revision: r.Revision, Whole: r.Snapshot, Age: r.Age, Held: r.Waited}
 	for _, i := range r.Items {
@@ -56,7 +57,7 @@
 	return b, nil
 }
 
-// decodeValue returns the item's value as the sender holds it.
+// decodeValue returns the item's value, decompressed or with its delta applied.
 func (i followItem) decodeValue(known func(key string) (mirror.Item, bool)) ([]byte, error) {
 	var value []byte
 	var err error
@@ -64,7 +65,7 @@
 	case i.BaseRevision != 0:
 		base, ok := known(i.Key)
 		if !ok || base.Revision != i.BaseRevision {
-			return nil, errs.New(UnknownBase, "follow", "%s is told from revision %d, known is %d", i.Key, i.BaseRevision, base.Revision)
+			return nil, errs.New(UnknownBase, "follow", "value of %s is a delta of revision %d, but the known revision is %d", i.Key, i.BaseRevision, base.Revision)
 		}
 		value, err = decodeDelta(base.Value, i.Value)
 	case i.Compressed:
@@ -78,33 +79,33 @@
 	return value, nil
 }
 
-// batchEncoder packs values, each once for all peers that ask. It is safe for
-// concurrent use.
+// batchEncoder encodes batches, and each large value in them only once for all
+// peers. It is safe for concurrent use.
 type batchEncoder struct {
-	// previous returns what a key held before its last change.
+	// previous returns a key's value before its last change.
 	previous func(key string) (mirror.Item, bool)
 
 	mu sync.Mutex
-	// compressed and differences are by key what was packed last.
+	// compressed and deltas cache the last encoding of each key.
 	compressed, deltas map[string]encodedValue
 }
 
-// encodedValue is a value of a revision; base is that of the value that it is the
-// difference from, zero for none.
+// encodedValue is the encoding of a value at a revision. baseRevision is that of the
+// value that it is a delta of, or zero.
 type encodedValue struct {
 	revision, baseRevision int64
 	data                   []byte
 }
 
-func newBatchEncoder(before func(key string) (mirror.Item, bool)) *batchEncoder {
-	return &batchEncoder{previous: before, compressed: make(map[string]encodedValue), deltas: make(map[string]encodedValue)}
+func newBatchEncoder(previous func(key string) (mirror.Item, bool)) *batchEncoder {
+	return &batchEncoder{previous: previous, compressed: make(map[string]encodedValue), deltas: make(map[string]encodedValue)}
 }
 
-// encode makes the answer to a peer's request.
-func (p *batchEncoder) encode(b mirror.Batch, r followRequest) (followReply, error) {
+// encode returns the reply to a peer's request.
+func (e *batchEncoder) encode(b mirror.Batch, r followRequest) (followReply, error) {
 	reply := followReply{Revision: b.Revision, Snapshot: b.Whole, Age: b.Age, Waited: b.Held}
 	for _, item := range b.Items {
-		i, err := p.encodeItem(item, r)
+		i, err := e.encodeItem(item, r)
 		if err != nil {
 			return followReply{}, err
 		}
@@ -113,42 +114,43 @@
 	return reply, nil
 }
 
-// encodeItem makes the part of an answer that tells of one key, in the fewest bytes that
-// the peer can read.
-func (p *batchEncoder) encodeItem(item mirror.Item, r followRequest) (followItem, error) {
+// encodeItem returns the message for one item: a delta if the peer accepts one and
+// has its base, else compressed if it accepts that. Small values are sent as is.
+func (e *batchEncoder) encodeItem(item mirror.Item, r followRequest) (followItem, error) {
 	i := followItem{Key: item.Key, Value: item.Value, Revision: item.Revision, Deleted: item.Deleted, Lease: item.Lease}
 	if len(item.Value) < mirror.LargeValue {
 		return i, nil
 	}
 	var err error
-	base, ok := p.previous(item.Key)
+	base, ok := e.previous(item.Key)
 	switch {
 	case r.AcceptDeltas && ok && base.Revision <= r.After && base.Revision < item.Revision:
 		i.BaseRevision = base.Revision
-		i.Value, err = p.cached(p.deltas, item, base.Revision, func() ([]byte, error) { return encodeDelta(base.Value, item.Value) })
+		i.Value, err = e.cached(e.deltas, item, base.Revision, func() ([]byte, error) { return encodeDelta(base.Value, item.Value) })
 	case r.AcceptCompressed:
 		i.Compressed = true
-		i.Value, err = p.cached(p.compressed, item, 0, func() ([]byte, error) { return compress(item.Value) })
+		i.Value, err = e.cached(e.compressed, item, 0, func() ([]byte, error) { return compress(item.Value) })
 	}
 	return i, err
 }
 
-// cached returns an item as encode packs it, which is kept in done. The peers of a
-// hall ask for a new value all at once; those that come second wait for the first.
-func (p *batchEncoder) cached(done map[string]encodedValue, item mirror.Item, base int64, encode func() ([]byte, error)) ([]byte, error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if known, ok := done[item.Key]; ok && known.revision == item.Revision && known.baseRevision == base {
+// cached returns an item's encoding from cache, or calls encode and stores the
+// result. The lock is held meanwhile: the peers of a hall all ask for a new value at
+// the same time, and all but the first wait for its encoding.
+func (e *batchEncoder) cached(cache map[string]encodedValue, item mirror.Item, base int64, encode func() ([]byte, error)) ([]byte, error) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if known, ok := cache[item.Key]; ok && known.revision == item.Revision && known.baseRevision == base {
 		return known.data, nil
 	}
 	data, err := encode()
 	if err == nil {
-		done[item.Key] = encodedValue{item.Revision, base, data}
+		cache[item.Key] = encodedValue{item.Revision, base, data}
 	}
 	return data, err
 }
 
-// compress packs a value.
+// compress encodes a value with DEFLATE.
 func compress(value []byte) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
@@ -169,7 +171,7 @@
 	defer r.Close()
 	value, err := io.ReadAll(io.LimitReader(r, maxDecompressedBytes+1))
 	if err == nil && len(value) > maxDecompressedBytes {
-		err = errs.New(Malformed, "unpack", "more than %d bytes", maxDecompressedBytes)
+		err = errs.New(Malformed, "unpack", "decompressed value has more than %d bytes", maxDecompressedBytes)
 	}
 	return value, err
 }
--- a/adapter/peer/encode_test.go
+++ b/adapter/peer/encode_test.go
@@ -12,25 +12,25 @@
 	"github.com/violettally/violettally/mirror"
 )
 
-// TestCompression lists values and who asks for them: whoever it is gets them whole, and
-// only one that reads packed values gets any.
+// TestCompression encodes values for peers that accept compressed values and for
+// those of earlier versions that do not. All must decode the same batch.
 func TestCompression(t *testing.T) {
 	large := declaration(1600)
 	tests := []struct {
-		name   string
-		value  []byte
-		packed bool
-		// most bytes that the answer may take.
-		most int
+		name             string
+		value            []byte
+		acceptCompressed bool
+		// maxBytes is the largest size of the reply.
+		maxBytes int
 	}{
 		{"large", large, true, len(large) / 2},
-		{"large, to an earlier version", large, false, len(large) + 200},
+		{"large, to a peer of an earlier version", large, false, len(large) + 200},
 		{"small", []byte("small"), true, 200},
 		{"empty", nil, true, 200},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			packing := peer.NewBatchEncoder(noValues)
+			encoder := peer.NewBatchEncoder(noValues)
 			for revision := range int64(2) {
 				b := mirror.Batch{
 					Items: []mirror.Item{
@@ -41,18 +41,18 @@
 					Revision: revision + 1, Whole: true, Age: time.Second,
 				}
 				for range 2 {
-					reply, err := packing.Encode(b, peer.Request{AcceptCompressed: tt.packed})
+					reply, err := encoder.Encode(b, peer.Request{AcceptCompressed: tt.acceptCompressed})
 					must.NoError(t, err)
 					data, err := peer.Codec.Marshal(&reply)
 					must.NoError(t, err)
 					t.Logf("%d bytes for %d", len(data), len(tt.value))
-					must.LessEq(t, tt.most, len(data))
+					must.LessEq(t, tt.maxBytes, len(data))
 					var got peer.Reply
 					must.NoError(t, peer.Codec.Unmarshal(data, &got))
-					back, err := peer.Decode(got, noValues)
+					decoded, err := peer.Decode(got, noValues)
 					must.NoError(t, err)
-					must.True(t, reflect.DeepEqual(b, back))
-					if !tt.packed {
+					must.True(t, reflect.DeepEqual(b, decoded))
+					if !tt.acceptCompressed {
 						var earlier mirror.Batch
 						must.NoError(t, peer.Codec.Unmarshal(data, &earlier))
 						must.True(t, reflect.DeepEqual(b, earlier))
@@ -63,10 +63,10 @@
 	}
 }
 
-// noValues is known.
+// noValues is the lookup of a node that has no values.
 func noValues(string) (mirror.Item, bool) { return mirror.Item{}, false }
 
-// FuzzPacked: whatever a peer sends is read or refused.
+// FuzzPacked checks that any compressed value from a peer is decoded or rejected.
 func FuzzPacked(f *testing.F) {
 	reply, err := peer.NewBatchEncoder(noValues).Encode(mirror.Batch{Items: []mirror.Item{{Key: "a", Value: declaration(100)}}}, peer.Request{AcceptCompressed: true})
 	if err != nil {
@@ -75,7 +75,7 @@
 	fuzzValue(f, reply, noValues)
 }
 
-// fuzzValue lets a peer send anything as the value of a reply's only item.
+// fuzzValue decodes a reply with arbitrary bytes as the value of its only item.
 func fuzzValue(f *testing.F, reply peer.Reply, known func(key string) (mirror.Item, bool)) {
 	f.Add(reply.Items[0].Value)
 	f.Add([]byte{})
--- a/adapter/peer/export_test.go
+++ b/adapter/peer/export_test.go
@@ -2,27 +2,28 @@
 
 import "github.com/violettally/violettally/mirror"
 
-// BatchEncoder is one node's, as its peers get it.
+// BatchEncoder exports batchEncoder for tests.
 type BatchEncoder struct{ encoder *batchEncoder }
 
-// NewBatchEncoder returns the packing of a node whose keys held what before returns.
-func NewBatchEncoder(before func(key string) (mirror.Item, bool)) BatchEncoder {
-	return BatchEncoder{newBatchEncoder(before)}
+// NewBatchEncoder returns an encoder. Previous returns a key's value before its last
+// change.
+func NewBatchEncoder(previous func(key string) (mirror.Item, bool)) BatchEncoder {
+	return BatchEncoder{newBatchEncoder(previous)}
 }
 
-// Request is what a peer asks for.
+// Request exports followRequest for tests.
 type Request = followRequest
 
-// Reply is what it gets.
+// Reply exports followReply for tests.
 type Reply = followReply
 
-// Encode packs a batch for a request.
-func (p BatchEncoder) Encode(b mirror.Batch, r Request) (Reply, error) { return p.encoder.encode(b, r) }
+// Encode returns the reply to a request.
+func (e BatchEncoder) Encode(b mirror.Batch, r Request) (Reply, error) { return e.encoder.encode(b, r) }
 
-// Decode is what a peer that holds the known values makes of a reply.
+// Decode returns a reply's batch for a peer that has the known values.
 func Decode(r Reply, known func(key string) (mirror.Item, bool)) (mirror.Batch, error) {
 	return r.decode(known)
 }
 
-// Codec is that of all calls.
+// Codec is the codec of all calls.
 var Codec = codec{}
--- a/adapter/peer/gateway.go
+++ b/adapter/peer/gateway.go
@@ -13,25 +13,26 @@
 	"github.com/violettally/violettally/share"
 )
 
-// callExchange tells what a node has sent to servers, and asks the same.
+// callExchange tells a peer what a node has sent to servers, and returns what the
+// peer has.
 const callExchange = "exchange"
 
-// callFollow asks for what a node's copy of the store has beyond a revision.
+// callFollow fetches what a node's copy of the store has after a revision.
 const callFollow = "follow"
 
-// followRequest asks for changes after a revision, and how long to wait for
-// some.
+// followRequest asks for the changes after a revision, waiting for some up to Wait.
 type followRequest struct {
 	After int64         `cbor:"1,keyasint"`
 	Wait  time.Duration `cbor:"2,keyasint"`
-	// AcceptCompressed says that the caller reads packed values; earlier versions do not.
+	// AcceptCompressed says that the caller decodes compressed values; earlier
+	// versions do not.
 	AcceptCompressed bool `cbor:"3,keyasint,omitempty"`
-	// AcceptDeltas says that it knows the large values as they were at After, and
-	// reads what has changed in them.
+	// AcceptDeltas says that the caller has the large values as of After, and
+	// decodes deltas of them.
 	AcceptDeltas bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Gateway is what a gateway answers its peers with.
+// Gateway handles the calls of other gateways.
 type Gateway interface {
 	Await(ctx context.Context, revision int64, wait time.Duration) mirror.Batch
 	Previous(key string) (mirror.Item, bool)
@@ -39,13 +40,13 @@
 	Exchange(m share.Message) share.Reply
 }
 
-// NewGatewayServer returns a server that answers the calls between gateways, and
-// none of those between the product's own nodes.
+// NewGatewayServer returns a server for the calls between gateways, without those
+// between the product's own nodes.
 func NewGatewayServer(g Gateway) *Server {
-	packer := newBatchEncoder(g.Previous)
+	encoder := newBatchEncoder(g.Previous)
 	return &Server{handlers: map[string]func(drpc.Stream) error{
 		callFollow: unaryHandler(func(ctx context.Context, r followRequest) (followReply, error) {
-			return packer.encode(g.Await(ctx, r.After, r.Wait), r)
+			return encoder.encode(g.Await(ctx, r.After, r.Wait), r)
 		}),
 		callExchange: unaryHandler(func(_ context.Context, m share.Message) (share.Reply, error) {
 			return g.Exchange(m), nil
@@ -54,23 +55,23 @@
 	}}
 }
 
-// countsHandler answers with what a node has counted of each version.
-func countsHandler(counted func() (node string, counts rollout.Counts)) func(drpc.Stream) error {
+// countsHandler returns the handler of callCounts.
+func countsHandler(get func() (node string, counts rollout.Counts)) func(drpc.Stream) error {
 	return unaryHandler(func(context.Context, empty) (countsReply, error) {
-		node, counts := counted()
+		node, counts := get()
 		return countsReply{Node: node, Counts: counts}, nil
 	})
 }
 
-// Follow asks a gateway for what its copy has beyond a revision, and lets it
-// wait for something to tell. Large values that this node knows come as
-// differences from them. Its copy may have gone on meanwhile, by another peer's
-// word; then the values are asked for as they are.
+// Follow fetches what a gateway's copy of the store has after a revision, waiting
+// for changes up to wait. Large values that this node has arrive as deltas of them.
+// If this node's copy changed in the meantime, because another peer updated it, the
+// base of a delta may be missing; then Follow asks again for the whole values.
 func (c *Client) Follow(ctx context.Context, address string, after int64, wait time.Duration) (mirror.Batch, error) {
 	request := followRequest{After: after, Wait: wait, AcceptCompressed: true, AcceptDeltas: c.knownValue != nil}
 	batch, err := c.follow(ctx, address, request)
 	if errorx.IsOfType(err, UnknownBase) {
-		slog.Info("difference from a value that is not known; asking for the value", "peer", address, "after", after, "error", err)
+		slog.Info("delta with an unknown base; fetching the whole value", "peer", address, "after", after, "error", err)
 		request.AcceptDeltas = false
 		batch, err = c.follow(ctx, address, request)
 	}
@@ -85,8 +86,8 @@
 	return reply.decode(c.knownValue)
 }
 
-// Exchange tells a gateway what this node knows of sends to servers, and returns
-// what the gateway knows.
+// Exchange tells a gateway what this node knows of requests sent to servers, and
+// returns what the gateway knows.
 func (c *Client) Exchange(ctx context.Context, address string, m share.Message) (share.Reply, error) {
 	return invoke[share.Message, share.Reply](ctx, c, address, callExchange, m)
 }
--- a/adapter/peer/messages.go
+++ b/adapter/peer/messages.go
@@ -7,7 +7,7 @@
 	"github.com/violettally/violettally/rollout"
 )
 
-// The names of the calls between nodes.
+// The RPC names of the calls between nodes.
 const (
 	callProbe      = "probe"
 	callProbeVia   = "probe_via"
@@ -27,7 +27,7 @@
 	callExplain    = "explain"
 )
 
-// empty is the answer of calls that only take something.
+// empty is a request or reply without fields.
 type empty struct{}
 
 type probeViaRequest struct {
@@ -63,16 +63,16 @@
 	Journal string `cbor:"1,keyasint"`
 }
 
-// attemptRequest names an attempt and the member that holds it. A later
-// incarnation at the same address knows nothing of it, which is not to say
-// that it did not run.
+// attemptRequest identifies an attempt and the member that holds it. The holder is
+// checked because a later incarnation at the same address does not know the
+// attempt, although it may have run.
 type attemptRequest struct {
 	Attempt string `cbor:"1,keyasint"`
 	Holder  string `cbor:"2,keyasint"`
 }
 
-// attachMessage is one message of an answer that is followed from another node.
-// The first one says whether the attempt is known.
+// attachMessage is one message of the stream of a response to another node. The
+// first one tells whether the attempt is known.
 type attachMessage struct {
 	Found   bool            `cbor:"1,keyasint"`
 	Ran     bool            `cbor:"2,keyasint"`
--- a/adapter/peer/server.go
+++ b/adapter/peer/server.go
@@ -24,11 +24,11 @@
 	"github.com/violettally/violettally/rollout"
 )
 
-// maxMessageBytes bounds one message between nodes. The largest are pages of a
-// transfer: 256 claims, of which patient ones hold their request.
+// maxMessageBytes is the largest size of a message between nodes. The largest are
+// pages of a transfer: 256 claims, those of asynchronous requests with the request.
 const maxMessageBytes = 64 << 20
 
-// Node is what a node answers its peers with.
+// Node handles the calls of peers.
 type Node interface {
 	Probe(h member.Heartbeat) member.Heartbeat
 	NewerDocuments(known map[string]int64) map[string]document.Item
@@ -42,7 +42,7 @@
 	Explain(requestID string) (decision.Summary, bool)
 }
 
-// Server answers the calls of other nodes.
+// Server serves the calls of other nodes.
 type Server struct {
 	node     Node
 	replica  *claim.Replica
@@ -50,8 +50,8 @@
 	handlers map[string]func(drpc.Stream) error
 }
 
-// NewServer returns a server of the node and its claim replica. The client is
-// used to probe on behalf of others.
+// NewServer returns a server for a node and its claim replica. The client is used
+// to probe on behalf of other nodes.
 func NewServer(node Node, replica *claim.Replica, client *Client) *Server {
 	s := &Server{node: node, replica: replica, client: client}
 	s.handlers = map[string]func(drpc.Stream) error{
@@ -101,14 +101,14 @@
 	return s
 }
 
-// unaryHandler makes a call with one request and one answer.
-func unaryHandler[Request, Reply any](answer func(context.Context, Request) (Reply, error)) func(drpc.Stream) error {
+// unaryHandler returns the handler of a call with one request and one reply.
+func unaryHandler[Request, Reply any](reply func(context.Context, Request) (Reply, error)) func(drpc.Stream) error {
 	return func(stream drpc.Stream) error {
 		var in Request
 		if err := stream.MsgRecv(&in, codec{}); err != nil {
 			return err
 		}
-		out, err := answer(stream.Context(), in)
+		out, err := reply(stream.Context(), in)
 		if err != nil {
 			return err
 		}
@@ -116,7 +116,7 @@
 	}
 }
 
-// HandleRPC answers one call.
+// HandleRPC implements drpc.Handler.
 func (s *Server) HandleRPC(stream drpc.Stream, rpc string) error {
 	call := s.handlers[rpc]
 	if call == nil {
@@ -125,7 +125,8 @@
 	return call(stream)
 }
 
-// Serve answers calls on a listener until the context ends.
+// Serve serves calls on a listener until the context ends. A nil config means
+// plain TCP.
 func (s *Server) Serve(ctx context.Context, listener net.Listener, config *tls.Config) error {
 	if config != nil {
 		listener = tls.NewListener(listener, config)
@@ -152,7 +153,7 @@
 	return nil
 }
 
-// attach streams an answer to another node as it grows.
+// attach streams a response to another node as its parts arrive.
 func (s *Server) attach(stream drpc.Stream) error {
 	var in attemptRequest
 	if err := stream.MsgRecv(&in, codec{}); err != nil {
@@ -169,8 +170,8 @@
 	for sent := 0; ; {
 		state := x.From(sent)
 		sent += len(state.Parts)
-		part := attachMessage{Found: true, HasHead: state.Headed, Head: state.Head, Parts: state.Parts, Done: state.Done, Failure: state.Failure}
-		if err := stream.MsgSend(&part, codec{}); err != nil {
+		message := attachMessage{Found: true, HasHead: state.Headed, Head: state.Head, Parts: state.Parts, Done: state.Done, Failure: state.Failure}
+		if err := stream.MsgSend(&message, codec{}); err != nil {
 			return err
 		}
 		if state.Done {
--- a/adapter/peer/silent_test.go
+++ b/adapter/peer/silent_test.go
@@ -17,7 +17,7 @@
 	"github.com/violettally/violettally/share"
 )
 
-// blockingGateway answers a call once as many wait as it is told.
+// blockingGateway replies to Follow calls once all calls of a group have arrived.
 type blockingGateway struct{ arrivals sync.WaitGroup }
 
 func (g *blockingGateway) Previous(string) (mirror.Item, bool) { return mirror.Item{}, false }
@@ -30,36 +30,36 @@
 func (g *blockingGateway) Counts() (string, rollout.Counts)   { return "node", rollout.Counts{} }
 func (g *blockingGateway) Exchange(share.Message) share.Reply { return share.Reply{} }
 
-// TestSilentConnections: after one call that got no answer in time, the next one
-// goes on a new connection, whatever others were kept.
+// TestSilentConnections checks that after a call that timed out, the next one uses a
+// new connection, even if the pool holds others.
 func TestSilentConnections(t *testing.T) {
-	const kept = 3
+	const pooled = 3
 	g := &blockingGateway{}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	go func() { _ = peer.NewGatewayServer(g).Serve(t.Context(), listener, nil) }()
-	p, err := faultproxy.Listen("127.0.0.1:0", listener.Addr().String())
+	proxy, err := faultproxy.Listen("127.0.0.1:0", listener.Addr().String())
 	must.NoError(t, err)
-	t.Cleanup(p.Close)
+	t.Cleanup(proxy.Close)
 	client := peer.NewClient(nil)
 	t.Cleanup(func() { _ = client.Close() })
-	g.arrivals.Add(kept)
+	g.arrivals.Add(pooled)
 	var calls sync.WaitGroup
-	for range kept {
+	for range pooled {
 		calls.Go(func() {
-			_, err := client.Follow(t.Context(), p.Address(), 0, 0)
+			_, err := client.Follow(t.Context(), proxy.Address(), 0, 0)
 			test.NoError(t, err)
 		})
 	}
 	calls.Wait()
 
-	p.SilenceOpen()
-	inTime := func(d time.Duration) error {
-		ctx, cancel := context.WithTimeout(t.Context(), d)
+	proxy.SilenceOpen()
+	exchangeWithin := func(timeout time.Duration) error {
+		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		defer cancel()
-		_, err := client.Exchange(ctx, p.Address(), share.Message{})
+		_, err := client.Exchange(ctx, proxy.Address(), share.Message{})
 		return err
 	}
-	must.Error(t, inTime(50*time.Millisecond))
-	must.NoError(t, inTime(10*time.Second))
+	must.Error(t, exchangeWithin(50*time.Millisecond))
+	must.NoError(t, exchangeWithin(10*time.Second))
 }
