--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -129,7 +129,7 @@
 	g.catalog.Store(catalog.Empty())
 	g.store = platform.NewStore(s.Store.Address, instruments.PlatformCall)
 	g.client = peer.NewClient(nil, peer.WithCallCounter(instruments.PeerCall),
-		peer.WithKnown(func(key string) (mirror.Item, bool) { return g.mirror.Get(key) }))
+		peer.WithKnownValues(func(key string) (mirror.Item, bool) { return g.mirror.Get(key) }))
 	g.registry = registry.New(g.timers)
 	g.runners = platform.NewBackendClient()
 	g.balancer = route.NewBalancer(s.DataHall, instruments.BreakerOpened, route.WithAnnouncer(func(s share.Record, prefillMillis float64) { g.exchange.Publish(s, prefillMillis) }))
@@ -320,9 +320,9 @@
 	return g.mirror.Await(ctx, revision, wait)
 }
 
-// Before returns the value of a key before its last change, if it was large; the
+// Previous returns the value of a key before its last change, if it was large; the
 // peer server sends large values as differences from it.
-func (g *Gateway) Before(key string) (mirror.Item, bool) { return g.mirror.Previous(key) }
+func (g *Gateway) Previous(key string) (mirror.Item, bool) { return g.mirror.Previous(key) }
 
 // Counts returns this gateway's ID and its counts for the driver of roll-outs.
 func (g *Gateway) Counts() (string, rollout.Counts) { return g.self.ID, g.picker.Counts() }
