--- a/adapter/operators/operators.go
+++ b/adapter/operators/operators.go
@@ -72,7 +72,7 @@
 	d := &Door{Parts: parts}
 	e := echo.New()
 	e.HideBanner = true
-	e.Use(middleware.Recover(), middleware.BodyLimit(strconv.Itoa(2*config.MaxBytes)+"B"))
+	e.Use(middleware.Recover(), middleware.BodyLimit(strconv.Itoa(2*config.MaxFileBytes)+"B"))
 	e.GET("/health", func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
 	e.GET("/ready", d.ready)
 	e.GET("/metrics", echo.WrapHandler(parts.Metrics))
--- a/adapter/peer/client.go
+++ b/adapter/peer/client.go
@@ -77,7 +77,7 @@
 
 // TLS returns the configuration for mutual TLS that the settings name, or nil
 // if they name none.
-func TLS(door settings.PeerDoor) (*tls.Config, error) {
+func TLS(door settings.PeerListener) (*tls.Config, error) {
 	if !door.Encrypted() {
 		return nil, nil
 	}
--- a/command/command.go
+++ b/command/command.go
@@ -20,11 +20,11 @@
 
 // The exit codes.
 const (
-	ExitOK      = 0
-	ExitFailure = 1
-	ExitUsage   = 2
-	ExitRaced   = 3
-	ExitUnknown = 4
+	ExitOK       = 0
+	ExitFailure  = 1
+	ExitUsage    = 2
+	ExitConflict = 3
+	ExitUnknown  = 4
 )
 
 type serveArgs struct {
--- a/command/remote.go
+++ b/command/remote.go
@@ -77,7 +77,7 @@
 		return ExitUsage
 	case status == http.StatusConflict:
 		r.printRace(applied)
-		return ExitRaced
+		return ExitConflict
 	case status == http.StatusServiceUnavailable:
 		fmt.Fprintln(r.stderr, applied.Message)
 		fmt.Fprintf(r.stderr, "outcome unknown; find out with: violettally apply %s --change %s\n", args.File, change)
--- a/config/check.go
+++ b/config/check.go
@@ -191,7 +191,7 @@
 	}
 	k.checkUnit(path+"/guards/bad_rating", r.Guards.BadRating)
 	k.checkUnit(path+"/guards/max_bad_increase", r.Guards.MaxBadIncrease)
-	k.checkUnit(path+"/guards/false_alarm", r.Guards.FalseAlarm)
+	k.checkUnit(path+"/guards/false_alarm", r.Guards.FalseAlarmRate)
 }
 
 func (k *checker) checkCascade(path string, c *Cascade) {
--- a/config/config.go
+++ b/config/config.go
@@ -51,9 +51,9 @@
 	VersionWithdrawn
 )
 
-// MaxBytes is the largest declaration file. The platform's key-value service
+// MaxFileBytes is the largest declaration file. The platform's key-value service
 // holds values up to a megabyte; the rest is left for the envelope.
-const MaxBytes = 900 << 10
+const MaxFileBytes = 900 << 10
 
 // Fault is one thing wrong with a declaration file, with its position.
 type Fault = strictjson.Fault
@@ -61,10 +61,10 @@
 // Parse reads a declaration file. It returns either a configuration or every
 // fault that it found, never both.
 func Parse(file string, data []byte) (*Config, []Fault) {
-	if len(data) > MaxBytes {
+	if len(data) > MaxFileBytes {
 		return nil, []Fault{{
 			File: file, Line: 1, Column: 1,
-			Message: fmt.Sprintf("the file has %d bytes; at most %d fit the platform's key-value service", len(data), MaxBytes),
+			Message: fmt.Sprintf("the file has %d bytes; at most %d fit the platform's key-value service", len(data), MaxFileBytes),
 		}}
 	}
 	c := new(Config)
@@ -161,8 +161,8 @@
 	Replace bool `json:"-"`
 }
 
-// Samples returns the number of answers that all stages need together.
-func (r *Rollout) Samples() int {
+// TotalMinSamples returns the number of answers that all stages need together.
+func (r *Rollout) TotalMinSamples() int {
 	sum := 0
 	for _, s := range r.Stages {
 		sum += s.MinSamples
@@ -178,9 +178,9 @@
 	MinSamples int `json:"min_samples"`
 	// MinSeconds is the shortest time that a stage lasts.
 	MinSeconds float64 `json:"min_seconds"`
-	// WantSamples lowers the share so far that the stage gives about that many
+	// TargetSamples lowers the share so far that the stage gives about that many
 	// answers within MinSeconds; zero leaves it. It is set by code alone.
-	WantSamples int `json:"-"`
+	TargetSamples int `json:"-"`
 }
 
 // Guards stop a roll-out whose version is worse than the one in service.
@@ -189,17 +189,17 @@
 	BadRating float64 `json:"bad_rating"`
 	// MaxBadIncrease is the tolerated increase of the share of bad answers.
 	MaxBadIncrease float64 `json:"max_bad_increase"`
-	// FineBadIncrease is a smaller increase that is not tolerated either, but
+	// StrictBadIncrease is a smaller increase that is not tolerated either, but
 	// takes more answers to be seen; zero for none. It is set by code alone.
-	FineBadIncrease float64 `json:"-"`
+	StrictBadIncrease float64 `json:"-"`
 	// MaxSlowIncrease is the tolerated increase of the share of slow answers,
 	// where these are counted. It is set by code alone.
 	MaxSlowIncrease float64 `json:"-"`
-	// UsualSlow is the least share of slow answers that counts as usual. It
+	// MinSlowBaseline is the least share of slow answers that counts as usual. It
 	// is set by code alone.
-	UsualSlow float64 `json:"-"`
-	// FalseAlarm is the accepted probability of stopping a good version.
-	FalseAlarm float64 `json:"false_alarm"`
+	MinSlowBaseline float64 `json:"-"`
+	// FalseAlarmRate is the accepted probability of stopping a good version.
+	FalseAlarmRate float64 `json:"false_alarm"`
 	// MaxFirstTokenMillis counts a slower first token as a bad answer; zero
 	// means no bound.
 	MaxFirstTokenMillis float64 `json:"max_first_token_ms"`
@@ -258,8 +258,8 @@
 // where its declaration does not say.
 const defaultClaimLife = 24 * time.Hour
 
-// ClaimLife returns how long the call is remembered.
-func (c Call) ClaimLife() time.Duration {
+// ClaimTTL returns how long the call is remembered.
+func (c Call) ClaimTTL() time.Duration {
 	if c.ClaimSeconds <= 0 {
 		return defaultClaimLife
 	}
@@ -269,8 +269,8 @@
 // defaultRetryBudget applies to a pool that declares none.
 const defaultRetryBudget = 0.1
 
-// RetryShare returns the share of the pool's requests that may be retried.
-func (p Pool) RetryShare() float64 {
+// RetryRatio returns the share of the pool's requests that may be retried.
+func (p Pool) RetryRatio() float64 {
 	if p.RetryBudget <= 0 {
 		return defaultRetryBudget
 	}
--- a/dispatch/chat.go
+++ b/dispatch/chat.go
@@ -258,7 +258,7 @@
 	d := m.d
 	s := d.Config()
 	if p := s.Pool(v.Pool); p != nil {
-		d.Budgets.Paid(v.Pool, p.RetryShare())
+		d.Budgets.Paid(v.Pool, p.RetryRatio())
 	}
 	attempt, err := d.Chooser.Choose(route.Request{
 		Pool:        v.Pool,
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -290,7 +290,7 @@
 		life += r.Deadline.Sub(d.Timers.Now())
 	}
 	if !r.Repeatable() {
-		life = max(life, r.Plain.Call.ClaimLife())
+		life = max(life, r.Plain.Call.ClaimTTL())
 	}
 	return life
 }
--- a/dispatch/join.go
+++ b/dispatch/join.go
@@ -144,10 +144,10 @@
 // may have run, and its claim may have ended since.
 func (d *Dispatcher) checkAge(r *Request) *Refusal {
 	made := idTime(r.ID)
-	if r.Repeatable() || made.IsZero() || d.Timers.Now().Sub(made) < r.Plain.Call.ClaimLife() {
+	if r.Repeatable() || made.IsZero() || d.Timers.Now().Sub(made) < r.Plain.Call.ClaimTTL() {
 		return nil
 	}
-	return refuse(ReasonOutcomeUnknown, RanUnknown, 0, "the id was made %s ago and such calls are remembered for %s", d.Timers.Now().Sub(made).Round(time.Second), r.Plain.Call.ClaimLife())
+	return refuse(ReasonOutcomeUnknown, RanUnknown, 0, "the id was made %s ago and such calls are remembered for %s", d.Timers.Now().Sub(made).Round(time.Second), r.Plain.Call.ClaimTTL())
 }
 
 // checkLost refuses an id that may have been used before its claim was lost
--- a/dispatch/plain.go
+++ b/dispatch/plain.go
@@ -32,7 +32,7 @@
 		return refuse(ReasonClaimUnreachable, RanNo, comeBackSoon, "too few replicas took note of the run")
 	}
 	if p := s.Pool(pool); p != nil {
-		d.Budgets.Paid(pool, p.RetryShare())
+		d.Budgets.Paid(pool, p.RetryRatio())
 	}
 	tried := make(map[string]bool)
 	var last *Refusal
@@ -64,7 +64,7 @@
 // markRunning makes known, here and at most of the replicas, that a call that
 // may not be repeated is about to run.
 func (d *Dispatcher) markRunning(x *answer.Exchange, r *Request, e *claim.Entry) bool {
-	d.Answers.Remember(x.Attempt(), r.Plain.Call.ClaimLife())
+	d.Answers.Remember(x.Attempt(), r.Plain.Call.ClaimTTL())
 	return d.advance(e, claim.StateRunning, nil)
 }
 
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -32,7 +32,7 @@
 	c.Models[1].Rollout = &config.Rollout{
 		Version: "v2",
 		Stages:  []config.Stage{{Share: 0.3, MinSamples: 15}, {Share: 0.7, MinSamples: 15}, {Share: 1, MinSamples: 100_000}},
-		Guards:  config.Guards{BadRating: 0.1, MaxBadIncrease: 0.9, FalseAlarm: 0.001},
+		Guards:  config.Guards{BadRating: 0.1, MaxBadIncrease: 0.9, FalseAlarmRate: 0.001},
 	}
 }
 
--- a/e2e/promises_test.go
+++ b/e2e/promises_test.go
@@ -209,7 +209,7 @@
 		c.Models[1].Rollout = &config.Rollout{
 			Version: "v2",
 			Stages:  []config.Stage{{Share: 0.5, MinSamples: 1000}, {Share: 1, MinSamples: 1000}},
-			Guards:  config.Guards{BadRating: 0.5, MaxBadIncrease: 0.2, FalseAlarm: 0.01},
+			Guards:  config.Guards{BadRating: 0.5, MaxBadIncrease: 0.2, FalseAlarmRate: 0.01},
 		}
 	}))
 	bad := 0
--- a/node/backends.go
+++ b/node/backends.go
@@ -78,7 +78,7 @@
 // in turn, so that its cost does not grow with the servers. The chooser lives
 // with old reports: see TestPolicies and docs/MEASUREMENTS.md.
 func (b *backends) Run(ctx context.Context) {
-	ticks := b.n.timers.Subscribe(settings.Millis(b.n.settings.Times.LoadMillis))
+	ticks := b.n.timers.Subscribe(settings.Millis(b.n.settings.Times.LoadIntervalMillis))
 	defer ticks.Stop()
 	for turn := 0; ; turn++ {
 		if servers := b.followed(); len(servers) > 0 {
--- a/node/node.go
+++ b/node/node.go
@@ -56,8 +56,8 @@
 var (
 	namespace = errs.Namespace("node")
 
-	// Start says that the node could not be made or opened.
-	Start = namespace.NewType("start")
+	// StartFailed says that the node could not be made or opened.
+	StartFailed = namespace.NewType("start")
 )
 
 // driverLease is the lease of the node that drives roll-outs and loads.
@@ -108,11 +108,11 @@
 func New(s *settings.Settings) (*Node, error) {
 	tlsConfig, err := peer.TLS(s.Peer)
 	if err != nil {
-		return nil, errs.Wrap(Start, "new", err, "peer door")
+		return nil, errs.Wrap(StartFailed, "new", err, "peer door")
 	}
 	instruments, err := metrics.New()
 	if err != nil {
-		return nil, errs.Wrap(Start, "new", err, "metrics")
+		return nil, errs.Wrap(StartFailed, "new", err, "metrics")
 	}
 	n := &Node{
 		settings:   s,
@@ -134,7 +134,7 @@
 	n.makeDecisions()
 	n.makeDoors()
 	if err := n.makeGauges(); err != nil {
-		return nil, errs.Wrap(Start, "new", err, "metrics")
+		return nil, errs.Wrap(StartFailed, "new", err, "metrics")
 	}
 	return n, nil
 }
@@ -144,10 +144,10 @@
 	s := n.settings
 	n.client = client
 	n.store = etcd.New(s.Platform.KeyValue, s.Platform.Prefix, etcd.WithCallCounter(n.metrics.PlatformCall))
-	n.vms = vmlist.New(s.Platform.VMList, n.timers, settings.Millis(s.Times.VMListMillis))
+	n.vms = vmlist.New(s.Platform.VMList, n.timers, settings.Millis(s.Times.VMListIntervalMillis))
 	n.spreader = spread.New(n.store, client, n.timers)
 	n.prober = member.New(n.self, client, n.timers,
-		member.WithInterval(settings.Millis(s.Times.ProbeMillis)),
+		member.WithInterval(settings.Millis(s.Times.ProbeIntervalMillis)),
 		member.WithPayload(n.fillHeartbeat),
 		member.WithObserver(n.heard),
 		member.WithCounter(n.metrics.Status),
@@ -177,10 +177,10 @@
 		Timers:      n.timers,
 		NewID:       newID,
 		Region:      n.regionOf,
-		SettledLife: 2 * settings.Millis(s.Times.AnswerLifeMillis),
+		SettledLife: 2 * settings.Millis(s.Times.ResponseTTLMillis),
 	})
 	n.bills.Attach(n.journal, n.replica, n.biller)
-	n.answers = answer.NewStore(n.timers, settings.Millis(s.Times.AnswerLifeMillis), s.Bounds.AnswerMemory)
+	n.answers = answer.NewStore(n.timers, settings.Millis(s.Times.ResponseTTLMillis), s.Bounds.ResponseMemoryBytes)
 	n.client.SetLocal(n.self.ID, n.self.Peer, peerNode{n}, n.replica)
 	n.peers = peer.NewServer(peerNode{n}, n.replica, n.client)
 }
@@ -194,10 +194,10 @@
 	n.keeper.Subscribe(func(v *view.View) { n.grantor.SetEpoch(v.Epoch(), n.ownsLimit) })
 	n.picker = rollout.NewPicker()
 	n.spreader.Subscribe(spread.Rollouts, n.takeRollouts)
-	n.leases = lease.New(driverLease, n.self.ID, n.store, n.timers, settings.Millis(s.Times.LeaseMillis),
+	n.leases = lease.New(driverLease, n.self.ID, n.store, n.timers, settings.Millis(s.Times.LeaseTTLMillis),
 		lease.WithCandidates(n.mayDrive))
 	n.driver = rollout.NewDriver(spread.Rollouts, n.spreader, collector{n}, n.leases, func() []config.Model { return n.Config().Models() }, n.timers)
-	engines := engine.New(engine.WithMaxBytes(s.Bounds.AnswerBytes))
+	engines := engine.New(engine.WithMaxBytes(s.Bounds.ResponseBytes))
 	chooser := route.New(n.self.ID,
 		route.WithLeaving(n.vms.Leaving),
 		route.WithNodes(n.sharers),
@@ -227,7 +227,7 @@
 		Counters:   n.metrics,
 		Timers:     n.timers,
 		NewID:      newID,
-		AnswerLife: settings.Millis(s.Times.AnswerLifeMillis),
+		AnswerLife: settings.Millis(s.Times.ResponseTTLMillis),
 	})
 }
 
@@ -240,7 +240,7 @@
 		Addresses:   n.addresses,
 		AddressTTL:  settings.Millis(s.Times.AddressTTLMillis),
 		Bounds:      s.Bounds,
-		RequestTime: settings.Millis(s.Times.RequestMillis),
+		RequestTime: settings.Millis(s.Times.RequestTimeoutMillis),
 		NewID:       newID,
 		Refused:     n.metrics.Refused,
 	})
@@ -331,7 +331,7 @@
 		n.drain()
 	case err = <-failed:
 		if err != nil {
-			err = errs.Wrap(Start, "run", err, "a door closed")
+			err = errs.Wrap(StartFailed, "run", err, "a door closed")
 		}
 	}
 	stop()
@@ -354,7 +354,7 @@
 	} {
 		listener, err := net.Listen("tcp", door.address)
 		if err != nil {
-			return l, errs.Wrap(Start, "listen", err, "address %s", door.address)
+			return l, errs.Wrap(StartFailed, "listen", err, "address %s", door.address)
 		}
 		*door.into = listener
 	}
@@ -396,7 +396,7 @@
 	n.callers.CloseIdle()
 	n.pause(noticeTime + settings.Millis(n.settings.Times.AddressTTLMillis))
 	n.dispatch.Drain()
-	limit := settings.Millis(n.settings.Times.RequestMillis)
+	limit := settings.Millis(n.settings.Times.RequestTimeoutMillis)
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	if err := n.callers.Shutdown(ctx); err != nil {
--- a/rollout/driver.go
+++ b/rollout/driver.go
@@ -135,7 +135,7 @@
 	}
 	candidate, baseline := d.nodes.totals(countName(m.Name, m.Rollout.Version), inServiceName(m), &p)
 	test := d.test(m, "bad")
-	bad := test.Update(m.Rollout.Guards, m.Rollout.Samples(), candidate, baseline)
+	bad := test.Update(m.Rollout.Guards, m.Rollout.TotalMinSamples(), candidate, baseline)
 	if bad || d.oftenBad(m, candidate, baseline) {
 		p.Verdict, p.Evidence, p.Samples = VerdictStopped, test.Score(), candidate.Answers
 		p.Reason = fmt.Sprintf("%d of %d answers bad, against %d of %d in service", candidate.Bad, candidate.Answers, baseline.Bad, baseline.Answers)
@@ -147,7 +147,7 @@
 		return p
 	}
 	stage := m.Rollout.Stages[min(p.Stage, len(m.Rollout.Stages)-1)]
-	if stage.WantSamples > 0 && p.Share == 0 {
+	if stage.TargetSamples > 0 && p.Share == 0 {
 		return d.size(m, p, stage, baseline, now)
 	}
 	enough := candidate.Answers-p.Samples >= int64(stage.MinSamples)
@@ -198,13 +198,13 @@
 		return p
 	}
 	expected := float64(baseline.Answers+baseline.Running) / elapsed * left
-	p.Share = min(stage.Share, float64(stage.WantSamples)/max(1, expected))
+	p.Share = min(stage.Share, float64(stage.TargetSamples)/max(1, expected))
 	inService := inServiceName(m)
 	if inService == "" {
 		return p
 	}
 	p.Held = encodeSlots(d.nodes.recent(inService))
-	p.Reason = fmt.Sprintf("share for %d answers of about %.0f requests", stage.WantSamples, expected)
+	p.Reason = fmt.Sprintf("share for %d answers of about %.0f requests", stage.TargetSamples, expected)
 	return p
 }
 
@@ -212,11 +212,11 @@
 // against a large one a few failures in many answers weigh nothing.
 func (d *Driver) oftenBad(m *config.Model, candidate, baseline Count) bool {
 	guards := m.Rollout.Guards
-	if guards.FineBadIncrease == 0 {
+	if guards.StrictBadIncrease == 0 {
 		return false
 	}
-	guards.MaxBadIncrease = guards.FineBadIncrease
-	return d.test(m, "often bad").Update(guards, m.Rollout.Samples(), candidate, baseline)
+	guards.MaxBadIncrease = guards.StrictBadIncrease
+	return d.test(m, "often bad").Update(guards, m.Rollout.TotalMinSamples(), candidate, baseline)
 }
 
 // tooSlow makes the same test of slow answers, where these are counted.
@@ -227,8 +227,8 @@
 	}
 	guards.MaxBadIncrease = guards.MaxSlowIncrease
 	candidate.Bad = candidate.Slow
-	baseline.Bad = max(baseline.Slow, int64(guards.UsualSlow*float64(baseline.Answers)))
-	return d.test(m, "slow").Update(guards, m.Rollout.Samples(), candidate, baseline)
+	baseline.Bad = max(baseline.Slow, int64(guards.MinSlowBaseline*float64(baseline.Answers)))
+	return d.test(m, "slow").Update(guards, m.Rollout.TotalMinSamples(), candidate, baseline)
 }
 
 // test returns one of the tests of a model's candidate, which last as long as
--- a/rollout/evidence.go
+++ b/rollout/evidence.go
@@ -47,7 +47,7 @@
 		// A node that counted is gone; go on from what is left.
 		return false
 	}
-	increase, alarm := orDefault(g.MaxBadIncrease, defaultIncrease), orDefault(g.FalseAlarm, defaultAlarm)/2
+	increase, alarm := orDefault(g.MaxBadIncrease, defaultIncrease), orDefault(g.FalseAlarmRate, defaultAlarm)/2
 	// Laplace's estimate keeps the rate off zero while there are few answers.
 	usual := float64(baseline.Bad+1) / float64(baseline.Answers+2)
 	usual = min(usual, 1-increase-minRate)
--- a/rollout/picker.go
+++ b/rollout/picker.go
@@ -103,7 +103,7 @@
 		return 1
 	}
 	stage := m.Rollout.Stages[min(progress.Stage, len(m.Rollout.Stages)-1)]
-	if stage.WantSamples > 0 {
+	if stage.TargetSamples > 0 {
 		return min(progress.Share, stage.Share)
 	}
 	return stage.Share
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -16,7 +16,7 @@
 	"github.com/violettally/violettally/timer"
 )
 
-var guards = config.Guards{BadRating: 0.5, MaxBadIncrease: 0.1, FalseAlarm: 0.01}
+var guards = config.Guards{BadRating: 0.5, MaxBadIncrease: 0.1, FalseAlarmRate: 0.01}
 
 // usualBad is the share of bad answers of the version in service.
 const usualBad = 0.05
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -69,7 +69,7 @@
 // of good versions were slow, since their servers had read no prompts; of a
 // slow version half were.
 var serviceGuards = config.Guards{
-	MaxBadIncrease: 0.1, FineBadIncrease: 0.005, MaxSlowIncrease: 0.3, UsualSlow: 0.125, FalseAlarm: 0.01,
+	MaxBadIncrease: 0.1, StrictBadIncrease: 0.005, MaxSlowIncrease: 0.3, MinSlowBaseline: 0.125, FalseAlarmRate: 0.01,
 }
 
 // Services picks the servers of a service by the orders in force. It is safe
@@ -127,7 +127,7 @@
 		Rollout: &config.Rollout{
 			Version: o.Target,
 			Stages: []config.Stage{
-				{Share: s.share, MinSamples: firstStageSamples, WantSamples: firstStageWants, MinSeconds: firstShare * o.Period.Seconds()},
+				{Share: s.share, MinSamples: firstStageSamples, TargetSamples: firstStageWants, MinSeconds: firstShare * o.Period.Seconds()},
 				{Share: secondShare, MinSeconds: secondPart * o.Period.Seconds()},
 				{Share: 1, MinSeconds: max(lastStageSeconds, lastPart*o.Period.Seconds())},
 			},
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -16,14 +16,14 @@
 	Name     string `json:"name"`
 	Region   string `json:"region"`
 	DataHall string `json:"data_hall"`
-	// Halls maps each data hall to its region.
-	Halls map[string]string `json:"halls"`
+	// DataHallRegions maps each data hall to its region.
+	DataHallRegions map[string]string `json:"halls"`
 
-	Caller    Door `json:"caller"`
-	Ready     Door `json:"ready"`
-	Directory Door `json:"directory"`
-	Peer      Door `json:"peer"`
-	Metrics   Door `json:"metrics"`
+	Caller    Listener `json:"caller"`
+	Ready     Listener `json:"ready"`
+	Directory Listener `json:"directory"`
+	Peer      Listener `json:"peer"`
+	Metrics   Listener `json:"metrics"`
 	// Seeds are peer addresses of a few nodes; some may be gone.
 	Seeds []string `json:"seeds"`
 
@@ -44,8 +44,8 @@
 // GatewayLimits are what the VM gives the process.
 type GatewayLimits struct {
 	MemoryMB int `json:"memory_mb"`
-	// Descriptors is the number of files and connections.
-	Descriptors int `json:"descriptors"`
+	// FileDescriptors is the number of files and connections.
+	FileDescriptors int `json:"descriptors"`
 }
 
 // GatewayBounds are the platform's agreed times and shares.
@@ -56,8 +56,8 @@
 	DrainMillis float64 `json:"drain_ms"`
 	// AddressTTLMaxSeconds is the longest that clients keep addresses.
 	AddressTTLMaxSeconds float64 `json:"address_ttl_max_s"`
-	// SessionSeconds without a request end a session.
-	SessionSeconds float64 `json:"session_s"`
+	// SessionIdleSeconds without a request end a session.
+	SessionIdleSeconds float64 `json:"session_s"`
 	// CachedSeconds after its last use a prompt's part is worth keeping.
 	CachedSeconds float64 `json:"cached_s"`
 	// RetryRatio of the requests of a window, and RetrySlack more, may be
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -45,12 +45,12 @@
 	Region   string `json:"region" env:"REGION"`
 	DataHall string `json:"data_hall" env:"DATA_HALL"`
 
-	Caller   Door     `json:"caller" envPrefix:"CALLER_"`
-	Operator Door     `json:"operator" envPrefix:"OPERATOR_"`
-	Peer     PeerDoor `json:"peer" envPrefix:"PEER_"`
-	Platform Platform `json:"platform" envPrefix:"PLATFORM_"`
-	Bounds   Bounds   `json:"bounds"`
-	Times    Times    `json:"times"`
+	Caller   Listener     `json:"caller" envPrefix:"CALLER_"`
+	Operator Listener     `json:"operator" envPrefix:"OPERATOR_"`
+	Peer     PeerListener `json:"peer" envPrefix:"PEER_"`
+	Platform Platform     `json:"platform" envPrefix:"PLATFORM_"`
+	Bounds   Bounds       `json:"bounds"`
+	Times    Times        `json:"times"`
 
 	// BootstrapKey is the digest of the key that may apply the first
 	// configuration.
@@ -59,32 +59,32 @@
 	LogLevel string `json:"log_level" env:"LOG_LEVEL"`
 }
 
-// Door is one address that the process listens on. Advertise is the address
+// Listener is one address that the process listens on. Advertise is the address
 // that others are told; Listen if empty.
-type Door struct {
+type Listener struct {
 	Listen    string `json:"listen" env:"LISTEN"`
 	Advertise string `json:"advertise" env:"ADVERTISE"`
 }
 
 // Address returns the address that others use.
-func (d Door) Address() string {
+func (d Listener) Address() string {
 	if d.Advertise != "" {
 		return d.Advertise
 	}
 	return d.Listen
 }
 
-// PeerDoor is the door for other nodes. Without certificates it may only
+// PeerListener is the door for other nodes. Without certificates it may only
 // listen on loopback.
-type PeerDoor struct {
-	Door
+type PeerListener struct {
+	Listener
 	Certificate string `json:"certificate" env:"CERTIFICATE"`
 	Key         string `json:"key" env:"KEY"`
 	Authority   string `json:"authority" env:"AUTHORITY"`
 }
 
 // Encrypted reports whether peers speak mutual TLS.
-func (d PeerDoor) Encrypted() bool { return d.Certificate != "" }
+func (d PeerListener) Encrypted() bool { return d.Certificate != "" }
 
 // Platform says where the platform's services are.
 type Platform struct {
@@ -97,23 +97,23 @@
 
 // Bounds on what comes from outside. Zero takes the default.
 type Bounds struct {
-	BodyBytes    int64 `json:"body_bytes"`
-	HeaderBytes  int   `json:"header_bytes"`
-	Connections  int   `json:"connections"`
-	AnswerBytes  int64 `json:"answer_bytes"`
-	AnswerMemory int64 `json:"answer_memory"`
+	BodyBytes           int64 `json:"body_bytes"`
+	HeaderBytes         int   `json:"header_bytes"`
+	Connections         int   `json:"connections"`
+	ResponseBytes       int64 `json:"answer_bytes"`
+	ResponseMemoryBytes int64 `json:"answer_memory"`
 }
 
 // Times that operators may tune, in milliseconds. Zero takes the default.
 type Times struct {
-	ProbeMillis      int `json:"probe_ms"`
-	AddressTTLMillis int `json:"address_ttl_ms"`
-	RequestMillis    int `json:"request_ms"`
-	AnswerLifeMillis int `json:"answer_life_ms"`
-	FoldMillis       int `json:"fold_ms"`
-	VMListMillis     int `json:"vm_list_ms"`
-	LoadMillis       int `json:"load_ms"`
-	LeaseMillis      int `json:"lease_ms"`
+	ProbeIntervalMillis  int `json:"probe_ms"`
+	AddressTTLMillis     int `json:"address_ttl_ms"`
+	RequestTimeoutMillis int `json:"request_ms"`
+	ResponseTTLMillis    int `json:"answer_life_ms"`
+	FoldMillis           int `json:"fold_ms"`
+	VMListIntervalMillis int `json:"vm_list_ms"`
+	LoadIntervalMillis   int `json:"load_ms"`
+	LeaseTTLMillis       int `json:"lease_ms"`
 }
 
 // The defaults of [Bounds] and [Times].
@@ -141,16 +141,16 @@
 	setDefault(&s.Bounds.BodyBytes, defaultBodyBytes)
 	setDefault(&s.Bounds.HeaderBytes, defaultHeaderBytes)
 	setDefault(&s.Bounds.Connections, defaultConnections)
-	setDefault(&s.Bounds.AnswerBytes, defaultAnswerBytes)
-	setDefault(&s.Bounds.AnswerMemory, defaultAnswerMemory)
-	setDefault(&s.Times.ProbeMillis, defaultProbe)
+	setDefault(&s.Bounds.ResponseBytes, defaultAnswerBytes)
+	setDefault(&s.Bounds.ResponseMemoryBytes, defaultAnswerMemory)
+	setDefault(&s.Times.ProbeIntervalMillis, defaultProbe)
 	setDefault(&s.Times.AddressTTLMillis, defaultAddressTTL)
-	setDefault(&s.Times.RequestMillis, defaultRequest)
-	setDefault(&s.Times.AnswerLifeMillis, defaultAnswerLife)
+	setDefault(&s.Times.RequestTimeoutMillis, defaultRequest)
+	setDefault(&s.Times.ResponseTTLMillis, defaultAnswerLife)
 	setDefault(&s.Times.FoldMillis, defaultFold)
-	setDefault(&s.Times.VMListMillis, defaultVMList)
-	setDefault(&s.Times.LoadMillis, defaultLoad)
-	setDefault(&s.Times.LeaseMillis, defaultLease)
+	setDefault(&s.Times.VMListIntervalMillis, defaultVMList)
+	setDefault(&s.Times.LoadIntervalMillis, defaultLoad)
+	setDefault(&s.Times.LeaseTTLMillis, defaultLease)
 }
 
 func setDefault[T comparable](field *T, value T) {
@@ -214,7 +214,7 @@
 	}
 	checkDoor(fault, "/caller", s.Caller)
 	checkDoor(fault, "/operator", s.Operator)
-	checkDoor(fault, "/peer", s.Peer.Door)
+	checkDoor(fault, "/peer", s.Peer.Listener)
 	s.checkPeerDoor(fault)
 	if len(s.Platform.KeyValue) == 0 {
 		fault("/platform/key_value", "want the URL of the key-value service")
@@ -253,7 +253,7 @@
 	}
 }
 
-func checkDoor(fault strictjson.Report, path string, d Door) {
+func checkDoor(fault strictjson.Report, path string, d Listener) {
 	checkAddress(fault, path+"/listen", d.Listen)
 	if d.Advertise != "" {
 		checkAddress(fault, path+"/advertise", d.Advertise)
