--- a/command/command.go
+++ b/command/command.go
@@ -188,7 +188,7 @@
 		slog.Error("node cannot start", "error", err)
 		return ExitFailure
 	}
-	if err := n.Run(untilTold()); err != nil {
+	if err := n.Run(shutdownContext()); err != nil {
 		slog.Error("node failed", "error", err)
 		return ExitFailure
 	}
--- a/command/estimates.go
+++ b/command/estimates.go
@@ -9,8 +9,8 @@
 	"github.com/violettally/violettally/lag"
 )
 
-// logTable is what a command makes of logs.
-type logTable interface {
+// logReport is what a command makes of logs.
+type logReport interface {
 	Read(name string, log io.Reader) error
 	Print(w io.Writer) error
 	Broken() int
@@ -19,17 +19,17 @@
 // estimates needs no node: it reads logs alone.
 func (r *runner) estimates(args *logArgs) int {
 	table := accuracy.New()
-	return r.printLogs(table, args, "decisions", func() bool { return table.Decisions() > 0 })
+	return r.printReport(table, args, "decisions", func() bool { return table.Decisions() > 0 })
 }
 
 // lags needs no node either.
 func (r *runner) lags(args *logArgs) int {
 	table := lag.New()
-	return r.printLogs(table, args, "news of the store", func() bool { return table.Changes() > 0 })
+	return r.printReport(table, args, "news of the store", func() bool { return table.Changes() > 0 })
 }
 
-// printLogs reads logs into a table and prints it, if they hold what it is of.
-func (r *runner) printLogs(table logTable, args *logArgs, what string, held func() bool) int {
+// printReport reads logs into a table and prints it, if they hold what it is of.
+func (r *runner) printReport(table logReport, args *logArgs, what string, held func() bool) int {
 	if err := r.readLogs(table, args.Files); err != nil {
 		fmt.Fprintln(r.stderr, err)
 		return ExitFailure
@@ -46,7 +46,7 @@
 }
 
 // readLogs reads the files, or standard input if there are none.
-func (r *runner) readLogs(table logTable, files []string) error {
+func (r *runner) readLogs(table logReport, files []string) error {
 	if len(files) == 0 {
 		return table.Read("standard input", r.stdin)
 	}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func readLog(table logTable, file string) error {
+func readLog(table logReport, file string) error {
 	log, err := os.Open(file)
 	if err != nil {
 		return err
--- a/command/gateway.go
+++ b/command/gateway.go
@@ -20,7 +20,7 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
-	ctx := untilTold()
+	ctx := shutdownContext()
 	s, err := settings.LoadGateway(args.Settings)
 	if err != nil {
 		fmt.Fprintln(r.stderr, err)
@@ -37,7 +37,7 @@
 		slog.Error("gateway cannot start", "error", err)
 		return ExitFailure
 	}
-	go reload(ctx, hangups, args.Settings, func(s *settings.Gateway) { setLevel(&level, s.LogLevel) })
+	go reloadOnSignal(ctx, hangups, args.Settings, func(s *settings.Gateway) { setLevel(&level, s.LogLevel) })
 	if err := g.Run(ctx); err != nil {
 		slog.Error("gateway failed", "error", err)
 		return ExitFailure
@@ -46,11 +46,11 @@
 	return ExitOK
 }
 
-// untilTold returns a context that ends with the first SIGTERM or SIGINT. The
+// shutdownContext returns a context that ends with the first SIGTERM or SIGINT. The
 // platform's later SIGTERMs change nothing, since stops may overlap and a second
 // one would cut off all requests under way; a person's second SIGINT ends the
 // process.
-func untilTold() context.Context {
+func shutdownContext() context.Context {
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGTERM)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	context.AfterFunc(ctx, stop)
@@ -65,9 +65,9 @@
 	}
 }
 
-// reload reads the settings at each SIGHUP. Settings with faults change
+// reloadOnSignal reads the settings at each SIGHUP. Settings with faults change
 // nothing.
-func reload(ctx context.Context, hangups <-chan os.Signal, file string, apply func(*settings.Gateway)) {
+func reloadOnSignal(ctx context.Context, hangups <-chan os.Signal, file string, apply func(*settings.Gateway)) {
 	for {
 		select {
 		case <-ctx.Done():
--- a/command/remote.go
+++ b/command/remote.go
@@ -20,17 +20,17 @@
 	"github.com/violettally/violettally/decision"
 )
 
-// callTimeout bounds one call to a node.
-const callTimeout = 15 * time.Second
+// nodeCallTimeout bounds one call to a node.
+const nodeCallTimeout = 15 * time.Second
 
-// call sends a request to a node and reads the answer's body.
-func call(method, node, path, key string, body []byte) (status int, answer []byte, err error) {
+// callNode sends a request to a node and reads the answer's body.
+func callNode(method, node, path, key string, body []byte) (status int, answer []byte, err error) {
 	request, err := http.NewRequest(method, strings.TrimSuffix(node, "/")+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
 	request.Header.Set("Authorization", "Bearer "+key)
-	client := http.Client{Timeout: callTimeout}
+	client := http.Client{Timeout: nodeCallTimeout}
 	response, err := client.Do(request)
 	if err != nil {
 		return 0, nil, err
@@ -56,7 +56,7 @@
 	if args.Expect != nil {
 		query.Set("expect", strconv.FormatInt(*args.Expect, 10))
 	}
-	status, body, err := call(http.MethodPost, args.Node, "/v1/config?"+query.Encode(), args.Key, source)
+	status, body, err := callNode(http.MethodPost, args.Node, "/v1/config?"+query.Encode(), args.Key, source)
 	var applied operators.Applied
 	if err == nil {
 		err = json.Unmarshal(body, &applied)
@@ -76,7 +76,7 @@
 		fmt.Fprintf(r.stderr, "%d faults; nothing was applied\n", len(applied.Faults))
 		return ExitUsage
 	case status == http.StatusConflict:
-		r.printRace(applied)
+		r.printConflict(applied)
 		return ExitConflict
 	case status == http.StatusServiceUnavailable:
 		fmt.Fprintln(r.stderr, applied.Message)
@@ -88,7 +88,7 @@
 	}
 }
 
-func (r *runner) printRace(applied operators.Applied) {
+func (r *runner) printConflict(applied operators.Applied) {
 	fmt.Fprintf(r.stderr, "nothing was applied: %s\n", applied.Message)
 	fmt.Fprintf(r.stderr, "revision %d by %s differs from your file at:\n", applied.Revision, applied.By)
 	for _, path := range applied.Differs {
@@ -103,8 +103,8 @@
 		fmt.Fprintf(r.stderr, "show %s: want config, view, rollouts or ledger\n", args.What)
 		return ExitUsage
 	}
-	status, body, err := call(http.MethodGet, args.Node, "/v1/"+args.What, args.Key, nil)
-	if code, ok := r.failed(status, body, err); !ok {
+	status, body, err := callNode(http.MethodGet, args.Node, "/v1/"+args.What, args.Key, nil)
+	if code, ok := r.checkResponse(status, body, err); !ok {
 		return code
 	}
 	if args.What == "config" {
@@ -120,8 +120,8 @@
 	return r.printJSON(body)
 }
 
-// failed prints what went wrong with a call, if anything did.
-func (r *runner) failed(status int, body []byte, err error) (code int, ok bool) {
+// checkResponse prints what went wrong with a call, if anything did.
+func (r *runner) checkResponse(status int, body []byte, err error) (code int, ok bool) {
 	switch {
 	case err != nil:
 		fmt.Fprintln(r.stderr, err)
@@ -145,8 +145,8 @@
 
 func (r *runner) explain(args *explainArgs) int {
 	path := "/v1/explain/" + url.PathEscape(args.RequestID) + "?" + url.Values{"account": {args.Account}}.Encode()
-	status, body, err := call(http.MethodGet, args.Node, path, args.Key, nil)
-	if code, ok := r.failed(status, body, err); !ok {
+	status, body, err := callNode(http.MethodGet, args.Node, path, args.Key, nil)
+	if code, ok := r.checkResponse(status, body, err); !ok {
 		return code
 	}
 	var s decision.Summary
@@ -164,8 +164,8 @@
 
 func (r *runner) addresses(args *addressesArgs) int {
 	path := "/v1/addresses?" + url.Values{"data_hall": {args.DataHall}}.Encode()
-	status, body, err := call(http.MethodGet, args.Node, path, args.Key, nil)
-	if code, ok := r.failed(status, body, err); !ok {
+	status, body, err := callNode(http.MethodGet, args.Node, path, args.Key, nil)
+	if code, ok := r.checkResponse(status, body, err); !ok {
 		return code
 	}
 	return r.printJSON(body)
--- a/config/check.go
+++ b/config/check.go
@@ -16,7 +16,7 @@
 // references to what is not declared, shares that do not fit.
 func checkReferences(c *Config, fault strictjson.Report) {
 	k := &checker{Config: c, fault: fault}
-	k.index()
+	k.buildIndex()
 	k.checkKeys()
 	for i := range c.Accounts {
 		k.checkAccount(fmt.Sprintf("/accounts/%d", i), &c.Accounts[i])
@@ -44,13 +44,13 @@
 	services map[string]bool
 }
 
-func (k *checker) index() {
+func (k *checker) buildIndex() {
 	k.models = make(map[string]*Model)
 	k.cascades = make(map[string]bool)
 	k.pools = make(map[string]bool)
 	k.services = make(map[string]bool)
-	accounts, operators, callable := k.names("accounts"), k.names("operators"), k.names("models and cascades")
-	pools, services := k.names("pools"), k.names("services")
+	accounts, operators, callable := k.newNameCheck("accounts"), k.newNameCheck("operators"), k.newNameCheck("models and cascades")
+	pools, services := k.newNameCheck("pools"), k.newNameCheck("services")
 	for i, a := range k.Accounts {
 		accounts(fmt.Sprintf("/accounts/%d", i), a.Name)
 	}
@@ -75,8 +75,8 @@
 	}
 }
 
-// names returns a check that a name is well formed and new among its kind.
-func (k *checker) names(kind string) func(path, name string) {
+// newNameCheck returns a check that a name is well formed and new among its kind.
+func (k *checker) newNameCheck(kind string) func(path, name string) {
 	seen := make(map[string]bool)
 	return func(path, name string) {
 		if !namePattern.MatchString(name) {
@@ -143,7 +143,7 @@
 	if len(m.Versions) == 0 {
 		k.fault(path+"/versions", "model %q has no version", m.Name)
 	}
-	names := k.names("versions of " + m.Name)
+	names := k.newNameCheck("versions of " + m.Name)
 	inService := 0
 	for i, v := range m.Versions {
 		at := fmt.Sprintf("%s/versions/%d", path, i)
@@ -189,9 +189,9 @@
 		}
 		last = s.Share
 	}
-	k.checkUnit(path+"/guards/bad_rating", r.Guards.BadRating)
-	k.checkUnit(path+"/guards/max_bad_increase", r.Guards.MaxBadIncrease)
-	k.checkUnit(path+"/guards/false_alarm", r.Guards.FalseAlarmRate)
+	k.checkFraction(path+"/guards/bad_rating", r.Guards.BadRating)
+	k.checkFraction(path+"/guards/max_bad_increase", r.Guards.MaxBadIncrease)
+	k.checkFraction(path+"/guards/false_alarm", r.Guards.FalseAlarmRate)
 }
 
 func (k *checker) checkCascade(path string, c *Cascade) {
@@ -203,13 +203,13 @@
 			k.fault(fmt.Sprintf("%s/models/%d", path, i), "no model %q is declared", name)
 		}
 	}
-	k.checkUnit(path+"/min_rating", c.MinRating)
-	k.checkUnit(path+"/quality_target", c.QualityTarget)
+	k.checkFraction(path+"/min_rating", c.MinRating)
+	k.checkFraction(path+"/quality_target", c.QualityTarget)
 }
 
 func (k *checker) checkPool(path string, p *Pool) {
-	names := k.names("servers of " + p.Name)
-	k.checkUnit(path+"/retry_budget", p.RetryBudget)
+	names := k.newNameCheck("servers of " + p.Name)
+	k.checkFraction(path+"/retry_budget", p.RetryBudget)
 	for i, s := range p.Servers {
 		at := fmt.Sprintf("%s/servers/%d", path, i)
 		names(at, s.Name)
@@ -245,7 +245,7 @@
 	}
 }
 
-func (k *checker) checkUnit(path string, value float64) {
+func (k *checker) checkFraction(path string, value float64) {
 	if value < 0 || value > 1 {
 		k.fault(path, "want a number from 0 to 1, found %g", value)
 	}
--- a/config/config.go
+++ b/config/config.go
@@ -254,25 +254,25 @@
 	ClaimSeconds float64 `json:"claim_seconds"`
 }
 
-// defaultClaimLife is how long a call that may not be repeated is remembered
+// defaultClaimTTL is how long a call that may not be repeated is remembered
 // where its declaration does not say.
-const defaultClaimLife = 24 * time.Hour
+const defaultClaimTTL = 24 * time.Hour
 
 // ClaimTTL returns how long the call is remembered.
 func (c Call) ClaimTTL() time.Duration {
 	if c.ClaimSeconds <= 0 {
-		return defaultClaimLife
+		return defaultClaimTTL
 	}
 	return time.Duration(c.ClaimSeconds * float64(time.Second))
 }
 
-// defaultRetryBudget applies to a pool that declares none.
-const defaultRetryBudget = 0.1
+// defaultRetryRatio applies to a pool that declares none.
+const defaultRetryRatio = 0.1
 
 // RetryRatio returns the share of the pool's requests that may be retried.
 func (p Pool) RetryRatio() float64 {
 	if p.RetryBudget <= 0 {
-		return defaultRetryBudget
+		return defaultRetryRatio
 	}
 	return p.RetryBudget
 }
--- a/config/snapshot.go
+++ b/config/snapshot.go
@@ -35,10 +35,10 @@
 	cascades map[string]*Cascade
 	pools    map[string]*Pool
 	services map[string]*Service
-	keys     map[string]identity
+	keys     map[string]keyOwner
 }
 
-type identity struct {
+type keyOwner struct {
 	account  *Account
 	operator string
 }
@@ -58,18 +58,18 @@
 		cascades: make(map[string]*Cascade),
 		pools:    make(map[string]*Pool),
 		services: make(map[string]*Service),
-		keys:     make(map[string]identity),
+		keys:     make(map[string]keyOwner),
 	}
 	for i := range c.Accounts {
 		a := &c.Accounts[i]
 		s.accounts[a.Name] = a
 		for _, digest := range a.Keys {
-			s.keys[digest] = identity{account: a}
+			s.keys[digest] = keyOwner{account: a}
 		}
 	}
 	for _, o := range c.Operators {
 		for _, digest := range o.Keys {
-			s.keys[digest] = identity{operator: o.Name}
+			s.keys[digest] = keyOwner{operator: o.Name}
 		}
 	}
 	for i := range c.Models {
@@ -205,7 +205,7 @@
 
 const digestPrefix = "sha256:"
 
-var digestPattern = regexp.MustCompile(`^sha256:[0-9a-f]{64}$`)
+var validDigestPattern = regexp.MustCompile(`^sha256:[0-9a-f]{64}$`)
 
 // Digest returns the form in which a key stands in a declaration. Keys are
 // random tokens and not passwords, so a plain hash is enough.
@@ -215,7 +215,7 @@
 }
 
 // ValidDigest reports whether s has the form that [Digest] returns.
-func ValidDigest(s string) bool { return digestPattern.MatchString(s) }
+func ValidDigest(s string) bool { return validDigestPattern.MatchString(s) }
 
 // Diff lists the JSON pointers at which two declaration files differ, sorted,
 // so that the loser of a race sees what the winner changed.
--- a/node/backends.go
+++ b/node/backends.go
@@ -24,18 +24,18 @@
 	engines *engine.Client
 	chooser *route.Chooser
 
-	mu     sync.Mutex
-	queues map[string]*admit.Queue
-	asking map[string]bool
+	mu            sync.Mutex
+	queues        map[string]*admit.Queue
+	pollsInFlight map[string]bool
 }
 
 func newBackends(n *Node, engines *engine.Client, chooser *route.Chooser) *backends {
 	return &backends{
-		n:       n,
-		engines: engines,
-		chooser: chooser,
-		queues:  make(map[string]*admit.Queue),
-		asking:  make(map[string]bool),
+		n:             n,
+		engines:       engines,
+		chooser:       chooser,
+		queues:        make(map[string]*admit.Queue),
+		pollsInFlight: make(map[string]bool),
 	}
 }
 
@@ -81,9 +81,9 @@
 	ticks := b.n.timers.Subscribe(settings.Millis(b.n.settings.Times.LoadIntervalMillis))
 	defer ticks.Stop()
 	for turn := 0; ; turn++ {
-		if servers := b.followed(); len(servers) > 0 {
+		if servers := b.polledServers(); len(servers) > 0 {
 			next := servers[turn%len(servers)]
-			b.ask(ctx, next.pool, next.server)
+			b.poll(ctx, next.pool, next.server)
 		}
 		select {
 		case <-ctx.Done():
@@ -93,32 +93,32 @@
 	}
 }
 
-// pooled is a server with its pool.
-type pooled struct {
+// poolServer is a server with its pool.
+type poolServer struct {
 	pool   string
 	server config.Server
 }
 
-// followed returns the servers that this node uses.
-func (b *backends) followed() []pooled {
-	var servers []pooled
+// polledServers returns the servers that this node uses.
+func (b *backends) polledServers() []poolServer {
+	var servers []poolServer
 	for _, pool := range b.n.Config().Pools() {
 		for _, server := range b.chooser.Subset(pool.Name, pool.Servers) {
-			servers = append(servers, pooled{pool.Name, server})
+			servers = append(servers, poolServer{pool.Name, server})
 		}
 	}
 	return servers
 }
 
-// ask asks one server, unless the last question is still open.
-func (b *backends) ask(ctx context.Context, pool string, server config.Server) {
+// poll asks one server, unless the last question is still open.
+func (b *backends) poll(ctx context.Context, pool string, server config.Server) {
 	key := pool + "/" + server.Name
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.asking[key] {
+	if b.pollsInFlight[key] {
 		return
 	}
-	b.asking[key] = true
+	b.pollsInFlight[key] = true
 	b.n.metrics.LoadReport()
 	go func() {
 		if report, err := b.engines.Load(ctx, server); err == nil {
@@ -126,7 +126,7 @@
 		}
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		delete(b.asking, key)
+		delete(b.pollsInFlight, key)
 	}()
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -60,8 +60,8 @@
 	StartFailed = namespace.NewType("start")
 )
 
-// driverLease is the lease of the node that drives roll-outs and loads.
-const driverLease = "driver"
+// driverLeaseName is the lease of the node that drives roll-outs and loads.
+const driverLeaseName = "driver"
 
 // Node is one process of the system.
 type Node struct {
@@ -69,30 +69,30 @@
 	self     view.Member
 	holder   claim.Holder
 
-	timers   *timer.Service
-	metrics  *metrics.Metrics
-	store    *etcd.Client
-	vms      *vmlist.List
-	client   *peer.Client
-	spreader *spread.Spreader
-	prober   *member.Prober
-	keeper   *view.Keeper
-	replica  *claim.Replica
-	claimer  *claim.Claimer
-	journal  *ledger.Journal
-	closer   *ledger.Closer
-	answers  *answer.Store
-	records  *decision.Log
-	limiter  *limit.Limiter
-	grantor  *limit.Grantor
-	picker   *rollout.Picker
-	driver   *rollout.Driver
-	leases   *lease.Holder
-	loads    *placement.Planner
-	backends *backends
-	bills    *billing.Memory
-	biller   *billing.Biller
-	dispatch *dispatch.Dispatcher
+	timers    *timer.Service
+	metrics   *metrics.Metrics
+	store     *etcd.Client
+	vms       *vmlist.List
+	client    *peer.Client
+	spreader  *spread.Spreader
+	prober    *member.Prober
+	keeper    *view.Keeper
+	replica   *claim.Replica
+	claimer   *claim.Claimer
+	journal   *ledger.Journal
+	closer    *ledger.Closer
+	answers   *answer.Store
+	decisions *decision.Log
+	limiter   *limit.Limiter
+	grantor   *limit.Grantor
+	picker    *rollout.Picker
+	driver    *rollout.Driver
+	leases    *lease.Holder
+	placer    *placement.Planner
+	backends  *backends
+	bills     *billing.Memory
+	biller    *billing.Biller
+	dispatch  *dispatch.Dispatcher
 
 	callers   *callers.Door
 	operators *operators.Door
@@ -129,18 +129,18 @@
 		}),
 	}
 	n.holder = claim.Holder{ID: n.self.ID, Peer: n.self.Peer}
-	n.makeMembership(peer.NewClient(tlsConfig, peer.WithCallCounter(instruments.PeerCall)))
-	n.makeClaims()
-	n.makeDecisions()
-	n.makeDoors()
-	if err := n.makeGauges(); err != nil {
+	n.initMembership(peer.NewClient(tlsConfig, peer.WithCallCounter(instruments.PeerCall)))
+	n.initClaims()
+	n.initRequestPath()
+	n.initServers()
+	if err := n.registerGauges(); err != nil {
 		return nil, errs.Wrap(StartFailed, "new", err, "metrics")
 	}
 	return n, nil
 }
 
-// makeMembership makes what finds the other nodes and spreads documents.
-func (n *Node) makeMembership(client *peer.Client) {
+// initMembership makes what finds the other nodes and spreads documents.
+func (n *Node) initMembership(client *peer.Client) {
 	s := n.settings
 	n.client = client
 	n.store = etcd.New(s.Platform.KeyValue, s.Platform.Prefix, etcd.WithCallCounter(n.metrics.PlatformCall))
@@ -149,25 +149,25 @@
 	n.prober = member.New(n.self, client, n.timers,
 		member.WithInterval(settings.Millis(s.Times.ProbeIntervalMillis)),
 		member.WithPayload(n.fillHeartbeat),
-		member.WithObserver(n.heard),
+		member.WithObserver(n.observeHeartbeat),
 		member.WithCounter(n.metrics.Status),
 	)
-	n.spreader.SetMembers(seeds{n.prober, n.vms})
+	n.spreader.SetMembers(seededMembers{n.prober, n.vms})
 	n.keeper = view.NewKeeper(spread.View, n.self, n.spreader, n.prober, n.vms, n.timers)
 	n.spreader.Subscribe(spread.View, n.keeper.Take)
-	n.spreader.Subscribe(spread.Config, n.takeConfig)
+	n.spreader.Subscribe(spread.Config, n.applyConfig)
 	n.keeper.Subscribe(n.prober.SetView)
 }
 
-// makeClaims makes the write-once memory and what is built on it.
-func (n *Node) makeClaims() {
+// initClaims makes the write-once memory and what is built on it.
+func (n *Node) initClaims() {
 	s := n.settings
-	n.bills = billing.NewMemory(n.self, members{n.keeper, n.prober}, n.client, n.store, n.timers)
+	n.bills = billing.NewMemory(n.self, viewMembers{n.keeper, n.prober}, n.client, n.store, n.timers)
 	n.replica = claim.NewReplica(n.self.ID, n.keeper, n.client, n.timers, claim.WithFolded(n.bills.Folded))
 	n.claimer = claim.NewClaimer(n.keeper, n.client, claim.WithVerdictCounter(n.metrics.Vote))
 	n.keeper.Subscribe(n.replica.SetView)
 	n.journal = ledger.New(n.self.ID, n.store, n.bills, n.timers, n.foldInterval)
-	n.closer = ledger.NewCloser(n.store, n.bills, n.bills.IsMember, n.onDuty, n.timers)
+	n.closer = ledger.NewCloser(n.store, n.bills, n.bills.IsMember, n.isFirstInRegion, n.timers)
 	n.biller = billing.New(billing.Parts{
 		Self:        n.holder,
 		Claims:      n.claimer,
@@ -176,7 +176,7 @@
 		Counters:    n.metrics,
 		Timers:      n.timers,
 		NewID:       newID,
-		Region:      n.regionOf,
+		Region:      n.accountRegion,
 		SettledLife: 2 * settings.Millis(s.Times.ResponseTTLMillis),
 	})
 	n.bills.Attach(n.journal, n.replica, n.biller)
@@ -185,26 +185,26 @@
 	n.peers = peer.NewServer(peerNode{n}, n.replica, n.client)
 }
 
-// makeDecisions makes what decides on requests, and the request path.
-func (n *Node) makeDecisions() {
+// initRequestPath makes what decides on requests, and the request path.
+func (n *Node) initRequestPath() {
 	s := n.settings
-	n.records = decision.New(n.self.ID)
+	n.decisions = decision.New(n.self.ID)
 	n.limiter = limit.New(grantors{n}, n.timers)
-	n.grantor = limit.NewGrantor(n.limitOf, n.timers)
-	n.keeper.Subscribe(func(v *view.View) { n.grantor.SetEpoch(v.Epoch(), n.ownsLimit) })
+	n.grantor = limit.NewGrantor(n.accountLimit, n.timers)
+	n.keeper.Subscribe(func(v *view.View) { n.grantor.SetEpoch(v.Epoch(), n.ownsAccountLimit) })
 	n.picker = rollout.NewPicker()
-	n.spreader.Subscribe(spread.Rollouts, n.takeRollouts)
-	n.leases = lease.New(driverLease, n.self.ID, n.store, n.timers, settings.Millis(s.Times.LeaseTTLMillis),
-		lease.WithCandidates(n.mayDrive))
+	n.spreader.Subscribe(spread.Rollouts, n.applyRollouts)
+	n.leases = lease.New(driverLeaseName, n.self.ID, n.store, n.timers, settings.Millis(s.Times.LeaseTTLMillis),
+		lease.WithCandidates(n.isDriverCandidate))
 	n.driver = rollout.NewDriver(spread.Rollouts, n.spreader, collector{n}, n.leases, func() []config.Model { return n.Config().Models() }, n.timers)
 	engines := engine.New(engine.WithMaxBytes(s.Bounds.ResponseBytes))
 	chooser := route.New(n.self.ID,
 		route.WithLeaving(n.vms.Leaving),
-		route.WithNodes(n.sharers),
+		route.WithNodes(n.viewNodes),
 		route.WithBreakerCounter(n.metrics.BreakerOpened),
 	)
 	n.backends = newBackends(n, engines, chooser)
-	n.loads = placement.New(n.backends, n.leases, n.Config, n.shareOf, n.timers)
+	n.placer = placement.New(n.backends, n.leases, n.Config, n.versionShare, n.timers)
 	n.dispatch = dispatch.New(dispatch.Parts{
 		Self:       n.holder,
 		Config:     n.Config,
@@ -223,7 +223,7 @@
 		Services:   engines,
 		Rater:      rating.New(s.Platform.Rating),
 		Bills:      n.biller,
-		Records:    n.records,
+		Records:    n.decisions,
 		Counters:   n.metrics,
 		Timers:     n.timers,
 		NewID:      newID,
@@ -231,7 +231,7 @@
 	})
 }
 
-func (n *Node) makeDoors() {
+func (n *Node) initServers() {
 	s := n.settings
 	n.callers = callers.New(callers.Parts{
 		Dispatcher:  n.dispatch,
@@ -252,7 +252,7 @@
 	})
 }
 
-func (n *Node) makeGauges() error {
+func (n *Node) registerGauges() error {
 	gauges := []struct {
 		name, help string
 		read       func() float64
@@ -286,8 +286,8 @@
 	return n.snapshot
 }
 
-// takeConfig puts a stored configuration in force. Revisions only rise.
-func (n *Node) takeConfig(item document.Item) {
+// applyConfig puts a stored configuration in force. Revisions only rise.
+func (n *Node) applyConfig(item document.Item) {
 	snapshot, err := decodeConfig(item)
 	if err != nil {
 		slog.Error("stored configuration cannot be used; the one before stays in force", "error", err)
@@ -305,7 +305,7 @@
 	slog.Info("configuration in force", "revision", snapshot.Revision(), "by", snapshot.Document().By)
 }
 
-func (n *Node) takeRollouts(item document.Item) {
+func (n *Node) applyRollouts(item document.Item) {
 	if err := n.picker.Take(item); err != nil {
 		slog.Error("stored roll-outs cannot be used", "error", err)
 	}
@@ -369,7 +369,7 @@
 	var parts sync.WaitGroup
 	for _, run := range []func(context.Context){
 		n.vms.Run, n.spreader.Run, n.prober.Run, n.keeper.Run, n.replica.Run, n.journal.Run, n.closer.Run, n.bills.Run,
-		n.answers.Run, n.limiter.Run, n.leases.Run, n.driver.Run, n.loads.Run, n.backends.Run, n.adoptOrphans,
+		n.answers.Run, n.limiter.Run, n.leases.Run, n.driver.Run, n.placer.Run, n.backends.Run, n.takeOverOrphans,
 		func(ctx context.Context) { stall.Watch(ctx, n.timers, stall.Log) },
 	} {
 		parts.Go(func() { run(ctx) })
@@ -378,13 +378,13 @@
 }
 
 const (
-	// noticeTime is how long it takes until all nodes know that one leaves.
-	noticeTime = time.Second
-	// lastWords bounds the last calls of a node that leaves.
-	lastWords = 5 * time.Second
-	// handOver is how long the members of the next view have to read the
+	// drainNoticeTime is how long it takes until all nodes know that one leaves.
+	drainNoticeTime = time.Second
+	// finalCallsTimeout bounds the last calls of a node that leaves.
+	finalCallsTimeout = 5 * time.Second
+	// handoverTime is how long the members of the next view have to read the
 	// claims of the one that leaves.
-	handOver = time.Second
+	handoverTime = time.Second
 )
 
 // drain takes the node out of the answers to callers, serves until the
@@ -394,7 +394,7 @@
 	slog.Info("node is leaving")
 	n.prober.Leave()
 	n.callers.CloseIdle()
-	n.pause(noticeTime + settings.Millis(n.settings.Times.AddressTTLMillis))
+	n.pause(drainNoticeTime + settings.Millis(n.settings.Times.AddressTTLMillis))
 	n.dispatch.Drain()
 	limit := settings.Millis(n.settings.Times.RequestTimeoutMillis)
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
@@ -402,18 +402,18 @@
 	if err := n.callers.Shutdown(ctx); err != nil {
 		slog.Warn("requests were still under way", "error", err)
 	}
-	n.waitRuns(ctx)
-	last, cancelLast := context.WithTimeout(context.Background(), lastWords)
+	n.waitForRequests(ctx)
+	last, cancelLast := context.WithTimeout(context.Background(), finalCallsTimeout)
 	defer cancelLast()
 	if err := n.journal.Fold(last); err != nil {
 		slog.Warn("bills not folded; another node will", "error", err)
 	}
 	n.keeper.Leave(last)
-	n.pause(handOver)
+	n.pause(handoverTime)
 	slog.Info("node has left")
 }
 
-func (n *Node) waitRuns(ctx context.Context) {
+func (n *Node) waitForRequests(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		n.dispatch.Wait()
@@ -431,12 +431,12 @@
 	<-ticks.C()
 }
 
-// foldsPerSecond is how many journals the whole fleet writes per second, a
+// fleetFoldsPerSecond is how many journals the whole fleet writes per second, a
 // tenth of what the platform takes.
-const foldsPerSecond = 10
+const fleetFoldsPerSecond = 10
 
 // foldInterval grows with the fleet.
 func (n *Node) foldInterval() time.Duration {
 	members := time.Duration(len(n.keeper.Current().Members()))
-	return max(settings.Millis(n.settings.Times.FoldMillis), members*time.Second/foldsPerSecond)
+	return max(settings.Millis(n.settings.Times.FoldMillis), members*time.Second/fleetFoldsPerSecond)
 }
--- a/node/operators.go
+++ b/node/operators.go
@@ -44,7 +44,7 @@
 // for an unknown account at every node.
 func (o operatorNode) Explain(ctx context.Context, account, id string) (decision.Summary, bool) {
 	n := o.n
-	if summary, ok := n.records.Find(id); ok {
+	if summary, ok := n.decisions.Find(id); ok {
 		return summary, true
 	}
 	if a := n.Config().Account(account); a != nil {
@@ -56,7 +56,7 @@
 	}
 	var mu sync.Mutex
 	var found decision.Summary
-	n.eachMember(ctx, func(ctx context.Context, m view.Member) {
+	n.forEachMember(ctx, func(ctx context.Context, m view.Member) {
 		summary, err := n.client.Explain(ctx, claim.Holder{ID: m.ID, Peer: m.Peer}, id)
 		if err != nil || summary.RequestID == "" {
 			return
--- a/node/peers.go
+++ b/node/peers.go
@@ -24,27 +24,27 @@
 	"github.com/violettally/violettally/view"
 )
 
-// seeds adds to the members that answer the addresses of the VM list.
-type seeds struct {
+// seededMembers adds to the members that answer the addresses of the VM list.
+type seededMembers struct {
 	*member.Prober
 	vms *vmlist.List
 }
 
 // Seeds returns peer addresses to ask before there is a view.
-func (s seeds) Seeds() []string { return s.vms.Peers() }
+func (s seededMembers) Seeds() []string { return s.vms.Peers() }
 
 func (n *Node) fillHeartbeat(h *member.Heartbeat) {
 	h.Revisions = n.spreader.Revisions()
 	h.Journal, h.Folded = n.journal.Name(), n.journal.Safe()
 }
 
-func (n *Node) heard(h member.Heartbeat) {
+func (n *Node) observeHeartbeat(h member.Heartbeat) {
 	n.bills.Heard(h.Journal, h.Folded)
 	n.spreader.Heard(h.Peer, h.Revisions)
 }
 
-// sharers returns the nodes among which the backend servers are shared out.
-func (n *Node) sharers() (epoch int64, ids []string) {
+// viewNodes returns the nodes among which the backend servers are shared out.
+func (n *Node) viewNodes() (epoch int64, ids []string) {
 	v := n.keeper.Current()
 	for _, m := range v.Members() {
 		ids = append(ids, m.ID)
@@ -52,14 +52,14 @@
 	return v.Epoch(), ids
 }
 
-// onDuty reports whether this node is the first of its region that answers.
+// isFirstInRegion reports whether this node is the first of its region that answers.
 // What such a node does is safe when two believe to be it.
-func (n *Node) onDuty() bool { return n.prober.RegionRank() == 0 && n.replica.Settled() }
+func (n *Node) isFirstInRegion() bool { return n.prober.RegionRank() == 0 && n.replica.Settled() }
 
 // driverCandidates is how many nodes compete for the driver's lease.
 const driverCandidates = 3
 
-func (n *Node) mayDrive() bool {
+func (n *Node) isDriverCandidate() bool {
 	return n.prober.RegionRank() < driverCandidates && n.keeper.Current().Has(n.self.ID) && !n.prober.Leaving()
 }
 
@@ -107,7 +107,7 @@
 
 func (p peerNode) CancelAnswer(attempt string) bool { return p.n.dispatch.CancelAttempt(attempt) }
 
-func (p peerNode) Explain(id string) (decision.Summary, bool) { return p.n.records.Find(id) }
+func (p peerNode) Explain(id string) (decision.Summary, bool) { return p.n.decisions.Find(id) }
 
 // holders reaches the nodes that hold claims.
 type holders struct{ n *Node }
@@ -134,7 +134,7 @@
 
 func (g grantors) Ask(ctx context.Context, ask limit.Ask) (limit.Grant, error) {
 	v := g.n.keeper.Current()
-	owner, ok := g.n.limitOwner(v, ask.Account)
+	owner, ok := g.n.accountLimitOwner(v, ask.Account)
 	if !ok {
 		return limit.Grant{Refused: true}, nil
 	}
@@ -142,31 +142,31 @@
 	return g.n.client.AskLimit(ctx, owner, ask)
 }
 
-func (n *Node) limitOwner(v *view.View, account string) (view.Member, bool) {
-	return v.Owner(n.regionOf(account), "limit/"+account, nil)
+func (n *Node) accountLimitOwner(v *view.View, account string) (view.Member, bool) {
+	return v.Owner(n.accountRegion(account), "limit/"+account, nil)
 }
 
-// members is who belongs to the system, and who of them answers.
-type members struct {
+// viewMembers is who belongs to the system, and who of them answers.
+type viewMembers struct {
 	*view.Keeper
 	*member.Prober
 }
 
-// regionOf returns the home region of a client account; one that the
+// accountRegion returns the home region of a client account; one that the
 // configuration does not know any more has the default one.
-func (n *Node) regionOf(account string) string {
+func (n *Node) accountRegion(account string) string {
 	if a := n.Config().Account(account); a != nil {
 		return a.HomeRegion()
 	}
 	return config.DefaultRegion
 }
 
-func (n *Node) ownsLimit(account string) bool {
-	owner, ok := n.limitOwner(n.keeper.Current(), account)
+func (n *Node) ownsAccountLimit(account string) bool {
+	owner, ok := n.accountLimitOwner(n.keeper.Current(), account)
 	return ok && owner.ID == n.self.ID
 }
 
-func (n *Node) limitOf(account string) float64 {
+func (n *Node) accountLimit(account string) float64 {
 	if a := n.Config().Account(account); a != nil {
 		return a.Limits.RequestsPerSecond
 	}
@@ -179,7 +179,7 @@
 func (c collector) Collect(ctx context.Context) map[string]rollout.Counts {
 	var mu sync.Mutex
 	all := make(map[string]rollout.Counts)
-	c.n.eachMember(ctx, func(ctx context.Context, m view.Member) {
+	c.n.forEachMember(ctx, func(ctx context.Context, m view.Member) {
 		name, counts, err := c.n.client.Counts(ctx, m)
 		if err != nil {
 			return
@@ -194,9 +194,9 @@
 // memberTimeout bounds a call that goes to every member.
 const memberTimeout = time.Second
 
-// eachMember calls ask for each member that answers, this node included, all
+// forEachMember calls ask for each member that answers, this node included, all
 // at once.
-func (n *Node) eachMember(ctx context.Context, ask func(context.Context, view.Member)) {
+func (n *Node) forEachMember(ctx context.Context, ask func(context.Context, view.Member)) {
 	ctx, cancel := context.WithTimeout(ctx, memberTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
@@ -206,8 +206,8 @@
 	calls.Wait()
 }
 
-// shareOf returns the part of a model's new sessions that a version gets.
-func (n *Node) shareOf(m *config.Model, version string) float64 {
+// versionShare returns the part of a model's new sessions that a version gets.
+func (n *Node) versionShare(m *config.Model, version string) float64 {
 	progress, known := n.picker.Progress(m.Name)
 	candidate := 0.0
 	if known && m.Rollout != nil && progress.Version == m.Rollout.Version && progress.Verdict != rollout.VerdictStopped {
@@ -235,18 +235,18 @@
 	return snapshot, nil
 }
 
-const orphanInterval = 2 * time.Second
+const orphanScanInterval = 2 * time.Second
 
-// adoptOrphans takes over patient work whose node is gone. Of the replicas
+// takeOverOrphans takes over patient work whose node is gone. Of the replicas
 // that remember it, the first that answers does; if two believe to be it, the
 // claim of the next attempt decides.
-func (n *Node) adoptOrphans(ctx context.Context) {
+func (n *Node) takeOverOrphans(ctx context.Context) {
 	adopted := make(map[string]time.Time)
-	n.timers.Every(ctx, orphanInterval, func() {
+	n.timers.Every(ctx, orphanScanInterval, func() {
 		now := n.timers.Now()
 		maps.DeleteFunc(adopted, func(_ string, until time.Time) bool { return now.After(until) })
 		for _, e := range n.replica.Orphans(func(id string) bool { return !(holders{n}).Gone(id) }) {
-			if _, seen := adopted[e.Token]; !seen && n.firstReplica(e.Key) {
+			if _, seen := adopted[e.Token]; !seen && n.isFirstLiveReplica(e.Key) {
 				adopted[e.Token] = e.Expires
 				n.dispatch.TakeOver(ctx, e)
 			}
@@ -254,7 +254,7 @@
 	})
 }
 
-func (n *Node) firstReplica(key claim.Key) bool {
+func (n *Node) isFirstLiveReplica(key claim.Key) bool {
 	for _, m := range n.keeper.Current().Replicas(key.Region, key.String()) {
 		if m.ID == n.self.ID {
 			return true
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -72,14 +72,14 @@
 }
 
 const (
-	// defaultGrace in seconds is used where the platform names none.
-	defaultGrace = 8.0
-	// defaultMinLease in milliseconds is the shortest lease asked for.
-	defaultMinLease = 1000
+	// defaultGraceSeconds in seconds is used where the platform names none.
+	defaultGraceSeconds = 8.0
+	// defaultMinLeaseMillis in milliseconds is the shortest lease asked for.
+	defaultMinLeaseMillis = 1000
 	// defaultRetryRatio is careful: a tenth more load in a failure.
 	defaultRetryRatio = 0.1
-	// defaultRetryWindow is the time in seconds over which repeats are counted.
-	defaultRetryWindow = 10.0
+	// defaultRetryWindowSeconds is the time in seconds over which repeats are counted.
+	defaultRetryWindowSeconds = 10.0
 	// defaultCanaryShare is the share of a first stage.
 	defaultCanaryShare = 0.1
 )
@@ -98,11 +98,11 @@
 // setDefaults fills in what the file leaves out.
 func (g *Gateway) setDefaults() {
 	setDefault(&g.LogLevel, "info")
-	setDefault(&g.Bounds.GraceSeconds, defaultGrace)
+	setDefault(&g.Bounds.GraceSeconds, defaultGraceSeconds)
 	setDefault(&g.Bounds.RetryRatio, defaultRetryRatio)
-	setDefault(&g.Bounds.RetryWindowSeconds, defaultRetryWindow)
+	setDefault(&g.Bounds.RetryWindowSeconds, defaultRetryWindowSeconds)
 	setDefault(&g.Bounds.CanaryShare, defaultCanaryShare)
-	setDefault(&g.Store.MinLeaseMillis, defaultMinLease)
+	setDefault(&g.Store.MinLeaseMillis, defaultMinLeaseMillis)
 }
 
 // check reports what a gateway cannot run with.
@@ -113,11 +113,11 @@
 	if g.DataHall == "" {
 		fault("/data_hall", "want the data hall's name")
 	}
-	checkDoor(fault, "/caller", g.Caller)
-	checkDoor(fault, "/ready", g.Ready)
-	checkDoor(fault, "/directory", g.Directory)
-	checkDoor(fault, "/peer", g.Peer)
-	checkDoor(fault, "/metrics", g.Metrics)
+	checkListener(fault, "/caller", g.Caller)
+	checkListener(fault, "/ready", g.Ready)
+	checkListener(fault, "/directory", g.Directory)
+	checkListener(fault, "/peer", g.Peer)
+	checkListener(fault, "/metrics", g.Metrics)
 	checkAddress(fault, "/store/address", g.Store.Address)
 	if g.Bounds.RetryRatio < 0 {
 		fault("/bounds/retry_ratio", "want a share of zero or more, found %g", g.Bounds.RetryRatio)
@@ -125,7 +125,7 @@
 	if g.Bounds.CanaryShare <= 0 || g.Bounds.CanaryShare > 1 {
 		fault("/bounds/canary_share", "want a share above 0 and up to 1, found %g", g.Bounds.CanaryShare)
 	}
-	checkLevel(fault, g.LogLevel)
+	checkLogLevel(fault, g.LogLevel)
 }
 
 // LoadGateway reads and checks a gateway's settings file.
@@ -140,13 +140,13 @@
 		g.check(fault)
 	})
 	if len(faults) > 0 {
-		return nil, invalid(file, faults)
+		return nil, invalidError(file, faults)
 	}
 	return g, nil
 }
 
-// invalid makes one error of all faults of a file, a line each.
-func invalid(file string, faults []strictjson.Fault) error {
+// invalidError makes one error of all faults of a file, a line each.
+func invalidError(file string, faults []strictjson.Fault) error {
 	lines := make([]error, len(faults))
 	for i, f := range faults {
 		lines[i] = errors.New(f.String())
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -118,20 +118,20 @@
 
 // The defaults of [Bounds] and [Times].
 const (
-	defaultBodyBytes    = 1 << 20
-	defaultHeaderBytes  = 16 << 10
-	defaultConnections  = 4096
-	defaultAnswerBytes  = 1 << 20
-	defaultAnswerMemory = 32 << 20
+	defaultBodyBytes           = 1 << 20
+	defaultHeaderBytes         = 16 << 10
+	defaultConnections         = 4096
+	defaultResponseBytes       = 1 << 20
+	defaultResponseMemoryBytes = 32 << 20
 
-	defaultProbe      = 500
-	defaultAddressTTL = 5_000
-	defaultRequest    = 120_000
-	defaultAnswerLife = 300_000
-	defaultFold       = 5_000
-	defaultVMList     = 2_000
-	defaultLoad       = 250
-	defaultLease      = 5_000
+	defaultProbeIntervalMillis  = 500
+	defaultAddressTTLMillis     = 5_000
+	defaultRequestTimeoutMillis = 120_000
+	defaultResponseTTLMillis    = 300_000
+	defaultFoldMillis           = 5_000
+	defaultVMListIntervalMillis = 2_000
+	defaultLoadIntervalMillis   = 250
+	defaultLeaseTTLMillis       = 5_000
 )
 
 func (s *Settings) setDefaults() {
@@ -141,16 +141,16 @@
 	setDefault(&s.Bounds.BodyBytes, defaultBodyBytes)
 	setDefault(&s.Bounds.HeaderBytes, defaultHeaderBytes)
 	setDefault(&s.Bounds.Connections, defaultConnections)
-	setDefault(&s.Bounds.ResponseBytes, defaultAnswerBytes)
-	setDefault(&s.Bounds.ResponseMemoryBytes, defaultAnswerMemory)
-	setDefault(&s.Times.ProbeIntervalMillis, defaultProbe)
-	setDefault(&s.Times.AddressTTLMillis, defaultAddressTTL)
-	setDefault(&s.Times.RequestTimeoutMillis, defaultRequest)
-	setDefault(&s.Times.ResponseTTLMillis, defaultAnswerLife)
-	setDefault(&s.Times.FoldMillis, defaultFold)
-	setDefault(&s.Times.VMListIntervalMillis, defaultVMList)
-	setDefault(&s.Times.LoadIntervalMillis, defaultLoad)
-	setDefault(&s.Times.LeaseTTLMillis, defaultLease)
+	setDefault(&s.Bounds.ResponseBytes, defaultResponseBytes)
+	setDefault(&s.Bounds.ResponseMemoryBytes, defaultResponseMemoryBytes)
+	setDefault(&s.Times.ProbeIntervalMillis, defaultProbeIntervalMillis)
+	setDefault(&s.Times.AddressTTLMillis, defaultAddressTTLMillis)
+	setDefault(&s.Times.RequestTimeoutMillis, defaultRequestTimeoutMillis)
+	setDefault(&s.Times.ResponseTTLMillis, defaultResponseTTLMillis)
+	setDefault(&s.Times.FoldMillis, defaultFoldMillis)
+	setDefault(&s.Times.VMListIntervalMillis, defaultVMListIntervalMillis)
+	setDefault(&s.Times.LoadIntervalMillis, defaultLoadIntervalMillis)
+	setDefault(&s.Times.LeaseTTLMillis, defaultLeaseTTLMillis)
 }
 
 func setDefault[T comparable](field *T, value T) {
@@ -169,14 +169,14 @@
 	if err != nil {
 		return nil, errs.Wrap(Unreadable, "load", err, "settings file %s", file)
 	}
-	return Parse(file, data, environment())
+	return Parse(file, data, readEnvironment())
 }
 
 // environmentPrefix starts the name of every variable that overrides a
 // setting.
 const environmentPrefix = "VIOLETTALLY_"
 
-func environment() map[string]string {
+func readEnvironment() map[string]string {
 	variables := make(map[string]string)
 	for _, pair := range os.Environ() {
 		name, value, _ := strings.Cut(pair, "=")
@@ -200,7 +200,7 @@
 		return nil, errs.Wrap(Invalid, "load", overrideErr, "environment")
 	}
 	if len(faults) > 0 {
-		return nil, invalid(file, faults)
+		return nil, invalidError(file, faults)
 	}
 	return s, nil
 }
@@ -212,10 +212,10 @@
 	if s.DataHall == "" {
 		fault("/data_hall", "want the data hall's name, here or in %sDATA_HALL", environmentPrefix)
 	}
-	checkDoor(fault, "/caller", s.Caller)
-	checkDoor(fault, "/operator", s.Operator)
-	checkDoor(fault, "/peer", s.Peer.Listener)
-	s.checkPeerDoor(fault)
+	checkListener(fault, "/caller", s.Caller)
+	checkListener(fault, "/operator", s.Operator)
+	checkListener(fault, "/peer", s.Peer.Listener)
+	s.checkPeerListener(fault)
 	if len(s.Platform.KeyValue) == 0 {
 		fault("/platform/key_value", "want the URL of the key-value service")
 	}
@@ -229,11 +229,11 @@
 	if s.BootstrapKey != "" && !config.ValidDigest(s.BootstrapKey) {
 		fault("/bootstrap_key", "want a digest as printed by `violettally digest`")
 	}
-	checkLevel(fault, s.LogLevel)
+	checkLogLevel(fault, s.LogLevel)
 }
 
-// checkLevel reports a log level that there is not.
-func checkLevel(fault strictjson.Report, level string) {
+// checkLogLevel reports a log level that there is not.
+func checkLogLevel(fault strictjson.Report, level string) {
 	switch level {
 	case "debug", "info", "warn", "error":
 	default:
@@ -241,19 +241,19 @@
 	}
 }
 
-func (s *Settings) checkPeerDoor(fault strictjson.Report) {
+func (s *Settings) checkPeerListener(fault strictjson.Report) {
 	d := s.Peer
 	named := d.Certificate != "" && d.Key != "" && d.Authority != ""
 	some := d.Certificate != "" || d.Key != "" || d.Authority != ""
 	switch {
 	case some && !named:
 		fault("/peer", "mutual TLS needs certificate, key and authority together")
-	case !some && !isLoopback(d.Listen):
+	case !some && !isLoopbackAddress(d.Listen):
 		fault("/peer/listen", "without certificates peers may only meet on loopback, found %q", d.Listen)
 	}
 }
 
-func checkDoor(fault strictjson.Report, path string, d Listener) {
+func checkListener(fault strictjson.Report, path string, d Listener) {
 	checkAddress(fault, path+"/listen", d.Listen)
 	if d.Advertise != "" {
 		checkAddress(fault, path+"/advertise", d.Advertise)
@@ -275,7 +275,7 @@
 	}
 }
 
-func isLoopback(address string) bool {
+func isLoopbackAddress(address string) bool {
 	host, _, _ := net.SplitHostPort(address)
 	ip := net.ParseIP(host)
 	return ip != nil && ip.IsLoopback()
