--- a/command/command.go
+++ b/command/command.go
@@ -1,6 +1,7 @@
-// Package command is the command line of violettally. Each command returns an
-// exit code: 0 for success, 1 for a failure, 2 for wrong use or for a file
-// with faults, 3 for a race that was lost, 4 for an unknown outcome.
+// Package command implements the violettally command line. Each command returns
+// an exit code: 0 for success, 1 for a failure, 2 for a usage error or an
+// invalid file, 3 if an apply conflicts with another one, 4 if the outcome is
+// unknown.
 package command
 
 import (
@@ -18,7 +19,7 @@
 	"github.com/violettally/violettally/settings"
 )
 
-// The exit codes.
+// Exit codes of the commands.
 const (
 	ExitOK       = 0
 	ExitFailure  = 1
@@ -40,15 +41,15 @@
 }
 
 type remoteArgs struct {
-	Node string `arg:"--node,env:VIOLETTALLY_NODE" default:"http://127.0.0.1:8201" help:"operators' address of any node"`
-	Key  string `arg:"--key,env:VIOLETTALLY_OPERATOR_KEY" help:"operator's key"`
+	Node string `arg:"--node,env:VIOLETTALLY_NODE" default:"http://127.0.0.1:8201" help:"base URL of the operator API of any node"`
+	Key  string `arg:"--key,env:VIOLETTALLY_OPERATOR_KEY" help:"operator key"`
 }
 
 type applyArgs struct {
 	fileArgs
 	remoteArgs
-	Expect *int64 `arg:"--expect" help:"revision that must be in force; the apply fails if another is"`
-	Change string `arg:"--change" help:"id of an apply whose outcome was unknown, to send it again"`
+	Expect *int64 `arg:"--expect" help:"expected revision in force; the apply fails if another one is"`
+	Change string `arg:"--change" help:"change ID of an earlier apply with unknown outcome, to retry it"`
 }
 
 type showArgs struct {
@@ -57,50 +58,50 @@
 }
 
 type explainArgs struct {
-	RequestID string `arg:"positional,required" help:"id of the request"`
-	Account   string `arg:"--account" help:"client account, to find the node at once"`
+	RequestID string `arg:"positional,required" help:"request ID"`
+	Account   string `arg:"--account" help:"client account of the request; finds the node without asking all of them"`
 	remoteArgs
 }
 
 type addressesArgs struct {
-	Node     string `arg:"--node,env:VIOLETTALLY_CALLER_NODE" default:"http://127.0.0.1:8101" help:"callers' address of any node"`
-	Key      string `arg:"--key,env:VIOLETTALLY_KEY" help:"client account's key"`
-	DataHall string `arg:"--data-hall" help:"data hall whose addresses come first"`
+	Node     string `arg:"--node,env:VIOLETTALLY_CALLER_NODE" default:"http://127.0.0.1:8101" help:"base URL of the client API of any node"`
+	Key      string `arg:"--key,env:VIOLETTALLY_KEY" help:"client account key"`
+	DataHall string `arg:"--data-hall" help:"data hall whose addresses are listed first"`
 }
 
 type logArgs struct {
-	Files []string `arg:"positional" placeholder:"FILE" help:"gateways' logs (JSON lines); without one, standard input"`
+	Files []string `arg:"positional" placeholder:"FILE" help:"gateway log (JSON lines); standard input if none is given"`
 }
 
 type digestArgs struct {
-	Key string `arg:"positional,required" help:"key of an account or operator; - reads it from standard input"`
+	Key string `arg:"positional,required" help:"client account key or operator key; - reads it from standard input"`
 }
 
 type arguments struct {
 	Serve     *serveArgs     `arg:"subcommand:serve" help:"run a node on this VM"`
-	Gateway   *gatewayArgs   `arg:"subcommand:gateway" help:"run a node on the users' platform, passing requests through"`
-	Check     *fileArgs      `arg:"subcommand:check" help:"check a declaration file and print every fault"`
-	Apply     *applyArgs     `arg:"subcommand:apply" help:"put a declaration file in force, whole or not at all"`
-	Show      *showArgs      `arg:"subcommand:show" help:"print what is in force"`
-	Explain   *explainArgs   `arg:"subcommand:explain" help:"print how a request was decided"`
-	Addresses *addressesArgs `arg:"subcommand:addresses" help:"print the addresses that callers may use"`
-	Estimates *logArgs       `arg:"subcommand:estimates" help:"print how good the estimates in gateways' logs were"`
-	Lags      *logArgs       `arg:"subcommand:lags" help:"print how late gateways learned what the store had taken, by their logs"`
-	Digest    *digestArgs    `arg:"subcommand:digest" help:"print the digest of a key, for a declaration file"`
+	Gateway   *gatewayArgs   `arg:"subcommand:gateway" help:"run a gateway that forwards requests on the users' platform"`
+	Check     *fileArgs      `arg:"subcommand:check" help:"validate a declaration file and print every fault"`
+	Apply     *applyArgs     `arg:"subcommand:apply" help:"apply a declaration file atomically"`
+	Show      *showArgs      `arg:"subcommand:show" help:"print the current configuration, view, rollouts or ledger"`
+	Explain   *explainArgs   `arg:"subcommand:explain" help:"print the routing decisions made for a request"`
+	Addresses *addressesArgs `arg:"subcommand:addresses" help:"print the node addresses that clients may use"`
+	Estimates *logArgs       `arg:"subcommand:estimates" help:"print the accuracy of the estimates in gateway logs"`
+	Lags      *logArgs       `arg:"subcommand:lags" help:"print the propagation delay of store changes from gateway logs"`
+	Digest    *digestArgs    `arg:"subcommand:digest" help:"print the digest of a key for a declaration file"`
 	Version   *struct{}      `arg:"subcommand:version" help:"print the version"`
 }
 
-// Description is shown by --help.
+// Description returns the program summary for --help.
 func (arguments) Description() string {
 	return "violettally routes requests to versions and cascades of language models."
 }
 
-// Epilogue is shown by --help.
+// Epilogue returns the list of exit codes for --help.
 func (arguments) Epilogue() string {
-	return "Exit codes: 0 success, 1 failure, 2 wrong use or a file with faults, 3 a race lost, 4 outcome unknown."
+	return "Exit codes: 0 success, 1 failure, 2 usage error or invalid file, 3 conflict with another apply, 4 outcome unknown."
 }
 
-// Main runs one command and returns its exit code.
+// Main parses args, runs one command and returns its exit code.
 func Main(args []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	var parsed arguments
 	parser, err := arg.NewParser(arg.Config{Program: "violettally", Out: stdout}, &parsed)
@@ -121,7 +122,7 @@
 	return r.run(parsed, parser)
 }
 
-// runner runs commands with the given streams.
+// runner runs commands on the given standard streams.
 type runner struct {
 	stdin          io.Reader
 	stdout, stderr io.Writer
@@ -158,7 +159,8 @@
 	}
 }
 
-// version is the module's version or, for a build from a checkout, its commit.
+// version returns the VCS revision of the build, or the module version if the
+// build has none.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -172,7 +174,7 @@
 	return info.Main.Version
 }
 
-// serve runs a node until SIGTERM or SIGINT, then drains it. A second signal
+// serve runs a node until SIGTERM or SIGINT, then drains it. A second SIGINT
 // ends the process at once.
 func (r *runner) serve(args *serveArgs) int {
 	s, err := settings.Load(args.Settings)
@@ -185,7 +187,7 @@
 	slog.SetDefault(slog.New(slog.NewJSONHandler(r.stdout, &slog.HandlerOptions{Level: level})).With("vm", s.Name))
 	n, err := node.New(s)
 	if err != nil {
-		slog.Error("node cannot start", "error", err)
+		slog.Error("node failed to start", "error", err)
 		return ExitFailure
 	}
 	if err := n.Run(shutdownContext()); err != nil {
@@ -195,7 +197,7 @@
 	return ExitOK
 }
 
-// check needs no node: it checks the file alone.
+// check validates a declaration file locally, without a node.
 func (r *runner) check(args *fileArgs) int {
 	source, err := os.ReadFile(args.File)
 	if err != nil {
--- a/command/gateway.go
+++ b/command/gateway.go
@@ -14,9 +14,9 @@
 )
 
 // gateway runs a gateway until SIGTERM or SIGINT, then drains it. SIGHUP
-// reads the settings again.
+// reloads the log level from the settings file.
 func (r *runner) gateway(args *gatewayArgs) int {
-	// Without a channel for it, the signal to reload would end the process.
+	// SIGHUP ends the process by default, so it is caught before startup.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	defer signal.Stop(hangups)
@@ -34,7 +34,7 @@
 	slog.Info("starting", "version", version(), "settings", args.Settings)
 	g, err := gateway.New(s)
 	if err != nil {
-		slog.Error("gateway cannot start", "error", err)
+		slog.Error("gateway failed to start", "error", err)
 		return ExitFailure
 	}
 	go reloadOnSignal(ctx, hangups, args.Settings, func(s *settings.Gateway) { setLevel(&level, s.LogLevel) })
@@ -46,9 +46,9 @@
 	return ExitOK
 }
 
-// shutdownContext returns a context that ends with the first SIGTERM or SIGINT. The
-// platform's later SIGTERMs change nothing, since stops may overlap and a second
-// one would cut off all requests under way; a person's second SIGINT ends the
+// shutdownContext returns a context that is cancelled by the first SIGTERM or
+// SIGINT. Later SIGTERMs are ignored: stop orders of the platform may overlap,
+// and a second one would cut off all running requests. A second SIGINT ends the
 // process.
 func shutdownContext() context.Context {
 	signal.Notify(make(chan os.Signal, 1), syscall.SIGTERM)
@@ -57,16 +57,16 @@
 	return ctx
 }
 
-// setLevel changes the log level in force; the settings have been checked, so
-// an unknown one is a fault of this program.
+// setLevel changes the current log level. The settings have been validated, so
+// an unknown level is a bug.
 func setLevel(level *slog.LevelVar, name string) {
 	if err := level.UnmarshalText([]byte(name)); err != nil {
-		slog.Error("log level unknown; it stays as it is", "level", name)
+		slog.Error("unknown log level; keeping the current level", "level", name)
 	}
 }
 
-// reloadOnSignal reads the settings at each SIGHUP. Settings with faults change
-// nothing.
+// reloadOnSignal reloads the settings file at each SIGHUP. Invalid settings are
+// logged and ignored.
 func reloadOnSignal(ctx context.Context, hangups <-chan os.Signal, file string, apply func(*settings.Gateway)) {
 	for {
 		select {
@@ -76,10 +76,10 @@
 		}
 		s, err := settings.LoadGateway(file)
 		if err != nil {
-			slog.Error("settings not read again; the last ones stay in force", "error", err)
+			slog.Error("settings reload failed; keeping the previous settings", "error", err)
 			continue
 		}
 		apply(s)
-		slog.Info("settings read again", "file", file)
+		slog.Info("settings reloaded", "file", file)
 	}
 }
--- a/command/estimates.go
+++ b/command/logs.go
@@ -9,33 +9,35 @@
 	"github.com/violettally/violettally/lag"
 )
 
-// logReport is what a command makes of logs.
+// logReport is a table computed from gateway logs.
 type logReport interface {
 	Read(name string, log io.Reader) error
 	Print(w io.Writer) error
 	Broken() int
 }
 
-// estimates needs no node: it reads logs alone.
+// estimates reports the accuracy of estimates from logs, without a node.
 func (r *runner) estimates(args *logArgs) int {
 	table := accuracy.New()
 	return r.printReport(table, args, "decisions", func() bool { return table.Decisions() > 0 })
 }
 
-// lags needs no node either.
+// lags reports the propagation delay of store changes from logs, without a
+// node.
 func (r *runner) lags(args *logArgs) int {
 	table := lag.New()
-	return r.printReport(table, args, "news of the store", func() bool { return table.Changes() > 0 })
+	return r.printReport(table, args, "store changes", func() bool { return table.Changes() > 0 })
 }
 
-// printReport reads logs into a table and prints it, if they hold what it is of.
-func (r *runner) printReport(table logReport, args *logArgs, what string, held func() bool) int {
+// printReport reads logs into a table and prints it. It fails if hasRecords
+// returns false afterwards; records names the missing records in the error.
+func (r *runner) printReport(table logReport, args *logArgs, records string, hasRecords func() bool) int {
 	if err := r.readLogs(table, args.Files); err != nil {
 		fmt.Fprintln(r.stderr, err)
 		return ExitFailure
 	}
-	if !held() {
-		fmt.Fprintf(r.stderr, "no %s in these logs; %d broken lines\n", what, table.Broken())
+	if !hasRecords() {
+		fmt.Fprintf(r.stderr, "no %s in these logs; %d broken lines\n", records, table.Broken())
 		return ExitFailure
 	}
 	if err := table.Print(r.stdout); err != nil {
--- a/command/remote.go
+++ b/command/remote.go
@@ -20,11 +20,11 @@
 	"github.com/violettally/violettally/decision"
 )
 
-// nodeCallTimeout bounds one call to a node.
+// nodeCallTimeout limits one call to a node, including reading the body.
 const nodeCallTimeout = 15 * time.Second
 
-// callNode sends a request to a node and reads the answer's body.
-func callNode(method, node, path, key string, body []byte) (status int, answer []byte, err error) {
+// callNode sends a request to a node and reads the response body.
+func callNode(method, node, path, key string, body []byte) (status int, responseBody []byte, err error) {
 	request, err := http.NewRequest(method, strings.TrimSuffix(node, "/")+path, bytes.NewReader(body))
 	if err != nil {
 		return 0, nil, err
@@ -36,12 +36,13 @@
 		return 0, nil, err
 	}
 	defer response.Body.Close()
-	answer, err = io.ReadAll(response.Body)
-	return response.StatusCode, answer, err
+	responseBody, err = io.ReadAll(response.Body)
+	return response.StatusCode, responseBody, err
 }
 
-// apply sends the file under a change id of its own. If the outcome is
-// unknown, the same command with that id finds out.
+// apply sends the file with a new change ID, or with the one given by --change.
+// If the outcome is unknown, repeating the command with the same change ID is
+// safe and reports the outcome.
 func (r *runner) apply(args *applyArgs) int {
 	source, err := os.ReadFile(args.File)
 	if err != nil {
@@ -64,7 +65,7 @@
 	switch {
 	case err != nil:
 		fmt.Fprintln(r.stderr, err)
-		fmt.Fprintf(r.stderr, "outcome unknown; find out with: violettally apply %s --change %s\n", args.File, change)
+		fmt.Fprintf(r.stderr, "outcome unknown; retry with: violettally apply %s --change %s\n", args.File, change)
 		return ExitUnknown
 	case status == http.StatusOK:
 		fmt.Fprintf(r.stdout, "revision %d in force\n", applied.Revision)
@@ -80,14 +81,16 @@
 		return ExitConflict
 	case status == http.StatusServiceUnavailable:
 		fmt.Fprintln(r.stderr, applied.Message)
-		fmt.Fprintf(r.stderr, "outcome unknown; find out with: violettally apply %s --change %s\n", args.File, change)
+		fmt.Fprintf(r.stderr, "outcome unknown; retry with: violettally apply %s --change %s\n", args.File, change)
 		return ExitUnknown
 	default:
-		fmt.Fprintf(r.stderr, "node answered %d: %s\n", status, body)
+		fmt.Fprintf(r.stderr, "node responded with status %d: %s\n", status, body)
 		return ExitFailure
 	}
 }
 
+// printConflict explains that another apply came first and where the files
+// differ.
 func (r *runner) printConflict(applied operators.Applied) {
 	fmt.Fprintf(r.stderr, "nothing was applied: %s\n", applied.Message)
 	fmt.Fprintf(r.stderr, "revision %d by %s differs from your file at:\n", applied.Revision, applied.By)
@@ -100,7 +103,7 @@
 	switch args.What {
 	case "config", "view", "rollouts", "ledger":
 	default:
-		fmt.Fprintf(r.stderr, "show %s: want config, view, rollouts or ledger\n", args.What)
+		fmt.Fprintf(r.stderr, "show %s: expected config, view, rollouts or ledger\n", args.What)
 		return ExitUsage
 	}
 	status, body, err := callNode(http.MethodGet, args.Node, "/v1/"+args.What, args.Key, nil)
@@ -120,13 +123,14 @@
 	return r.printJSON(body)
 }
 
-// checkResponse prints what went wrong with a call, if anything did.
+// checkResponse prints the error of a failed call to a node. It returns the exit
+// code and whether the call succeeded.
 func (r *runner) checkResponse(status int, body []byte, err error) (code int, ok bool) {
 	switch {
 	case err != nil:
 		fmt.Fprintln(r.stderr, err)
 	case status != http.StatusOK:
-		fmt.Fprintf(r.stderr, "node answered %d: %s\n", status, bytes.TrimSpace(body))
+		fmt.Fprintf(r.stderr, "node responded with status %d: %s\n", status, bytes.TrimSpace(body))
 	default:
 		return ExitOK, true
 	}
