--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -9,9 +9,9 @@
 	"github.com/violettally/violettally/internal/strictjson"
 )
 
-// Gateway is what a process is told that passes requests through on a
-// platform which keeps the declarations, the servers and the nodes' list
-// (package gateway). The fields are exported for the codecs.
+// Gateway holds the settings of a gateway process (package gateway). It runs on a
+// platform whose store holds the declarations, the servers and the list of
+// nodes. The fields are exported for the codecs.
 type Gateway struct {
 	Name     string `json:"name"`
 	Region   string `json:"region"`
@@ -24,7 +24,7 @@
 	Directory Listener `json:"directory"`
 	Peer      Listener `json:"peer"`
 	Metrics   Listener `json:"metrics"`
-	// Seeds are peer addresses of a few nodes; some may be gone.
+	// Seeds are peer addresses of a few nodes; some may be unreachable.
 	Seeds []string `json:"seeds"`
 
 	Store  GatewayStore  `json:"store"`
@@ -34,68 +34,70 @@
 	LogLevel string `json:"log_level"`
 }
 
-// GatewayStore says where the platform's store is.
+// GatewayStore configures the connection to the platform's store.
 type GatewayStore struct {
 	Address string `json:"address"`
-	// MinLeaseMillis is the shortest lease that the store grants.
+	// MinLeaseMillis is the shortest lease TTL that the store grants.
 	MinLeaseMillis int `json:"min_lease_ms"`
 }
 
-// GatewayLimits are what the VM gives the process.
+// GatewayLimits are the resource limits of the process on its VM.
 type GatewayLimits struct {
 	MemoryMB int `json:"memory_mb"`
-	// FileDescriptors is the number of files and connections.
+	// FileDescriptors is the maximum number of open files and connections.
 	FileDescriptors int `json:"descriptors"`
 }
 
-// GatewayBounds are the platform's agreed times and shares.
+// GatewayBounds are the times and ratios agreed with the platform.
 type GatewayBounds struct {
-	// GraceSeconds lie between the signal to stop and the end by force.
+	// GraceSeconds is the time between SIGTERM and the forced end of the process.
 	GraceSeconds float64 `json:"grace_s"`
-	// DrainMillis after a server's leave is known it must get no requests.
+	// DrainMillis is the time after which a server that is known to shut down
+	// must get no more requests.
 	DrainMillis float64 `json:"drain_ms"`
-	// AddressTTLMaxSeconds is the longest that clients keep addresses.
+	// AddressTTLMaxSeconds is the longest time that clients cache addresses.
 	AddressTTLMaxSeconds float64 `json:"address_ttl_max_s"`
-	// SessionIdleSeconds without a request end a session.
+	// SessionIdleSeconds is the time without requests after which a session
+	// ends.
 	SessionIdleSeconds float64 `json:"session_s"`
-	// CachedSeconds after its last use a prompt's part is worth keeping.
+	// CachedSeconds is how long after its last use a part of a prompt is worth
+	// caching.
 	CachedSeconds float64 `json:"cached_s"`
-	// RetryRatio of the requests of a window, and RetrySlack more, may be
-	// sent again, over all nodes.
+	// All nodes together may retry the fraction RetryRatio of the requests of a
+	// window, plus RetrySlack requests.
 	RetryRatio         float64 `json:"retry_ratio"`
 	RetryWindowSeconds float64 `json:"retry_window_s"`
 	RetrySlack         float64 `json:"retry_slack"`
-	// CanaryShare of a service's requests, and CanarySlack more, may reach a
-	// version that turns out to be bad.
+	// The fraction CanaryShare of a service's requests, plus CanarySlack
+	// requests, may reach a version that turns out to be bad.
 	CanaryShare float64 `json:"canary_share"`
 	CanarySlack float64 `json:"canary_slack"`
 }
 
 const (
-	// defaultGraceSeconds in seconds is used where the platform names none.
 	defaultGraceSeconds = 8.0
-	// defaultMinLeaseMillis in milliseconds is the shortest lease asked for.
+	// defaultMinLeaseMillis is the shortest lease TTL that a gateway requests.
 	defaultMinLeaseMillis = 1000
-	// defaultRetryRatio is careful: a tenth more load in a failure.
+	// defaultRetryRatio limits the extra load during a failure to a tenth.
 	defaultRetryRatio = 0.1
-	// defaultRetryWindowSeconds is the time in seconds over which repeats are counted.
+	// defaultRetryWindowSeconds is the window over which retries are counted.
 	defaultRetryWindowSeconds = 10.0
-	// defaultCanaryShare is the share of a first stage.
+	// defaultCanaryShare is the share of the first rollout stage.
 	defaultCanaryShare = 0.1
 )
 
-// Grace is the time between the signal to stop and the end by force.
+// Grace returns the time between SIGTERM and the forced end of the process.
 func (g *Gateway) Grace() time.Duration {
 	return time.Duration(g.Bounds.GraceSeconds * float64(time.Second))
 }
 
-// Drain is the agreed time after which a server that leaves gets no requests; zero if
-// none is.
+// Drain returns the agreed time after which a server that shuts down must get no
+// more requests; zero if none is agreed.
 func (g *Gateway) Drain() time.Duration {
 	return time.Duration(g.Bounds.DrainMillis * float64(time.Millisecond))
 }
 
-// setDefaults fills in what the file leaves out.
+// setDefaults fills in the fields that the file leaves out.
 func (g *Gateway) setDefaults() {
 	setDefault(&g.LogLevel, "info")
 	setDefault(&g.Bounds.GraceSeconds, defaultGraceSeconds)
@@ -105,7 +107,7 @@
 	setDefault(&g.Store.MinLeaseMillis, defaultMinLeaseMillis)
 }
 
-// check reports what a gateway cannot run with.
+// check reports settings that a gateway cannot run with.
 func (g *Gateway) check(fault strictjson.Report) {
 	if g.Name == "" {
 		fault("/name", "want the VM's name")
@@ -128,7 +130,7 @@
 	checkLogLevel(fault, g.LogLevel)
 }
 
-// LoadGateway reads and checks a gateway's settings file.
+// LoadGateway reads and validates a gateway's settings file.
 func LoadGateway(file string) (*Gateway, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -145,7 +147,7 @@
 	return g, nil
 }
 
-// invalidError makes one error of all faults of a file, a line each.
+// invalidError returns one error that lists all faults of a file, one per line.
 func invalidError(file string, faults []strictjson.Fault) error {
 	lines := make([]error, len(faults))
 	for i, f := range faults {
--- a/settings/gateway_test.go
+++ b/settings/gateway_test.go
@@ -14,8 +14,9 @@
 	"github.com/violettally/violettally/settings"
 )
 
-// values are what the platform fills into the gaps of the template.
-var values = map[string]string{
+// templateValues are the values that the platform substitutes for the
+// placeholders of the settings template.
+var templateValues = map[string]string{
 	"node_name": `"front-1"`, "region": `"r"`, "zone": `"z"`, "zones": `{"z": "r"}`, "seeds": `["10.0.0.1:4"]`,
 	"listen.front": `"10.0.0.1:1"`, "listen.ready": `"10.0.0.1:2"`, "listen.directory": `"10.0.0.1:3"`, "listen.control": `"10.0.0.1:4"`,
 	"ip": "10.0.0.1", "port_range.0": "7340", "provider.address": `"10.0.0.9:5"`, "provider.ttl_min_ms": "1000",
@@ -24,15 +25,15 @@
 	"bounds.retry_slack": "54", "bounds.canary_share": "0.15", "bounds.canary_slack": "30",
 }
 
-var gap = regexp.MustCompile(`\{\{([^|}]+)(\|json)?\}\}`)
+var placeholder = regexp.MustCompile(`\{\{([^|}]+)(\|json)?\}\}`)
 
-// filled returns the template as the platform lays it out.
-func filled(t *testing.T) string {
+// renderTemplate returns the settings template as the platform renders it.
+func renderTemplate(t *testing.T) string {
 	template, err := os.ReadFile("../deploy/settings.json.tmpl")
 	must.NoError(t, err)
-	return gap.ReplaceAllStringFunc(string(template), func(g string) string {
-		name := gap.FindStringSubmatch(g)[1]
-		value, known := values[name]
+	return placeholder.ReplaceAllStringFunc(string(template), func(match string) string {
+		name := placeholder.FindStringSubmatch(match)[1]
+		value, known := templateValues[name]
 		must.True(t, known, must.Sprint(name))
 		return value
 	})
@@ -44,9 +45,10 @@
 	return settings.LoadGateway(file)
 }
 
-// TestTemplate: what the platform lays out of the template is read whole.
+// TestTemplate checks that the rendered settings template is valid and that its
+// values are decoded.
 func TestTemplate(t *testing.T) {
-	g, err := load(t, filled(t))
+	g, err := load(t, renderTemplate(t))
 	must.NoError(t, err)
 	must.Eq(t, "front-1", g.Name)
 	must.Eq(t, "10.0.0.1:7340", g.Metrics.Address())
@@ -55,7 +57,8 @@
 	must.Eq(t, "info", g.LogLevel)
 }
 
-// TestGatewayFaults: each fault is named with its line and path.
+// TestGatewayFaults checks that each fault is reported with its position and
+// path.
 func TestGatewayFaults(t *testing.T) {
 	tests := []struct{ name, from, to, want string }{
 		{"no name", `"front-1"`, `""`, "/name: want the VM's name"},
@@ -64,11 +67,11 @@
 		{"share", `"canary_share": 0.15`, `"canary_share": 1.5`, "/bounds/canary_share: want a share"},
 		{"unknown field", `"seeds"`, `"seedz"`, "seedz"},
 		{"wrong type", `"retry_ratio": 0.9`, `"retry_ratio": "much"`, "/bounds/retry_ratio"},
-		{"cut", `"bounds"`, ``, ":"},
+		{"invalid JSON", `"bounds"`, ``, ":"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			_, err := load(t, strings.Replace(filled(t), tt.from, tt.to, 1))
+			_, err := load(t, strings.Replace(renderTemplate(t), tt.from, tt.to, 1))
 			must.True(t, errorx.IsOfType(err, settings.Invalid))
 			must.StrContains(t, err.Error(), tt.want)
 			must.StrContains(t, err.Error(), "settings.json:")
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,7 @@
-// Package settings reads what one process is told about itself: its name, its
-// addresses, its data hall, and where the platform is. Everything that the
-// fleet shares stands in the operators' declarations instead (package config).
+// Package settings loads the settings of one process: its name, its listen
+// addresses, its data hall, and the addresses of the platform's services.
+// Configuration that all nodes share is in the operators' declarations instead
+// (package config).
 //
 // # Usage
 //
@@ -10,9 +11,10 @@
 //	}
 //	g, err := settings.LoadGateway("gateway.json") // for package gateway
 //
-// What differs by VM can come from the environment, so that one file serves a
-// whole data hall; VIOLETTALLY_NAME, VIOLETTALLY_DATA_HALL,
-// VIOLETTALLY_CALLER_LISTEN and the other names stand in the `env` tags below.
+// Environment variables override the file of [Load], so that one file can serve
+// all VMs of a data hall: VIOLETTALLY_NAME, VIOLETTALLY_DATA_HALL,
+// VIOLETTALLY_CALLER_LISTEN and so on. Their names follow from the `env` tags
+// below.
 package settings
 
 import (
@@ -32,15 +34,16 @@
 var (
 	namespace = errs.Namespace("settings")
 
-	// Unreadable says that the settings file cannot be read.
+	// Unreadable means that the settings file cannot be read.
 	Unreadable = namespace.NewType("unreadable")
-	// Invalid says that the settings were read and are wrong.
+	// Invalid means that the settings were read but are not valid.
 	Invalid = namespace.NewType("invalid")
 )
 
-// Settings of one process. The fields are exported for the codecs.
+// Settings holds the settings of one node. The fields are exported for the
+// codecs.
 type Settings struct {
-	// Name of the VM; unique among the VMs that are alive.
+	// Name is the VM's name, unique among the running VMs.
 	Name     string `json:"name" env:"NAME"`
 	Region   string `json:"region" env:"REGION"`
 	DataHall string `json:"data_hall" env:"DATA_HALL"`
@@ -53,20 +56,20 @@
 	Times    Times        `json:"times"`
 
 	// BootstrapKey is the digest of the key that may apply the first
-	// configuration.
+	// configuration, before any operator is declared.
 	BootstrapKey string `json:"bootstrap_key" env:"BOOTSTRAP_KEY"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `json:"log_level" env:"LOG_LEVEL"`
 }
 
-// Listener is one address that the process listens on. Advertise is the address
-// that others are told; Listen if empty.
+// Listener is an address that the process listens on. Advertise is the address
+// that clients and peers are told; Listen if empty.
 type Listener struct {
 	Listen    string `json:"listen" env:"LISTEN"`
 	Advertise string `json:"advertise" env:"ADVERTISE"`
 }
 
-// Address returns the address that others use.
+// Address returns the advertised address.
 func (d Listener) Address() string {
 	if d.Advertise != "" {
 		return d.Advertise
@@ -74,8 +77,8 @@
 	return d.Listen
 }
 
-// PeerListener is the door for other nodes. Without certificates it may only
-// listen on loopback.
+// PeerListener is the listener for other nodes. Without certificates it may only
+// listen on a loopback address.
 type PeerListener struct {
 	Listener
 	Certificate string `json:"certificate" env:"CERTIFICATE"`
@@ -83,19 +86,20 @@
 	Authority   string `json:"authority" env:"AUTHORITY"`
 }
 
-// Encrypted reports whether peers speak mutual TLS.
+// Encrypted reports whether peers use mutual TLS.
 func (d PeerListener) Encrypted() bool { return d.Certificate != "" }
 
-// Platform says where the platform's services are.
+// Platform holds the URLs of the platform's services.
 type Platform struct {
 	KeyValue []string `json:"key_value" env:"KEY_VALUE"`
 	VMList   string   `json:"vm_list" env:"VM_LIST"`
 	Rating   string   `json:"rating" env:"RATING"`
-	// Prefix separates the keys of this system from others.
+	// Prefix starts all keys of this system in the key-value service.
 	Prefix string `json:"prefix" env:"PREFIX"`
 }
 
-// Bounds on what comes from outside. Zero takes the default.
+// Bounds limits the size of requests and responses, in bytes, and the number of
+// connections. Zero means the default.
 type Bounds struct {
 	BodyBytes           int64 `json:"body_bytes"`
 	HeaderBytes         int   `json:"header_bytes"`
@@ -104,7 +108,8 @@
 	ResponseMemoryBytes int64 `json:"answer_memory"`
 }
 
-// Times that operators may tune, in milliseconds. Zero takes the default.
+// Times holds intervals, timeouts and TTLs in milliseconds. Zero means the
+// default.
 type Times struct {
 	ProbeIntervalMillis  int `json:"probe_ms"`
 	AddressTTLMillis     int `json:"address_ttl_ms"`
@@ -116,7 +121,7 @@
 	LeaseTTLMillis       int `json:"lease_ms"`
 }
 
-// The defaults of [Bounds] and [Times].
+// Defaults of [Bounds] and [Times].
 const (
 	defaultBodyBytes           = 1 << 20
 	defaultHeaderBytes         = 16 << 10
@@ -160,10 +165,11 @@
 	}
 }
 
-// Millis turns a setting in milliseconds into a duration.
+// Millis converts milliseconds to a duration.
 func Millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Load reads a settings file, applies the environment and checks the whole.
+// Load reads a settings file, applies overrides from environment variables and
+// validates the result.
 func Load(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -172,8 +178,8 @@
 	return Parse(file, data, readEnvironment())
 }
 
-// environmentPrefix starts the name of every variable that overrides a
-// setting.
+// environmentPrefix starts the names of the environment variables that override
+// settings.
 const environmentPrefix = "VIOLETTALLY_"
 
 func readEnvironment() map[string]string {
@@ -187,7 +193,8 @@
 	return variables
 }
 
-// Parse reads settings from data with the given environment.
+// Parse is Load with the file's content and environment variables given. The
+// file name is used in errors only.
 func Parse(file string, data []byte, environment map[string]string) (*Settings, error) {
 	s := new(Settings)
 	var overrideErr error
@@ -197,7 +204,7 @@
 		s.check(fault)
 	})
 	if overrideErr != nil {
-		return nil, errs.Wrap(Invalid, "load", overrideErr, "environment")
+		return nil, errs.Wrap(Invalid, "load", overrideErr, "environment variables")
 	}
 	if len(faults) > 0 {
 		return nil, invalidError(file, faults)
@@ -232,7 +239,7 @@
 	checkLogLevel(fault, s.LogLevel)
 }
 
-// checkLogLevel reports a log level that there is not.
+// checkLogLevel reports an unknown log level.
 func checkLogLevel(fault strictjson.Report, level string) {
 	switch level {
 	case "debug", "info", "warn", "error":
@@ -243,13 +250,13 @@
 
 func (s *Settings) checkPeerListener(fault strictjson.Report) {
 	d := s.Peer
-	named := d.Certificate != "" && d.Key != "" && d.Authority != ""
+	complete := d.Certificate != "" && d.Key != "" && d.Authority != ""
 	some := d.Certificate != "" || d.Key != "" || d.Authority != ""
 	switch {
-	case some && !named:
+	case some && !complete:
 		fault("/peer", "mutual TLS needs certificate, key and authority together")
 	case !some && !isLoopbackAddress(d.Listen):
-		fault("/peer/listen", "without certificates peers may only meet on loopback, found %q", d.Listen)
+		fault("/peer/listen", "want a loopback address, since no certificates are set, found %q", d.Listen)
 	}
 }
 
@@ -260,7 +267,7 @@
 	}
 }
 
-// checkAddress wants an IP number, since the VMs have no names to look up.
+// checkAddress requires an IP address, since the VMs have no DNS names.
 func checkAddress(fault strictjson.Report, path, address string) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil || port == "" {
