--- a/config/check.go
+++ b/config/check.go
@@ -14,8 +14,8 @@
 
 // checkReferences validates what the JSON types cannot express: unique names,
 // references to declared objects, and ranges of numbers.
-func checkReferences(c *Config, fault strictjson.Report) {
-	k := &checker{Config: c, fault: fault}
+func checkReferences(c *Config, report strictjson.Report) {
+	k := &checker{Config: c, report: report}
 	k.buildIndex()
 	k.checkKeys()
 	for i := range c.Accounts {
@@ -37,7 +37,7 @@
 
 type checker struct {
 	*Config
-	fault    strictjson.Report
+	report   strictjson.Report
 	models   map[string]*Model
 	cascades map[string]bool
 	pools    map[string]bool
@@ -81,10 +81,10 @@
 	seen := make(map[string]bool)
 	return func(path, name string) {
 		if !namePattern.MatchString(name) {
-			k.fault(path+"/name", "name %q: want 1 to 63 of a-z, 0-9, '.', '_', '-', starting with a letter or digit", name)
+			k.report(path+"/name", "name %q: want 1 to 63 of a-z, 0-9, '.', '_', '-', starting with a letter or digit", name)
 		}
 		if seen[name] {
-			k.fault(path+"/name", "name %q stands twice among the %s", name, kind)
+			k.report(path+"/name", "name %q stands twice among the %s", name, kind)
 		}
 		seen[name] = true
 	}
@@ -96,11 +96,11 @@
 		for i, digest := range digests {
 			at := fmt.Sprintf("%s/keys/%d", path, i)
 			if !ValidDigest(digest) {
-				k.fault(at, "want a digest as printed by `violettally digest`, sha256: and 64 hex digits")
+				k.report(at, "want a digest as printed by `violettally digest`, sha256: and 64 hex digits")
 				continue
 			}
 			if other, taken := owner[digest]; taken {
-				k.fault(at, "the key belongs to %s already", other)
+				k.report(at, "the key belongs to %s already", other)
 			}
 			owner[digest] = name
 		}
@@ -120,14 +120,14 @@
 		switch {
 		case k.cascades[model] && !pinned:
 		case k.models[model] == nil:
-			k.fault(at, "no model or cascade %q is declared", model)
+			k.report(at, "no model or cascade %q is declared", model)
 		case pinned && k.models[model].version(version) == nil:
-			k.fault(at, "model %q has no version %q", model, version)
+			k.report(at, "model %q has no version %q", model, version)
 		}
 	}
 	for i, s := range a.Services {
 		if !k.services[s] {
-			k.fault(fmt.Sprintf("%s/services/%d", path, i), "no service %q is declared", s)
+			k.report(fmt.Sprintf("%s/services/%d", path, i), "no service %q is declared", s)
 		}
 	}
 	for name, value := range map[string]float64{
@@ -135,14 +135,14 @@
 		"burst":               float64(a.Limits.Burst),
 	} {
 		if value < 0 {
-			k.fault(path+"/limits/"+name, "want zero or more")
+			k.report(path+"/limits/"+name, "want zero or more")
 		}
 	}
 }
 
 func (k *checker) checkModel(path string, m *Model) {
 	if len(m.Versions) == 0 {
-		k.fault(path+"/versions", "model %q has no version", m.Name)
+		k.report(path+"/versions", "model %q has no version", m.Name)
 	}
 	names := k.newNameCheck("versions of " + m.Name)
 	inService := 0
@@ -151,17 +151,17 @@
 		names(at, v.Name)
 		k.checkPoolName(at, v.Pool)
 		if v.PromptPrice < 0 || v.CompletionPrice < 0 {
-			k.fault(at, "prices must be zero or more")
+			k.report(at, "prices must be zero or more")
 		}
 		if v.State == VersionInService {
 			inService++
 		}
 		if v.State == VersionRollingOut && (m.Rollout == nil || m.Rollout.Version != v.Name) {
-			k.fault(at+"/state", "version %q is rolling out, but no rollout names it", v.Name)
+			k.report(at+"/state", "version %q is rolling out, but no rollout names it", v.Name)
 		}
 	}
 	if inService > 1 {
-		k.fault(path+"/versions", "model %q has %d versions in service; one at most", m.Name, inService)
+		k.report(path+"/versions", "model %q has %d versions in service; one at most", m.Name, inService)
 	}
 	if m.Rollout != nil {
 		k.checkRollout(path+"/rollout", m)
@@ -172,21 +172,21 @@
 	r := m.Rollout
 	v := m.version(r.Version)
 	if v == nil {
-		k.fault(path+"/version", "model %q has no version %q", m.Name, r.Version)
+		k.report(path+"/version", "model %q has no version %q", m.Name, r.Version)
 	} else if v.State != VersionRollingOut {
-		k.fault(path+"/version", "version %q is %s; only a version that is rolling_out can have a rollout", v.Name, v.State)
+		k.report(path+"/version", "version %q is %s; only a version that is rolling_out can have a rollout", v.Name, v.State)
 	}
 	if len(r.Stages) == 0 {
-		k.fault(path+"/stages", "a rollout needs a stage")
+		k.report(path+"/stages", "a rollout needs a stage")
 	}
 	last := 0.0
 	for i, s := range r.Stages {
 		at := fmt.Sprintf("%s/stages/%d", path, i)
 		if s.Share <= last || s.Share > 1 {
-			k.fault(at+"/share", "want a share above %g and at most 1", last)
+			k.report(at+"/share", "want a share above %g and at most 1", last)
 		}
 		if s.MinSamples < 0 || s.MinSeconds < 0 {
-			k.fault(at, "min_samples and min_seconds must be zero or more")
+			k.report(at, "min_samples and min_seconds must be zero or more")
 		}
 		last = s.Share
 	}
@@ -197,11 +197,11 @@
 
 func (k *checker) checkCascade(path string, c *Cascade) {
 	if len(c.Models) < 2 {
-		k.fault(path+"/models", "a cascade needs two models or more, cheapest first")
+		k.report(path+"/models", "a cascade needs two models or more, cheapest first")
 	}
 	for i, name := range c.Models {
 		if k.models[name] == nil {
-			k.fault(fmt.Sprintf("%s/models/%d", path, i), "no model %q is declared", name)
+			k.report(fmt.Sprintf("%s/models/%d", path, i), "no model %q is declared", name)
 		}
 	}
 	k.checkFraction(path+"/min_rating", c.MinRating)
@@ -216,10 +216,10 @@
 		names(at, s.Name)
 		u, err := url.Parse(s.URL)
 		if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-			k.fault(at+"/url", "want an http or https URL, found %q", s.URL)
+			k.report(at+"/url", "want an http or https URL, found %q", s.URL)
 		}
 		if s.Slots < 1 {
-			k.fault(at+"/slots", "want 1 or more")
+			k.report(at+"/slots", "want 1 or more")
 		}
 	}
 }
@@ -229,25 +229,25 @@
 	for i, c := range s.Calls {
 		at := fmt.Sprintf("%s/calls/%d", path, i)
 		if c.Method == "" || strings.ToUpper(c.Method) != c.Method {
-			k.fault(at+"/method", "want an HTTP method in capitals, found %q", c.Method)
+			k.report(at+"/method", "want an HTTP method in capitals, found %q", c.Method)
 		}
 		if !strings.HasPrefix(c.Path, "/") {
-			k.fault(at+"/path", "want a path that starts with a slash, found %q", c.Path)
+			k.report(at+"/path", "want a path that starts with a slash, found %q", c.Path)
 		}
 		if c.ClaimSeconds < 0 {
-			k.fault(at+"/claim_seconds", "want zero or more")
+			k.report(at+"/claim_seconds", "want zero or more")
 		}
 	}
 }
 
 func (k *checker) checkPoolName(path, pool string) {
 	if !k.pools[pool] {
-		k.fault(path+"/pool", "no pool %q is declared", pool)
+		k.report(path+"/pool", "no pool %q is declared", pool)
 	}
 }
 
 func (k *checker) checkFraction(path string, value float64) {
 	if value < 0 || value > 1 {
-		k.fault(path, "want a number from 0 to 1, found %g", value)
+		k.report(path, "want a number from 0 to 1, found %g", value)
 	}
 }
--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -108,26 +108,26 @@
 }
 
 // check reports settings that a gateway cannot run with.
-func (g *Gateway) check(fault strictjson.Report) {
+func (g *Gateway) check(report strictjson.Report) {
 	if g.Name == "" {
-		fault("/name", "want the VM's name")
+		report("/name", "want the VM's name")
 	}
 	if g.DataHall == "" {
-		fault("/data_hall", "want the data hall's name")
+		report("/data_hall", "want the data hall's name")
 	}
-	checkListener(fault, "/caller", g.Caller)
-	checkListener(fault, "/ready", g.Ready)
-	checkListener(fault, "/directory", g.Directory)
-	checkListener(fault, "/peer", g.Peer)
-	checkListener(fault, "/metrics", g.Metrics)
-	checkAddress(fault, "/store/address", g.Store.Address)
+	checkListener(report, "/caller", g.Caller)
+	checkListener(report, "/ready", g.Ready)
+	checkListener(report, "/directory", g.Directory)
+	checkListener(report, "/peer", g.Peer)
+	checkListener(report, "/metrics", g.Metrics)
+	checkAddress(report, "/store/address", g.Store.Address)
 	if g.Bounds.RetryRatio < 0 {
-		fault("/bounds/retry_ratio", "want a share of zero or more, found %g", g.Bounds.RetryRatio)
+		report("/bounds/retry_ratio", "want a share of zero or more, found %g", g.Bounds.RetryRatio)
 	}
 	if g.Bounds.CanaryShare <= 0 || g.Bounds.CanaryShare > 1 {
-		fault("/bounds/canary_share", "want a share above 0 and up to 1, found %g", g.Bounds.CanaryShare)
+		report("/bounds/canary_share", "want a share above 0 and up to 1, found %g", g.Bounds.CanaryShare)
 	}
-	checkLogLevel(fault, g.LogLevel)
+	checkLogLevel(report, g.LogLevel)
 }
 
 // LoadGateway reads and validates a gateway's settings file.
@@ -137,9 +137,9 @@
 		return nil, errs.Wrap(Unreadable, "load", err, "settings file %s", file)
 	}
 	g := new(Gateway)
-	faults := strictjson.Decode(file, data, g, func(fault strictjson.Report) {
+	faults := strictjson.Decode(file, data, g, func(report strictjson.Report) {
 		g.setDefaults()
-		g.check(fault)
+		g.check(report)
 	})
 	if len(faults) > 0 {
 		return nil, invalidError(file, faults)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -70,11 +70,11 @@
 }
 
 // Address returns the advertised address.
-func (d Listener) Address() string {
-	if d.Advertise != "" {
-		return d.Advertise
+func (l Listener) Address() string {
+	if l.Advertise != "" {
+		return l.Advertise
 	}
-	return d.Listen
+	return l.Listen
 }
 
 // PeerListener is the listener for other nodes. Without certificates it may only
@@ -87,7 +87,7 @@
 }
 
 // Encrypted reports whether peers use mutual TLS.
-func (d PeerListener) Encrypted() bool { return d.Certificate != "" }
+func (l PeerListener) Encrypted() bool { return l.Certificate != "" }
 
 // Platform holds the URLs of the platform's services.
 type Platform struct {
@@ -198,10 +198,10 @@
 func Parse(file string, data []byte, environment map[string]string) (*Settings, error) {
 	s := new(Settings)
 	var overrideErr error
-	faults := strictjson.Decode(file, data, s, func(fault strictjson.Report) {
+	faults := strictjson.Decode(file, data, s, func(report strictjson.Report) {
 		overrideErr = env.ParseWithOptions(s, env.Options{Prefix: environmentPrefix, Environment: environment})
 		s.setDefaults()
-		s.check(fault)
+		s.check(report)
 	})
 	if overrideErr != nil {
 		return nil, errs.Wrap(Invalid, "load", overrideErr, "environment variables")
@@ -212,73 +212,73 @@
 	return s, nil
 }
 
-func (s *Settings) check(fault strictjson.Report) {
+func (s *Settings) check(report strictjson.Report) {
 	if s.Name == "" {
-		fault("/name", "want the VM's name, here or in %sNAME", environmentPrefix)
+		report("/name", "want the VM's name, here or in %sNAME", environmentPrefix)
 	}
 	if s.DataHall == "" {
-		fault("/data_hall", "want the data hall's name, here or in %sDATA_HALL", environmentPrefix)
+		report("/data_hall", "want the data hall's name, here or in %sDATA_HALL", environmentPrefix)
 	}
-	checkListener(fault, "/caller", s.Caller)
-	checkListener(fault, "/operator", s.Operator)
-	checkListener(fault, "/peer", s.Peer.Listener)
-	s.checkPeerListener(fault)
+	checkListener(report, "/caller", s.Caller)
+	checkListener(report, "/operator", s.Operator)
+	checkListener(report, "/peer", s.Peer.Listener)
+	s.checkPeerListener(report)
 	if len(s.Platform.KeyValue) == 0 {
-		fault("/platform/key_value", "want the URL of the key-value service")
+		report("/platform/key_value", "want the URL of the key-value service")
 	}
 	for _, u := range s.Platform.KeyValue {
-		checkURL(fault, "/platform/key_value", u)
+		checkURL(report, "/platform/key_value", u)
 	}
-	checkURL(fault, "/platform/vm_list", s.Platform.VMList)
+	checkURL(report, "/platform/vm_list", s.Platform.VMList)
 	if s.Platform.Rating != "" {
-		checkURL(fault, "/platform/rating", s.Platform.Rating)
+		checkURL(report, "/platform/rating", s.Platform.Rating)
 	}
 	if s.BootstrapKey != "" && !config.ValidDigest(s.BootstrapKey) {
-		fault("/bootstrap_key", "want a digest as printed by `violettally digest`")
+		report("/bootstrap_key", "want a digest as printed by `violettally digest`")
 	}
-	checkLogLevel(fault, s.LogLevel)
+	checkLogLevel(report, s.LogLevel)
 }
 
 // checkLogLevel reports an unknown log level.
-func checkLogLevel(fault strictjson.Report, level string) {
+func checkLogLevel(report strictjson.Report, level string) {
 	switch level {
 	case "debug", "info", "warn", "error":
 	default:
-		fault("/log_level", "want debug, info, warn or error, found %q", level)
+		report("/log_level", "want debug, info, warn or error, found %q", level)
 	}
 }
 
-func (s *Settings) checkPeerListener(fault strictjson.Report) {
-	d := s.Peer
-	complete := d.Certificate != "" && d.Key != "" && d.Authority != ""
-	some := d.Certificate != "" || d.Key != "" || d.Authority != ""
+func (s *Settings) checkPeerListener(report strictjson.Report) {
+	l := s.Peer
+	allSet := l.Certificate != "" && l.Key != "" && l.Authority != ""
+	anySet := l.Certificate != "" || l.Key != "" || l.Authority != ""
 	switch {
-	case some && !complete:
-		fault("/peer", "mutual TLS needs certificate, key and authority together")
-	case !some && !isLoopbackAddress(d.Listen):
-		fault("/peer/listen", "want a loopback address, since no certificates are set, found %q", d.Listen)
+	case anySet && !allSet:
+		report("/peer", "mutual TLS needs certificate, key and authority together")
+	case !anySet && !isLoopbackAddress(l.Listen):
+		report("/peer/listen", "want a loopback address, since no certificates are set, found %q", l.Listen)
 	}
 }
 
-func checkListener(fault strictjson.Report, path string, d Listener) {
-	checkAddress(fault, path+"/listen", d.Listen)
-	if d.Advertise != "" {
-		checkAddress(fault, path+"/advertise", d.Advertise)
+func checkListener(report strictjson.Report, path string, l Listener) {
+	checkAddress(report, path+"/listen", l.Listen)
+	if l.Advertise != "" {
+		checkAddress(report, path+"/advertise", l.Advertise)
 	}
 }
 
 // checkAddress requires an IP address, since the VMs have no DNS names.
-func checkAddress(fault strictjson.Report, path, address string) {
+func checkAddress(report strictjson.Report, path, address string) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil || port == "" {
-		fault(path, "want IP:PORT, found %q", address)
+		report(path, "want IP:PORT, found %q", address)
 	}
 }
 
-func checkURL(fault strictjson.Report, path, raw string) {
+func checkURL(report strictjson.Report, path, raw string) {
 	u, err := url.Parse(raw)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		fault(path, "want an http or https URL, found %q", raw)
+		report(path, "want an http or https URL, found %q", raw)
 	}
 }
 
