--- a/node/backends.go
+++ b/node/backends.go
@@ -14,11 +14,12 @@
 	"github.com/violettally/violettally/settings"
 )
 
-// overcommit lets a node use more than its even part of a pool, since callers do
-// not spread evenly over nodes.
+// overcommit lets a node use more than its equal share of a pool, since clients
+// are not distributed evenly over nodes.
 const overcommit = 1.25
 
-// backends follows the backend servers' load and keeps a queue per pool.
+// backends polls the load of the backend servers and keeps an admission queue
+// per pool.
 type backends struct {
 	n       *Node
 	engines *engine.Client
@@ -51,7 +52,7 @@
 	return q
 }
 
-// load returns how many requests run and wait in all queues.
+// load returns how many requests are running and waiting in all queues.
 func (b *backends) load() (running, waiting int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -62,7 +63,7 @@
 	return running, waiting
 }
 
-// capacity is this node's part of a pool's slots.
+// capacity returns this node's share of a pool's slots.
 func (b *backends) capacity(pool string) int {
 	slots := 0
 	for _, s := range b.n.Config().Servers(pool) {
@@ -74,9 +75,10 @@
 	return int(math.Ceil(overcommit * float64(slots) / float64(nodes)))
 }
 
-// Run asks the servers for their load until the context ends, one at each tick
-// in turn, so that its cost does not grow with the servers. The chooser lives
-// with old reports: see TestPolicies and docs/MEASUREMENTS.md.
+// Run polls the servers for their load until the context ends, one per tick in
+// turn, so that the cost does not grow with the number of servers. The chooser
+// tolerates outdated reports (TestPolicies in package route,
+// docs/MEASUREMENTS.md).
 func (b *backends) Run(ctx context.Context) {
 	ticks := b.n.timers.Subscribe(settings.Millis(b.n.settings.Times.LoadIntervalMillis))
 	defer ticks.Stop()
@@ -93,13 +95,13 @@
 	}
 }
 
-// poolServer is a server with its pool.
+// poolServer is a server and the name of its pool.
 type poolServer struct {
 	pool   string
 	server config.Server
 }
 
-// polledServers returns the servers that this node uses.
+// polledServers returns the servers that this node sends requests to.
 func (b *backends) polledServers() []poolServer {
 	var servers []poolServer
 	for _, pool := range b.n.Config().Pools() {
@@ -110,7 +112,7 @@
 	return servers
 }
 
-// poll asks one server, unless the last question is still open.
+// poll asks one server for its load, unless an earlier poll is still running.
 func (b *backends) poll(ctx context.Context, pool string, server config.Server) {
 	key := pool + "/" + server.Name
 	b.mu.Lock()
@@ -130,29 +132,30 @@
 	}()
 }
 
-// holdingTimeout bounds asking all servers of a pool what they hold.
+// holdingTimeout limits asking all servers of a pool for their loaded models.
 const holdingTimeout = time.Second
 
-// Holding returns what the servers of a pool say they hold.
+// Holding asks the servers of a pool which models they have loaded. A server that
+// does not respond is returned without models.
 func (b *backends) Holding(pool string) []placement.Holding {
 	ctx, cancel := context.WithTimeout(context.Background(), holdingTimeout)
 	defer cancel()
 	servers := b.n.Config().Servers(pool)
 	holdings := make([]placement.Holding, len(servers))
-	var asks sync.WaitGroup
+	var polls sync.WaitGroup
 	for i, server := range servers {
-		asks.Go(func() {
+		polls.Go(func() {
 			holdings[i].Server = server
 			if report, err := b.engines.Load(ctx, server); err == nil {
 				holdings[i].Models = report.Models
 			}
 		})
 	}
-	asks.Wait()
+	polls.Wait()
 	return holdings
 }
 
-// Order gives a load order.
+// Order sends an order to load or unload a model, with the lease's fencing token.
 func (b *backends) Order(ctx context.Context, o placement.Order, token int64) error {
 	return b.engines.Order(ctx, o, token)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,5 @@
-// Package node puts one process of the system together: it makes the parts,
-// joins them by the small interfaces that they declare, and runs them until
-// the process is told to stop.
+// Package node assembles one node process: it creates the components, connects
+// them through the interfaces that they declare, and runs them until shutdown.
 //
 // # Usage
 //
@@ -8,7 +7,7 @@
 //	if err != nil {
 //		return err
 //	}
-//	return n.Run(ctx) // until ctx ends; then the node drains and leaves
+//	return n.Run(ctx) // until ctx ends; then drains the node
 package node
 
 import (
@@ -56,14 +55,15 @@
 var (
 	namespace = errs.Namespace("node")
 
-	// StartFailed says that the node could not be made or opened.
+	// StartFailed means that the node could not be created or could not serve.
 	StartFailed = namespace.NewType("start")
 )
 
-// driverLeaseName is the lease of the node that drives roll-outs and loads.
+// driverLeaseName is the lease of the node that drives rollouts and orders model
+// loads.
 const driverLeaseName = "driver"
 
-// Node is one process of the system.
+// Node is one node process with all its components.
 type Node struct {
 	settings *settings.Settings
 	self     view.Member
@@ -100,15 +100,15 @@
 
 	mu       sync.RWMutex
 	snapshot *config.Snapshot
-	// configured is closed with the first configuration.
+	// configured is closed when the first configuration is applied.
 	configured chan struct{}
 }
 
-// New makes a node that does not run yet.
+// New returns a node that is not running yet.
 func New(s *settings.Settings) (*Node, error) {
 	tlsConfig, err := peer.TLS(s.Peer)
 	if err != nil {
-		return nil, errs.Wrap(StartFailed, "new", err, "peer door")
+		return nil, errs.Wrap(StartFailed, "new", err, "peer TLS")
 	}
 	instruments, err := metrics.New()
 	if err != nil {
@@ -139,7 +139,8 @@
 	return n, nil
 }
 
-// initMembership makes what finds the other nodes and spreads documents.
+// initMembership creates failure detection, the view of the members and the
+// distribution of shared documents.
 func (n *Node) initMembership(client *peer.Client) {
 	s := n.settings
 	n.client = client
@@ -159,7 +160,8 @@
 	n.keeper.Subscribe(n.prober.SetView)
 }
 
-// initClaims makes the write-once memory and what is built on it.
+// initClaims creates the replicated claims and what builds on them: billing,
+// stored responses and the peer server.
 func (n *Node) initClaims() {
 	s := n.settings
 	n.bills = billing.NewMemory(n.self, viewMembers{n.keeper, n.prober}, n.client, n.store, n.timers)
@@ -185,7 +187,8 @@
 	n.peers = peer.NewServer(peerNode{n}, n.replica, n.client)
 }
 
-// initRequestPath makes what decides on requests, and the request path.
+// initRequestPath creates rate limits, rollouts, routing, admission and the
+// dispatcher.
 func (n *Node) initRequestPath() {
 	s := n.settings
 	n.decisions = decision.New(n.self.ID)
@@ -231,6 +234,7 @@
 	})
 }
 
+// initServers creates the client API and the operator API.
 func (n *Node) initServers() {
 	s := n.settings
 	n.callers = callers.New(callers.Parts{
@@ -275,22 +279,23 @@
 	return nil
 }
 
-// newID returns a UUID that starts with its time (RFC 9562, version 7), so
-// that an id minted after a loss of claims is known to be new.
+// newID returns a time-ordered UUID (RFC 9562, version 7), so that an ID made
+// after a loss of claims is known to be new.
 func newID() string { return uuid.Must(uuid.NewV7()).String() }
 
-// Config returns the configuration in force.
+// Config returns the current configuration.
 func (n *Node) Config() *config.Snapshot {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	return n.snapshot
 }
 
-// applyConfig puts a stored configuration in force. Revisions only rise.
+// applyConfig makes a stored configuration the current one, unless its revision
+// is not higher.
 func (n *Node) applyConfig(item document.Item) {
 	snapshot, err := decodeConfig(item)
 	if err != nil {
-		slog.Error("stored configuration cannot be used; the one before stays in force", "error", err)
+		slog.Error("invalid stored configuration; keeping the previous one", "error", err)
 		return
 	}
 	n.mu.Lock()
@@ -302,17 +307,17 @@
 		close(n.configured)
 	}
 	n.snapshot = snapshot
-	slog.Info("configuration in force", "revision", snapshot.Revision(), "by", snapshot.Document().By)
+	slog.Info("configuration applied", "revision", snapshot.Revision(), "by", snapshot.Document().By)
 }
 
 func (n *Node) applyRollouts(item document.Item) {
 	if err := n.picker.Take(item); err != nil {
-		slog.Error("stored roll-outs cannot be used", "error", err)
+		slog.Error("invalid stored rollouts; keeping the previous ones", "error", err)
 	}
 }
 
-// Run opens the doors and runs the node until the context ends; then it
-// drains and leaves.
+// Run opens the listeners and runs the node until the context ends, then drains
+// it. It returns an error if the node cannot listen or a server stops early.
 func (n *Node) Run(ctx context.Context) error {
 	listeners, err := n.listen()
 	if err != nil {
@@ -324,18 +329,18 @@
 	go func() { failed <- n.peers.Serve(work, listeners.peer, n.client.TLS()) }()
 	go func() { failed <- n.callers.Serve(listeners.caller) }()
 	go func() { failed <- n.operators.Serve(listeners.operator) }()
-	done := n.start(work)
-	slog.Info("node is up", "id", n.self.ID, "caller", n.self.Caller, "data_hall", n.self.DataHall)
+	tasks := n.start(work)
+	slog.Info("node started", "id", n.self.ID, "caller", n.self.Caller, "data_hall", n.self.DataHall)
 	select {
 	case <-ctx.Done():
 		n.drain()
 	case err = <-failed:
 		if err != nil {
-			err = errs.Wrap(StartFailed, "run", err, "a door closed")
+			err = errs.Wrap(StartFailed, "run", err, "server stopped")
 		}
 	}
 	stop()
-	done.Wait()
+	tasks.Wait()
 	n.timers.Close()
 	return err
 }
@@ -344,54 +349,55 @@
 
 func (n *Node) listen() (listeners, error) {
 	var l listeners
-	for _, door := range []struct {
-		into    *net.Listener
-		address string
+	for _, target := range []struct {
+		listener *net.Listener
+		address  string
 	}{
 		{&l.caller, n.settings.Caller.Listen},
 		{&l.operator, n.settings.Operator.Listen},
 		{&l.peer, n.settings.Peer.Listen},
 	} {
-		listener, err := net.Listen("tcp", door.address)
+		listener, err := net.Listen("tcp", target.address)
 		if err != nil {
-			return l, errs.Wrap(StartFailed, "listen", err, "address %s", door.address)
+			return l, errs.Wrap(StartFailed, "listen", err, "address %s", target.address)
 		}
-		*door.into = listener
+		*target.listener = listener
 	}
 	return l, nil
 }
 
-// start runs every part that works by itself.
+// start runs the background tasks of all components.
 func (n *Node) start(ctx context.Context) *sync.WaitGroup {
 	if err := n.vms.Read(ctx); err != nil {
-		slog.Warn("VM list not read", "error", err)
+		slog.Warn("reading the VM list failed", "error", err)
 	}
-	var parts sync.WaitGroup
+	var tasks sync.WaitGroup
 	for _, run := range []func(context.Context){
 		n.vms.Run, n.spreader.Run, n.prober.Run, n.keeper.Run, n.replica.Run, n.journal.Run, n.closer.Run, n.bills.Run,
 		n.answers.Run, n.limiter.Run, n.leases.Run, n.driver.Run, n.placer.Run, n.backends.Run, n.takeOverOrphans,
 		func(ctx context.Context) { stall.Watch(ctx, n.timers, stall.Log) },
 	} {
-		parts.Go(func() { run(ctx) })
+		tasks.Go(func() { run(ctx) })
 	}
-	return &parts
+	return &tasks
 }
 
 const (
-	// drainNoticeTime is how long it takes until all nodes know that one leaves.
+	// drainNoticeTime is how long it takes until all nodes know that one is
+	// shutting down.
 	drainNoticeTime = time.Second
-	// finalCallsTimeout bounds the last calls of a node that leaves.
+	// finalCallsTimeout limits the last calls of a node that shuts down.
 	finalCallsTimeout = 5 * time.Second
-	// handoverTime is how long the members of the next view have to read the
-	// claims of the one that leaves.
+	// handoverTime is how long the members of the next view have to copy the
+	// claims of a node that shuts down.
 	handoverTime = time.Second
 )
 
-// drain takes the node out of the answers to callers, serves until the
-// addresses that they have must be renewed and the last request has its
-// answer, folds its bills, and leaves the view.
+// drain removes the node from the addresses given to clients, serves until their
+// cached addresses have expired and the last request has its response, folds the
+// node's bills, and removes the node from the view.
 func (n *Node) drain() {
-	slog.Info("node is leaving")
+	slog.Info("node draining")
 	n.prober.Leave()
 	n.callers.CloseIdle()
 	n.pause(drainNoticeTime + settings.Millis(n.settings.Times.AddressTTLMillis))
@@ -400,27 +406,29 @@
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	if err := n.callers.Shutdown(ctx); err != nil {
-		slog.Warn("requests were still under way", "error", err)
+		slog.Warn("requests still running at the drain timeout", "error", err)
 	}
 	n.waitForRequests(ctx)
-	last, cancelLast := context.WithTimeout(context.Background(), finalCallsTimeout)
-	defer cancelLast()
-	if err := n.journal.Fold(last); err != nil {
-		slog.Warn("bills not folded; another node will", "error", err)
+	finalCtx, cancelFinal := context.WithTimeout(context.Background(), finalCallsTimeout)
+	defer cancelFinal()
+	if err := n.journal.Fold(finalCtx); err != nil {
+		slog.Warn("folding the bills failed; another node will fold them", "error", err)
 	}
-	n.keeper.Leave(last)
+	n.keeper.Leave(finalCtx)
 	n.pause(handoverTime)
-	slog.Info("node has left")
+	slog.Info("node drained")
 }
 
+// waitForRequests waits until no request runs and every bill is decided, or until
+// the context ends.
 func (n *Node) waitForRequests(ctx context.Context) {
-	done := make(chan struct{})
+	finished := make(chan struct{})
 	go func() {
 		n.dispatch.Wait()
-		close(done)
+		close(finished)
 	}()
 	select {
-	case <-done:
+	case <-finished:
 	case <-ctx.Done():
 	}
 }
@@ -431,11 +439,12 @@
 	<-ticks.C()
 }
 
-// fleetFoldsPerSecond is how many journals the whole fleet writes per second, a
-// tenth of what the platform takes.
+// fleetFoldsPerSecond is how many journals all nodes together write per second,
+// a tenth of the write rate that the platform's key-value service accepts.
 const fleetFoldsPerSecond = 10
 
-// foldInterval grows with the fleet.
+// foldInterval returns the interval at which this node folds its bills. It grows
+// with the number of members.
 func (n *Node) foldInterval() time.Duration {
 	members := time.Duration(len(n.keeper.Current().Members()))
 	return max(settings.Millis(n.settings.Times.FoldMillis), members*time.Second/fleetFoldsPerSecond)
--- a/node/operators.go
+++ b/node/operators.go
@@ -14,7 +14,7 @@
 	"github.com/violettally/violettally/view"
 )
 
-// operatorNode answers operators.
+// operatorNode implements operators.Node.
 type operatorNode struct{ n *Node }
 
 func (o operatorNode) Ready() string {
@@ -40,8 +40,8 @@
 	return control.Apply(ctx, o.n.spreader, spread.Config, c, o.n.timers.Now())
 }
 
-// Explain looks for a decision record here, then at the request's holder, and
-// for an unknown account at every node.
+// Explain looks up a decision record on this node, then on the request's holder if
+// the account is known, and then on every node.
 func (o operatorNode) Explain(ctx context.Context, account, id string) (decision.Summary, bool) {
 	n := o.n
 	if summary, ok := n.decisions.Find(id); ok {
--- a/node/peers.go
+++ b/node/peers.go
@@ -24,13 +24,13 @@
 	"github.com/violettally/violettally/view"
 )
 
-// seededMembers adds to the members that answer the addresses of the VM list.
+// seededMembers adds the peer addresses of the VM list to the reachable members.
 type seededMembers struct {
 	*member.Prober
 	vms *vmlist.List
 }
 
-// Seeds returns peer addresses to ask before there is a view.
+// Seeds returns peer addresses to use before a view is known.
 func (s seededMembers) Seeds() []string { return s.vms.Peers() }
 
 func (n *Node) fillHeartbeat(h *member.Heartbeat) {
@@ -43,7 +43,8 @@
 	n.spreader.Heard(h.Peer, h.Revisions)
 }
 
-// viewNodes returns the nodes among which the backend servers are shared out.
+// viewNodes returns the members of the view, over which the backend servers are
+// distributed, and its epoch.
 func (n *Node) viewNodes() (epoch int64, ids []string) {
 	v := n.keeper.Current()
 	for _, m := range v.Members() {
@@ -52,18 +53,20 @@
 	return v.Epoch(), ids
 }
 
-// isFirstInRegion reports whether this node is the first of its region that answers.
-// What such a node does is safe when two believe to be it.
+// isFirstInRegion reports whether this node is the first reachable node of its
+// region and its claim replica has settled. Two nodes may both take themselves
+// for the first, so the tasks of that node must be safe to run twice.
 func (n *Node) isFirstInRegion() bool { return n.prober.RegionRank() == 0 && n.replica.Settled() }
 
-// driverCandidates is how many nodes compete for the driver's lease.
+// driverCandidates is how many nodes of a region compete for the driver's lease.
 const driverCandidates = 3
 
 func (n *Node) isDriverCandidate() bool {
 	return n.prober.RegionRank() < driverCandidates && n.keeper.Current().Has(n.self.ID) && !n.prober.Leaving()
 }
 
-// addresses returns the nodes for callers, those of a data hall first.
+// addresses returns the client addresses of the available nodes, those in the
+// given data hall first, or in this node's if it is empty.
 func (n *Node) addresses(dataHall string) []callers.Address {
 	if dataHall == "" {
 		dataHall = n.self.DataHall
@@ -80,7 +83,7 @@
 	return list
 }
 
-// peerNode answers other nodes.
+// peerNode implements peer.Node.
 type peerNode struct{ n *Node }
 
 func (p peerNode) Probe(h member.Heartbeat) member.Heartbeat { return p.n.prober.Receive(h) }
@@ -109,7 +112,7 @@
 
 func (p peerNode) Explain(id string) (decision.Summary, bool) { return p.n.decisions.Find(id) }
 
-// holders reaches the nodes that hold claims.
+// holders implements dispatch.Holders.
 type holders struct{ n *Node }
 
 func (h holders) Attach(ctx context.Context, holder claim.Holder, attempt string) (*answer.Exchange, bool, bool, error) {
@@ -127,7 +130,7 @@
 	return status == member.StatusFaulty
 }
 
-// grantors finds the node that leases out shares of an account's limit.
+// grantors implements limit.Grantors.
 type grantors struct{ n *Node }
 
 func (g grantors) Members() int { return len(g.n.keeper.Current().Members()) }
@@ -146,14 +149,14 @@
 	return v.Owner(n.accountRegion(account), "limit/"+account, nil)
 }
 
-// viewMembers is who belongs to the system, and who of them answers.
+// viewMembers implements billing.Members.
 type viewMembers struct {
 	*view.Keeper
 	*member.Prober
 }
 
-// accountRegion returns the home region of a client account; one that the
-// configuration does not know any more has the default one.
+// accountRegion returns the home region of a client account; the default region
+// if the current configuration has no such account.
 func (n *Node) accountRegion(account string) string {
 	if a := n.Config().Account(account); a != nil {
 		return a.HomeRegion()
@@ -173,7 +176,7 @@
 	return 0
 }
 
-// collector asks all nodes for their counts of answers.
+// collector implements rollout.Collector.
 type collector struct{ n *Node }
 
 func (c collector) Collect(ctx context.Context) map[string]rollout.Counts {
@@ -191,22 +194,22 @@
 	return all
 }
 
-// memberTimeout bounds a call that goes to every member.
+// memberTimeout limits a call that goes to every member.
 const memberTimeout = time.Second
 
-// forEachMember calls ask for each member that answers, this node included, all
-// at once.
-func (n *Node) forEachMember(ctx context.Context, ask func(context.Context, view.Member)) {
+// forEachMember runs call concurrently for each reachable member, including this
+// node, and waits for all calls.
+func (n *Node) forEachMember(ctx context.Context, call func(context.Context, view.Member)) {
 	ctx, cancel := context.WithTimeout(ctx, memberTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
 	for _, m := range append(n.prober.Alive(), n.self) {
-		calls.Go(func() { ask(ctx, m) })
+		calls.Go(func() { call(ctx, m) })
 	}
 	calls.Wait()
 }
 
-// versionShare returns the part of a model's new sessions that a version gets.
+// versionShare returns the share of a model's new sessions that a version gets.
 func (n *Node) versionShare(m *config.Model, version string) float64 {
 	progress, known := n.picker.Progress(m.Name)
 	candidate := 0.0
@@ -237,17 +240,17 @@
 
 const orphanScanInterval = 2 * time.Second
 
-// takeOverOrphans takes over patient work whose node is gone. Of the replicas
-// that remember it, the first that answers does; if two believe to be it, the
-// claim of the next attempt decides.
+// takeOverOrphans takes over patient requests whose node has failed. The first
+// reachable replica of the request's claim does so; if two replicas both take
+// themselves for the first, the claim of the next attempt decides.
 func (n *Node) takeOverOrphans(ctx context.Context) {
-	adopted := make(map[string]time.Time)
+	takenOver := make(map[string]time.Time)
 	n.timers.Every(ctx, orphanScanInterval, func() {
 		now := n.timers.Now()
-		maps.DeleteFunc(adopted, func(_ string, until time.Time) bool { return now.After(until) })
+		maps.DeleteFunc(takenOver, func(_ string, until time.Time) bool { return now.After(until) })
 		for _, e := range n.replica.Orphans(func(id string) bool { return !(holders{n}).Gone(id) }) {
-			if _, seen := adopted[e.Token]; !seen && n.isFirstLiveReplica(e.Key) {
-				adopted[e.Token] = e.Expires
+			if _, seen := takenOver[e.Token]; !seen && n.isFirstLiveReplica(e.Key) {
+				takenOver[e.Token] = e.Expires
 				n.dispatch.TakeOver(ctx, e)
 			}
 		}
