--- a/adapter/operators/operators.go
+++ b/adapter/operators/operators.go
@@ -73,7 +73,7 @@
 	s := &Server{Options: options}
 	e := echo.New()
 	e.HideBanner = true
-	e.Use(middleware.Recover(), middleware.BodyLimit(strconv.Itoa(2*config.MaxBytes)+"B"))
+	e.Use(middleware.Recover(), middleware.BodyLimit(strconv.Itoa(2*config.MaxFileBytes)+"B"))
 	e.GET("/health", func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
 	e.GET("/ready", s.ready)
 	e.GET("/metrics", echo.WrapHandler(options.Metrics))
--- a/adapter/peer/client.go
+++ b/adapter/peer/client.go
@@ -78,7 +78,7 @@
 
 // TLSConfig returns the configuration for mutual TLS with the certificates of the
 // settings, or nil if there are none.
-func TLSConfig(peer settings.PeerDoor) (*tls.Config, error) {
+func TLSConfig(peer settings.PeerListener) (*tls.Config, error) {
 	if !peer.Encrypted() {
 		return nil, nil
 	}
--- a/dispatch/chat.go
+++ b/dispatch/chat.go
@@ -259,7 +259,7 @@
 	d := m.d
 	s := d.Config()
 	if p := s.Pool(v.Pool); p != nil {
-		d.Budgets.RecordRequest(v.Pool, p.RetryShare())
+		d.Budgets.RecordRequest(v.Pool, p.RetryRatio())
 	}
 	attempt, err := d.Chooser.Choose(route.Request{
 		Pool:        v.Pool,
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -296,7 +296,7 @@
 		ttl += r.Deadline.Sub(d.Timers.Now())
 	}
 	if !r.Repeatable() {
-		ttl = max(ttl, r.Plain.Call.ClaimLife())
+		ttl = max(ttl, r.Plain.Call.ClaimTTL())
 	}
 	return ttl
 }
--- a/dispatch/join.go
+++ b/dispatch/join.go
@@ -145,10 +145,10 @@
 // and its claim may have expired since.
 func (d *Dispatcher) checkAge(r *Request) *Refusal {
 	issued := idTime(r.ID)
-	if r.Repeatable() || issued.IsZero() || d.Timers.Now().Sub(issued) < r.Plain.Call.ClaimLife() {
+	if r.Repeatable() || issued.IsZero() || d.Timers.Now().Sub(issued) < r.Plain.Call.ClaimTTL() {
 		return nil
 	}
-	return refuse(ReasonOutcomeUnknown, RanUnknown, 0, "the id was made %s ago and such calls are remembered for %s", d.Timers.Now().Sub(issued).Round(time.Second), r.Plain.Call.ClaimLife())
+	return refuse(ReasonOutcomeUnknown, RanUnknown, 0, "the id was made %s ago and such calls are remembered for %s", d.Timers.Now().Sub(issued).Round(time.Second), r.Plain.Call.ClaimTTL())
 }
 
 // checkClaimLoss refuses an ID that may have been used before two replicas, and its claim with
--- a/dispatch/plain.go
+++ b/dispatch/plain.go
@@ -32,7 +32,7 @@
 		return refuse(ReasonClaimUnreachable, RanNo, retryAfterShort, "too few replicas took note of the run")
 	}
 	if p := s.Pool(pool); p != nil {
-		d.Budgets.RecordRequest(pool, p.RetryShare())
+		d.Budgets.RecordRequest(pool, p.RetryRatio())
 	}
 	tried := make(map[string]bool)
 	var last *Refusal
@@ -64,7 +64,7 @@
 // markRunning records, here and at most of the replicas, that a call that may not be repeated
 // is about to run. It reports whether most replicas know.
 func (d *Dispatcher) markRunning(x *answer.Response, r *Request, e *claim.Entry) bool {
-	d.Responses.MarkRan(x.Attempt(), r.Plain.Call.ClaimLife())
+	d.Responses.MarkRan(x.Attempt(), r.Plain.Call.ClaimTTL())
 	return d.advance(e, claim.StateRunning, nil)
 }
 
--- a/node/backends.go
+++ b/node/backends.go
@@ -14,28 +14,29 @@
 	"github.com/violettally/violettally/settings"
 )
 
-// overcommit lets a node use more than its even part of a pool, since callers do
-// not spread evenly over nodes.
+// overcommit lets a node use more than its equal share of a pool, since clients
+// are not distributed evenly over nodes.
 const overcommit = 1.25
 
-// backends follows the backend servers' load and keeps a queue per pool.
+// backends polls the load of the backend servers and keeps an admission queue
+// per pool.
 type backends struct {
 	n       *Node
 	engines *engine.Client
 	chooser *route.Chooser
 
-	mu     sync.Mutex
-	queues map[string]*admit.Queue
-	asking map[string]bool
+	mu            sync.Mutex
+	queues        map[string]*admit.Queue
+	pollsInFlight map[string]bool
 }
 
 func newBackends(n *Node, engines *engine.Client, chooser *route.Chooser) *backends {
 	return &backends{
-		n:       n,
-		engines: engines,
-		chooser: chooser,
-		queues:  make(map[string]*admit.Queue),
-		asking:  make(map[string]bool),
+		n:             n,
+		engines:       engines,
+		chooser:       chooser,
+		queues:        make(map[string]*admit.Queue),
+		pollsInFlight: make(map[string]bool),
 	}
 }
 
@@ -51,7 +52,7 @@
 	return q
 }
 
-// load returns how many requests run and wait in all queues.
+// load returns how many requests are running and waiting in all queues.
 func (b *backends) load() (running, waiting int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -62,7 +63,7 @@
 	return running, waiting
 }
 
-// capacity is this node's part of a pool's slots.
+// capacity returns this node's share of a pool's slots.
 func (b *backends) capacity(pool string) int {
 	slots := 0
 	for _, s := range b.n.Config().Servers(pool) {
@@ -74,16 +75,17 @@
 	return int(math.Ceil(overcommit * float64(slots) / float64(nodes)))
 }
 
-// Run asks the servers for their load until the context ends, one at each tick
-// in turn, so that its cost does not grow with the servers. The chooser lives
-// with old reports: see TestPolicies and docs/MEASUREMENTS.md.
+// Run polls the servers for their load until the context ends, one per tick in
+// turn, so that the cost does not grow with the number of servers. The chooser
+// tolerates outdated reports (TestPolicies in package route,
+// docs/MEASUREMENTS.md).
 func (b *backends) Run(ctx context.Context) {
-	ticks := b.n.timers.Subscribe(settings.Millis(b.n.settings.Times.LoadMillis))
+	ticks := b.n.timers.Subscribe(settings.Millis(b.n.settings.Times.LoadIntervalMillis))
 	defer ticks.Stop()
 	for turn := 0; ; turn++ {
-		if servers := b.followed(); len(servers) > 0 {
+		if servers := b.polledServers(); len(servers) > 0 {
 			next := servers[turn%len(servers)]
-			b.ask(ctx, next.pool, next.server)
+			b.poll(ctx, next.pool, next.server)
 		}
 		select {
 		case <-ctx.Done():
@@ -93,32 +95,32 @@
 	}
 }
 
-// pooled is a server with its pool.
-type pooled struct {
+// poolServer is a server and the name of its pool.
+type poolServer struct {
 	pool   string
 	server config.Server
 }
 
-// followed returns the servers that this node uses.
-func (b *backends) followed() []pooled {
-	var servers []pooled
+// polledServers returns the servers that this node sends requests to.
+func (b *backends) polledServers() []poolServer {
+	var servers []poolServer
 	for _, pool := range b.n.Config().Pools() {
 		for _, server := range b.chooser.Subset(pool.Name, pool.Servers) {
-			servers = append(servers, pooled{pool.Name, server})
+			servers = append(servers, poolServer{pool.Name, server})
 		}
 	}
 	return servers
 }
 
-// ask asks one server, unless the last question is still open.
-func (b *backends) ask(ctx context.Context, pool string, server config.Server) {
+// poll asks one server for its load, unless an earlier poll is still running.
+func (b *backends) poll(ctx context.Context, pool string, server config.Server) {
 	key := pool + "/" + server.Name
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.asking[key] {
+	if b.pollsInFlight[key] {
 		return
 	}
-	b.asking[key] = true
+	b.pollsInFlight[key] = true
 	b.n.metrics.LoadReport()
 	go func() {
 		if report, err := b.engines.LoadReport(ctx, server); err == nil {
@@ -126,33 +128,34 @@
 		}
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		delete(b.asking, key)
+		delete(b.pollsInFlight, key)
 	}()
 }
 
-// holdingTimeout bounds asking all servers of a pool what they hold.
+// holdingTimeout limits asking all servers of a pool for their loaded models.
 const holdingTimeout = time.Second
 
-// LoadedModels returns what the servers of a pool say they hold.
+// LoadedModels asks the servers of a pool which models they have loaded. A server that
+// does not respond is returned without models.
 func (b *backends) LoadedModels(pool string) []placement.ServerModels {
 	ctx, cancel := context.WithTimeout(context.Background(), holdingTimeout)
 	defer cancel()
 	servers := b.n.Config().Servers(pool)
 	holdings := make([]placement.ServerModels, len(servers))
-	var asks sync.WaitGroup
+	var polls sync.WaitGroup
 	for i, server := range servers {
-		asks.Go(func() {
+		polls.Go(func() {
 			holdings[i].Server = server
 			if report, err := b.engines.LoadReport(ctx, server); err == nil {
 				holdings[i].Models = report.Models
 			}
 		})
 	}
-	asks.Wait()
+	polls.Wait()
 	return holdings
 }
 
-// Order gives a load order.
+// Order sends an order to load or unload a model, with the lease's fencing token.
 func (b *backends) Order(ctx context.Context, o placement.Order, token int64) error {
 	return b.engines.Order(ctx, o, token)
 }
--- a/node/node.go
+++ b/node/node.go
@@ -1,6 +1,5 @@
-// Package node puts one process of the system together: it makes the parts,
-// joins them by the small interfaces that they declare, and runs them until
-// the process is told to stop.
+// Package node assembles one node process: it creates the components, connects
+// them through the interfaces that they declare, and runs them until shutdown.
 //
 // # Usage
 //
@@ -8,7 +7,7 @@
 //	if err != nil {
 //		return err
 //	}
-//	return n.Run(ctx) // until ctx ends; then the node drains and leaves
+//	return n.Run(ctx) // until ctx ends; then drains the node
 package node
 
 import (
@@ -56,43 +55,44 @@
 var (
 	namespace = errs.Namespace("node")
 
-	// Start says that the node could not be made or opened.
-	Start = namespace.NewType("start")
+	// StartFailed means that the node could not be created or could not serve.
+	StartFailed = namespace.NewType("start")
 )
 
-// driverLease is the lease of the node that drives roll-outs and loads.
-const driverLease = "driver"
+// driverLeaseName is the lease of the node that drives rollouts and orders model
+// loads.
+const driverLeaseName = "driver"
 
-// Node is one process of the system.
+// Node is one node process with all its components.
 type Node struct {
 	settings *settings.Settings
 	self     view.Member
 	holder   claim.Holder
 
-	timers   *timer.Service
-	metrics  *metrics.Metrics
-	store    *etcd.Client
-	vms      *vmlist.List
-	client   *peer.Client
-	spreader *spread.Replicator
-	prober   *member.Prober
-	keeper   *view.Manager
-	replica  *claim.Replica
-	claimer  *claim.Claimer
-	journal  *ledger.Journal
-	closer   *ledger.Closer
-	answers  *answer.Store
-	records  *decision.Log
-	limiter  *limit.Limiter
-	grantor  *limit.Grantor
-	picker   *rollout.Picker
-	driver   *rollout.Driver
-	leases   *lease.Holder
-	loads    *placement.Planner
-	backends *backends
-	bills    *billing.Tracker
-	biller   *billing.Biller
-	dispatch *dispatch.Dispatcher
+	timers    *timer.Service
+	metrics   *metrics.Metrics
+	store     *etcd.Client
+	vms       *vmlist.List
+	client    *peer.Client
+	spreader  *spread.Replicator
+	prober    *member.Prober
+	keeper    *view.Manager
+	replica   *claim.Replica
+	claimer   *claim.Claimer
+	journal   *ledger.Journal
+	closer    *ledger.Closer
+	answers   *answer.Store
+	decisions *decision.Log
+	limiter   *limit.Limiter
+	grantor   *limit.Grantor
+	picker    *rollout.Picker
+	driver    *rollout.Driver
+	leases    *lease.Holder
+	placer    *placement.Planner
+	backends  *backends
+	bills     *billing.Tracker
+	biller    *billing.Biller
+	dispatch  *dispatch.Dispatcher
 
 	callers   *callers.Server
 	operators *operators.Server
@@ -100,19 +100,19 @@
 
 	mu       sync.RWMutex
 	snapshot *config.Snapshot
-	// configured is closed with the first configuration.
+	// configured is closed when the first configuration is applied.
 	configured chan struct{}
 }
 
-// New makes a node that does not run yet.
+// New returns a node that is not running yet.
 func New(s *settings.Settings) (*Node, error) {
 	tlsConfig, err := peer.TLSConfig(s.Peer)
 	if err != nil {
-		return nil, errs.Wrap(Start, "new", err, "peer door")
+		return nil, errs.Wrap(StartFailed, "new", err, "peer TLS")
 	}
 	instruments, err := metrics.New()
 	if err != nil {
-		return nil, errs.Wrap(Start, "new", err, "metrics")
+		return nil, errs.Wrap(StartFailed, "new", err, "metrics")
 	}
 	n := &Node{
 		settings:   s,
@@ -129,45 +129,47 @@
 		}),
 	}
 	n.holder = claim.Holder{ID: n.self.ID, Peer: n.self.Peer}
-	n.makeMembership(peer.NewClient(tlsConfig, peer.WithCallCounter(instruments.PeerCall)))
-	n.makeClaims()
-	n.makeDecisions()
-	n.makeDoors()
-	if err := n.makeGauges(); err != nil {
-		return nil, errs.Wrap(Start, "new", err, "metrics")
+	n.initMembership(peer.NewClient(tlsConfig, peer.WithCallCounter(instruments.PeerCall)))
+	n.initClaims()
+	n.initRequestPath()
+	n.initServers()
+	if err := n.registerGauges(); err != nil {
+		return nil, errs.Wrap(StartFailed, "new", err, "metrics")
 	}
 	return n, nil
 }
 
-// makeMembership makes what finds the other nodes and spreads documents.
-func (n *Node) makeMembership(client *peer.Client) {
+// initMembership creates failure detection, the view of the members and the
+// distribution of shared documents.
+func (n *Node) initMembership(client *peer.Client) {
 	s := n.settings
 	n.client = client
 	n.store = etcd.New(s.Platform.KeyValue, s.Platform.Prefix, etcd.WithCallCounter(n.metrics.PlatformCall))
-	n.vms = vmlist.New(s.Platform.VMList, n.timers, settings.Millis(s.Times.VMListMillis))
+	n.vms = vmlist.New(s.Platform.VMList, n.timers, settings.Millis(s.Times.VMListIntervalMillis))
 	n.spreader = spread.New(n.store, client, n.timers)
 	n.prober = member.New(n.self, client, n.timers,
-		member.WithInterval(settings.Millis(s.Times.ProbeMillis)),
+		member.WithInterval(settings.Millis(s.Times.ProbeIntervalMillis)),
 		member.WithPayload(n.fillHeartbeat),
-		member.WithObserver(n.heard),
+		member.WithObserver(n.observeHeartbeat),
 		member.WithCounter(n.metrics.MemberStatus),
 	)
-	n.spreader.SetMembers(seeds{n.prober, n.vms})
+	n.spreader.SetMembers(seededMembers{n.prober, n.vms})
 	n.keeper = view.NewManager(spread.View, n.self, n.spreader, n.prober, n.vms, n.timers)
 	n.spreader.Subscribe(spread.View, n.keeper.Apply)
-	n.spreader.Subscribe(spread.Config, n.takeConfig)
+	n.spreader.Subscribe(spread.Config, n.applyConfig)
 	n.keeper.Subscribe(n.prober.SetView)
 }
 
-// makeClaims makes the write-once memory and what is built on it.
-func (n *Node) makeClaims() {
+// initClaims creates the replicated claims and what builds on them: billing,
+// stored responses and the peer server.
+func (n *Node) initClaims() {
 	s := n.settings
-	n.bills = billing.NewTracker(n.self, members{n.keeper, n.prober}, n.client, n.store, n.timers)
+	n.bills = billing.NewTracker(n.self, viewMembers{n.keeper, n.prober}, n.client, n.store, n.timers)
 	n.replica = claim.NewReplica(n.self.ID, n.keeper, n.client, n.timers, claim.WithFolded(n.bills.CanDiscard))
 	n.claimer = claim.NewClaimer(n.keeper, n.client, claim.WithVerdictCounter(n.metrics.ClaimVerdict))
 	n.keeper.Subscribe(n.replica.SetView)
 	n.journal = ledger.New(n.self.ID, n.store, n.bills, n.timers, n.foldInterval)
-	n.closer = ledger.NewCloser(n.store, n.bills, n.bills.OwnerInView, n.onDuty, n.timers)
+	n.closer = ledger.NewCloser(n.store, n.bills, n.bills.OwnerInView, n.isFirstInRegion, n.timers)
 	n.biller = billing.New(billing.Config{
 		Self:             n.holder,
 		Claims:           n.claimer,
@@ -176,35 +178,36 @@
 		Counters:         n.metrics,
 		Timers:           n.timers,
 		NewID:            newID,
-		Region:           n.regionOf,
-		RecoveredBillTTL: 2 * settings.Millis(s.Times.AnswerLifeMillis),
+		Region:           n.accountRegion,
+		RecoveredBillTTL: 2 * settings.Millis(s.Times.ResponseTTLMillis),
 	})
 	n.bills.Attach(n.journal, n.replica, n.biller)
-	n.answers = answer.NewStore(n.timers, settings.Millis(s.Times.AnswerLifeMillis), s.Bounds.AnswerMemory)
+	n.answers = answer.NewStore(n.timers, settings.Millis(s.Times.ResponseTTLMillis), s.Bounds.ResponseMemoryBytes)
 	n.client.SetLocal(n.self.ID, n.self.Peer, peerNode{n}, n.replica)
 	n.peers = peer.NewServer(peerNode{n}, n.replica, n.client)
 }
 
-// makeDecisions makes what decides on requests, and the request path.
-func (n *Node) makeDecisions() {
+// initRequestPath creates rate limits, rollouts, routing, admission and the
+// dispatcher.
+func (n *Node) initRequestPath() {
 	s := n.settings
-	n.records = decision.New(n.self.ID)
+	n.decisions = decision.New(n.self.ID)
 	n.limiter = limit.New(grantors{n}, n.timers)
-	n.grantor = limit.NewGrantor(n.limitOf, n.timers)
-	n.keeper.Subscribe(func(v *view.View) { n.grantor.SetEpoch(v.Epoch(), n.ownsLimit) })
+	n.grantor = limit.NewGrantor(n.accountLimit, n.timers)
+	n.keeper.Subscribe(func(v *view.View) { n.grantor.SetEpoch(v.Epoch(), n.ownsAccountLimit) })
 	n.picker = rollout.NewPicker()
-	n.spreader.Subscribe(spread.Rollouts, n.takeRollouts)
-	n.leases = lease.New(driverLease, n.self.ID, n.store, n.timers, settings.Millis(s.Times.LeaseMillis),
-		lease.WithEligibility(n.mayDrive))
+	n.spreader.Subscribe(spread.Rollouts, n.applyRollouts)
+	n.leases = lease.New(driverLeaseName, n.self.ID, n.store, n.timers, settings.Millis(s.Times.LeaseTTLMillis),
+		lease.WithEligibility(n.isDriverCandidate))
 	n.driver = rollout.NewDriver(spread.Rollouts, n.spreader, collector{n}, n.leases, func() []config.Model { return n.Config().Models() }, n.timers)
-	engines := engine.New(engine.WithMaxResponseBytes(s.Bounds.AnswerBytes))
+	engines := engine.New(engine.WithMaxResponseBytes(s.Bounds.ResponseBytes))
 	chooser := route.New(n.self.ID,
 		route.WithLeaving(n.vms.Leaving),
-		route.WithNodes(n.sharers),
+		route.WithNodes(n.viewNodes),
 		route.WithBreakerCounter(n.metrics.BreakerOpened),
 	)
 	n.backends = newBackends(n, engines, chooser)
-	n.loads = placement.New(n.backends, n.leases, n.Config, n.shareOf, n.timers)
+	n.placer = placement.New(n.backends, n.leases, n.Config, n.versionShare, n.timers)
 	n.dispatch = dispatch.New(dispatch.Parts{
 		Self:            n.holder,
 		Config:          n.Config,
@@ -223,15 +226,16 @@
 		Services:        engines,
 		Rater:           rating.New(s.Platform.Rating),
 		Bills:           n.biller,
-		Records:         n.records,
+		Records:         n.decisions,
 		Counters:        n.metrics,
 		Timers:          n.timers,
 		NewID:           newID,
-		ResponseTTL:     settings.Millis(s.Times.AnswerLifeMillis),
+		ResponseTTL:     settings.Millis(s.Times.ResponseTTLMillis),
 	})
 }
 
-func (n *Node) makeDoors() {
+// initServers creates the client API and the operator API.
+func (n *Node) initServers() {
 	s := n.settings
 	n.callers = callers.New(callers.Options{
 		Dispatcher:     n.dispatch,
@@ -240,7 +244,7 @@
 		Addresses:      n.addresses,
 		AddressTTL:     settings.Millis(s.Times.AddressTTLMillis),
 		Bounds:         s.Bounds,
-		RequestTimeout: settings.Millis(s.Times.RequestMillis),
+		RequestTimeout: settings.Millis(s.Times.RequestTimeoutMillis),
 		NewID:          newID,
 		OnRefusal:      n.metrics.Refused,
 	})
@@ -252,7 +256,7 @@
 	})
 }
 
-func (n *Node) makeGauges() error {
+func (n *Node) registerGauges() error {
 	gauges := []struct {
 		name, help string
 		read       func() float64
@@ -275,22 +279,23 @@
 	return nil
 }
 
-// newID returns a UUID that starts with its time (RFC 9562, version 7), so
-// that an id minted after a loss of claims is known to be new.
+// newID returns a time-ordered UUID (RFC 9562, version 7), so that an ID made
+// after a loss of claims is known to be new.
 func newID() string { return uuid.Must(uuid.NewV7()).String() }
 
-// Config returns the configuration in force.
+// Config returns the current configuration.
 func (n *Node) Config() *config.Snapshot {
 	n.mu.RLock()
 	defer n.mu.RUnlock()
 	return n.snapshot
 }
 
-// takeConfig puts a stored configuration in force. Revisions only rise.
-func (n *Node) takeConfig(item document.Item) {
+// applyConfig makes a stored configuration the current one, unless its revision
+// is not higher.
+func (n *Node) applyConfig(item document.Item) {
 	snapshot, err := decodeConfig(item)
 	if err != nil {
-		slog.Error("stored configuration cannot be used; the one before stays in force", "error", err)
+		slog.Error("invalid stored configuration; keeping the previous one", "error", err)
 		return
 	}
 	n.mu.Lock()
@@ -302,17 +307,17 @@
 		close(n.configured)
 	}
 	n.snapshot = snapshot
-	slog.Info("configuration in force", "revision", snapshot.Revision(), "by", snapshot.Document().By)
+	slog.Info("configuration applied", "revision", snapshot.Revision(), "by", snapshot.Document().By)
 }
 
-func (n *Node) takeRollouts(item document.Item) {
+func (n *Node) applyRollouts(item document.Item) {
 	if err := n.picker.Apply(item); err != nil {
-		slog.Error("stored roll-outs cannot be used", "error", err)
+		slog.Error("invalid stored rollouts; keeping the previous ones", "error", err)
 	}
 }
 
-// Run opens the doors and runs the node until the context ends; then it
-// drains and leaves.
+// Run opens the listeners and runs the node until the context ends, then drains
+// it. It returns an error if the node cannot listen or a server stops early.
 func (n *Node) Run(ctx context.Context) error {
 	listeners, err := n.listen()
 	if err != nil {
@@ -324,18 +329,18 @@
 	go func() { failed <- n.peers.Serve(work, listeners.peer, n.client.TLSConfig()) }()
 	go func() { failed <- n.callers.Serve(listeners.caller) }()
 	go func() { failed <- n.operators.Serve(listeners.operator) }()
-	done := n.start(work)
-	slog.Info("node is up", "id", n.self.ID, "caller", n.self.Caller, "data_hall", n.self.DataHall)
+	tasks := n.start(work)
+	slog.Info("node started", "id", n.self.ID, "caller", n.self.Caller, "data_hall", n.self.DataHall)
 	select {
 	case <-ctx.Done():
 		n.drain()
 	case err = <-failed:
 		if err != nil {
-			err = errs.Wrap(Start, "run", err, "a door closed")
+			err = errs.Wrap(StartFailed, "run", err, "server stopped")
 		}
 	}
 	stop()
-	done.Wait()
+	tasks.Wait()
 	n.timers.Close()
 	return err
 }
@@ -344,83 +349,86 @@
 
 func (n *Node) listen() (listeners, error) {
 	var l listeners
-	for _, door := range []struct {
-		into    *net.Listener
-		address string
+	for _, target := range []struct {
+		listener *net.Listener
+		address  string
 	}{
 		{&l.caller, n.settings.Caller.Listen},
 		{&l.operator, n.settings.Operator.Listen},
 		{&l.peer, n.settings.Peer.Listen},
 	} {
-		listener, err := net.Listen("tcp", door.address)
+		listener, err := net.Listen("tcp", target.address)
 		if err != nil {
-			return l, errs.Wrap(Start, "listen", err, "address %s", door.address)
+			return l, errs.Wrap(StartFailed, "listen", err, "address %s", target.address)
 		}
-		*door.into = listener
+		*target.listener = listener
 	}
 	return l, nil
 }
 
-// start runs every part that works by itself.
+// start runs the background tasks of all components.
 func (n *Node) start(ctx context.Context) *sync.WaitGroup {
 	if err := n.vms.Read(ctx); err != nil {
-		slog.Warn("VM list not read", "error", err)
+		slog.Warn("reading the VM list failed", "error", err)
 	}
-	var parts sync.WaitGroup
+	var tasks sync.WaitGroup
 	for _, run := range []func(context.Context){
 		n.vms.Run, n.spreader.Run, n.prober.Run, n.keeper.Run, n.replica.Run, n.journal.Run, n.closer.Run, n.bills.Run,
-		n.answers.Run, n.limiter.Run, n.leases.Run, n.driver.Run, n.loads.Run, n.backends.Run, n.adoptOrphans,
+		n.answers.Run, n.limiter.Run, n.leases.Run, n.driver.Run, n.placer.Run, n.backends.Run, n.takeOverOrphans,
 		func(ctx context.Context) { stall.Watch(ctx, n.timers, stall.Log) },
 	} {
-		parts.Go(func() { run(ctx) })
+		tasks.Go(func() { run(ctx) })
 	}
-	return &parts
+	return &tasks
 }
 
 const (
-	// noticeTime is how long it takes until all nodes know that one leaves.
-	noticeTime = time.Second
-	// lastWords bounds the last calls of a node that leaves.
-	lastWords = 5 * time.Second
-	// handOver is how long the members of the next view have to read the
-	// claims of the one that leaves.
-	handOver = time.Second
+	// drainNoticeTime is how long it takes until all nodes know that one is
+	// shutting down.
+	drainNoticeTime = time.Second
+	// finalCallsTimeout limits the last calls of a node that shuts down.
+	finalCallsTimeout = 5 * time.Second
+	// handoverTime is how long the members of the next view have to copy the
+	// claims of a node that shuts down.
+	handoverTime = time.Second
 )
 
-// drain takes the node out of the answers to callers, serves until the
-// addresses that they have must be renewed and the last request has its
-// answer, folds its bills, and leaves the view.
+// drain removes the node from the addresses given to clients, serves until their
+// cached addresses have expired and the last request has its response, folds the
+// node's bills, and removes the node from the view.
 func (n *Node) drain() {
-	slog.Info("node is leaving")
+	slog.Info("node draining")
 	n.prober.Leave()
 	n.callers.DisableKeepAlives()
-	n.pause(noticeTime + settings.Millis(n.settings.Times.AddressTTLMillis))
+	n.pause(drainNoticeTime + settings.Millis(n.settings.Times.AddressTTLMillis))
 	n.dispatch.Drain()
-	limit := settings.Millis(n.settings.Times.RequestMillis)
+	limit := settings.Millis(n.settings.Times.RequestTimeoutMillis)
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	if err := n.callers.Shutdown(ctx); err != nil {
-		slog.Warn("requests were still under way", "error", err)
+		slog.Warn("requests still running at the drain timeout", "error", err)
 	}
-	n.waitRuns(ctx)
-	last, cancelLast := context.WithTimeout(context.Background(), lastWords)
-	defer cancelLast()
-	if err := n.journal.Fold(last); err != nil {
-		slog.Warn("bills not folded; another node will", "error", err)
+	n.waitForRequests(ctx)
+	finalCtx, cancelFinal := context.WithTimeout(context.Background(), finalCallsTimeout)
+	defer cancelFinal()
+	if err := n.journal.Fold(finalCtx); err != nil {
+		slog.Warn("folding the bills failed; another node will fold them", "error", err)
 	}
-	n.keeper.Leave(last)
-	n.pause(handOver)
-	slog.Info("node has left")
+	n.keeper.Leave(finalCtx)
+	n.pause(handoverTime)
+	slog.Info("node drained")
 }
 
-func (n *Node) waitRuns(ctx context.Context) {
-	done := make(chan struct{})
+// waitForRequests waits until no request runs and every bill is decided, or until
+// the context ends.
+func (n *Node) waitForRequests(ctx context.Context) {
+	finished := make(chan struct{})
 	go func() {
 		n.dispatch.Wait()
-		close(done)
+		close(finished)
 	}()
 	select {
-	case <-done:
+	case <-finished:
 	case <-ctx.Done():
 	}
 }
@@ -431,12 +439,13 @@
 	<-ticks.C()
 }
 
-// foldsPerSecond is how many journals the whole fleet writes per second, a
-// tenth of what the platform takes.
-const foldsPerSecond = 10
+// fleetFoldsPerSecond is how many journals all nodes together write per second,
+// a tenth of the write rate that the platform's key-value service accepts.
+const fleetFoldsPerSecond = 10
 
-// foldInterval grows with the fleet.
+// foldInterval returns the interval at which this node folds its bills. It grows
+// with the number of members.
 func (n *Node) foldInterval() time.Duration {
 	members := time.Duration(len(n.keeper.Current().Members()))
-	return max(settings.Millis(n.settings.Times.FoldMillis), members*time.Second/foldsPerSecond)
+	return max(settings.Millis(n.settings.Times.FoldMillis), members*time.Second/fleetFoldsPerSecond)
 }
--- a/node/peers.go
+++ b/node/peers.go
@@ -24,27 +24,28 @@
 	"github.com/violettally/violettally/view"
 )
 
-// seeds adds to the members that answer the addresses of the VM list.
-type seeds struct {
+// seededMembers adds the peer addresses of the VM list to the reachable members.
+type seededMembers struct {
 	*member.Prober
 	vms *vmlist.List
 }
 
-// Seeds returns peer addresses to ask before there is a view.
-func (s seeds) Seeds() []string { return s.vms.PeerAddresses() }
+// Seeds returns peer addresses to use before a view is known.
+func (s seededMembers) Seeds() []string { return s.vms.PeerAddresses() }
 
 func (n *Node) fillHeartbeat(h *member.Heartbeat) {
 	h.Revisions = n.spreader.Revisions()
 	h.Journal, h.Folded = n.journal.Name(), n.journal.DurableSequence()
 }
 
-func (n *Node) heard(h member.Heartbeat) {
+func (n *Node) observeHeartbeat(h member.Heartbeat) {
 	n.bills.RecordHeartbeat(h.Journal, h.Folded)
 	n.spreader.HandleRevisions(h.Peer, h.Revisions)
 }
 
-// sharers returns the nodes among which the backend servers are shared out.
-func (n *Node) sharers() (epoch int64, ids []string) {
+// viewNodes returns the members of the view, over which the backend servers are
+// distributed, and its epoch.
+func (n *Node) viewNodes() (epoch int64, ids []string) {
 	v := n.keeper.Current()
 	for _, m := range v.Members() {
 		ids = append(ids, m.ID)
@@ -52,18 +53,20 @@
 	return v.Epoch(), ids
 }
 
-// onDuty reports whether this node is the first of its region that answers.
-// What such a node does is safe when two believe to be it.
-func (n *Node) onDuty() bool { return n.prober.RegionRank() == 0 && n.replica.Synced() }
+// isFirstInRegion reports whether this node is the first reachable node of its
+// region and its claim replica has settled. Two nodes may both take themselves
+// for the first, so the tasks of that node must be safe to run twice.
+func (n *Node) isFirstInRegion() bool { return n.prober.RegionRank() == 0 && n.replica.Synced() }
 
-// driverCandidates is how many nodes compete for the driver's lease.
+// driverCandidates is how many nodes of a region compete for the driver's lease.
 const driverCandidates = 3
 
-func (n *Node) mayDrive() bool {
+func (n *Node) isDriverCandidate() bool {
 	return n.prober.RegionRank() < driverCandidates && n.keeper.Current().Has(n.self.ID) && !n.prober.Leaving()
 }
 
-// addresses returns the nodes for callers, those of a data hall first.
+// addresses returns the client addresses of the available nodes, those in the
+// given data hall first, or in this node's if it is empty.
 func (n *Node) addresses(dataHall string) []callers.Address {
 	if dataHall == "" {
 		dataHall = n.self.DataHall
@@ -80,7 +83,7 @@
 	return list
 }
 
-// peerNode answers other nodes.
+// peerNode implements peer.Node.
 type peerNode struct{ n *Node }
 
 func (p peerNode) Probe(h member.Heartbeat) member.Heartbeat { return p.n.prober.Receive(h) }
@@ -109,9 +112,9 @@
 
 func (p peerNode) CancelAttempt(attempt string) bool { return p.n.dispatch.CancelAttempt(attempt) }
 
-func (p peerNode) Explain(id string) (decision.Summary, bool) { return p.n.records.Find(id) }
+func (p peerNode) Explain(id string) (decision.Summary, bool) { return p.n.decisions.Find(id) }
 
-// holders reaches the nodes that hold claims.
+// holders implements dispatch.Holders.
 type holders struct{ n *Node }
 
 func (h holders) Attach(ctx context.Context, holder claim.Holder, attempt string) (*answer.Response, bool, bool, error) {
@@ -129,14 +132,14 @@
 	return status == member.StatusFaulty
 }
 
-// grantors finds the node that leases out shares of an account's limit.
+// grantors implements limit.GrantorClient.
 type grantors struct{ n *Node }
 
 func (g grantors) Members() int { return len(g.n.keeper.Current().Members()) }
 
 func (g grantors) RequestLease(ctx context.Context, ask limit.LeaseRequest) (limit.Grant, error) {
 	v := g.n.keeper.Current()
-	owner, ok := g.n.limitOwner(v, ask.Account)
+	owner, ok := g.n.accountLimitOwner(v, ask.Account)
 	if !ok {
 		return limit.Grant{Refused: true}, nil
 	}
@@ -144,44 +147,44 @@
 	return g.n.client.RequestLimitLease(ctx, owner, ask)
 }
 
-func (n *Node) limitOwner(v *view.View, account string) (view.Member, bool) {
-	return v.Owner(n.regionOf(account), "limit/"+account, nil)
+func (n *Node) accountLimitOwner(v *view.View, account string) (view.Member, bool) {
+	return v.Owner(n.accountRegion(account), "limit/"+account, nil)
 }
 
-// members is who belongs to the system, and who of them answers.
-type members struct {
+// viewMembers implements billing.Members.
+type viewMembers struct {
 	*view.Manager
 	*member.Prober
 }
 
-// regionOf returns the home region of a client account; one that the
-// configuration does not know any more has the default one.
-func (n *Node) regionOf(account string) string {
+// accountRegion returns the home region of a client account; the default region
+// if the current configuration has no such account.
+func (n *Node) accountRegion(account string) string {
 	if a := n.Config().Account(account); a != nil {
 		return a.HomeRegion()
 	}
 	return config.DefaultRegion
 }
 
-func (n *Node) ownsLimit(account string) bool {
-	owner, ok := n.limitOwner(n.keeper.Current(), account)
+func (n *Node) ownsAccountLimit(account string) bool {
+	owner, ok := n.accountLimitOwner(n.keeper.Current(), account)
 	return ok && owner.ID == n.self.ID
 }
 
-func (n *Node) limitOf(account string) float64 {
+func (n *Node) accountLimit(account string) float64 {
 	if a := n.Config().Account(account); a != nil {
 		return a.Limits.RequestsPerSecond
 	}
 	return 0
 }
 
-// collector asks all nodes for their counts of answers.
+// collector implements rollout.Collector.
 type collector struct{ n *Node }
 
 func (c collector) Collect(ctx context.Context) map[string]rollout.Counts {
 	var mu sync.Mutex
 	all := make(map[string]rollout.Counts)
-	c.n.eachMember(ctx, func(ctx context.Context, m view.Member) {
+	c.n.forEachMember(ctx, func(ctx context.Context, m view.Member) {
 		name, counts, err := c.n.client.Counts(ctx, m)
 		if err != nil {
 			return
@@ -193,23 +196,23 @@
 	return all
 }
 
-// memberTimeout bounds a call that goes to every member.
+// memberTimeout limits a call that goes to every member.
 const memberTimeout = time.Second
 
-// eachMember calls ask for each member that answers, this node included, all
-// at once.
-func (n *Node) eachMember(ctx context.Context, ask func(context.Context, view.Member)) {
+// forEachMember runs call concurrently for each reachable member, including this
+// node, and waits for all calls.
+func (n *Node) forEachMember(ctx context.Context, call func(context.Context, view.Member)) {
 	ctx, cancel := context.WithTimeout(ctx, memberTimeout)
 	defer cancel()
 	var calls sync.WaitGroup
 	for _, m := range append(n.prober.Alive(), n.self) {
-		calls.Go(func() { ask(ctx, m) })
+		calls.Go(func() { call(ctx, m) })
 	}
 	calls.Wait()
 }
 
-// shareOf returns the part of a model's new sessions that a version gets.
-func (n *Node) shareOf(m *config.Model, version string) float64 {
+// versionShare returns the share of a model's new sessions that a version gets.
+func (n *Node) versionShare(m *config.Model, version string) float64 {
 	progress, known := n.picker.Progress(m.Name)
 	candidate := 0.0
 	if known && m.Rollout != nil && progress.Version == m.Rollout.Version && progress.Verdict != rollout.VerdictStopped {
@@ -237,26 +240,26 @@
 	return snapshot, nil
 }
 
-const orphanInterval = 2 * time.Second
+const orphanScanInterval = 2 * time.Second
 
-// adoptOrphans takes over patient work whose node is gone. Of the replicas
-// that remember it, the first that answers does; if two believe to be it, the
-// claim of the next attempt decides.
-func (n *Node) adoptOrphans(ctx context.Context) {
-	adopted := make(map[string]time.Time)
-	n.timers.Every(ctx, orphanInterval, func() {
+// takeOverOrphans takes over patient requests whose node has failed. The first
+// reachable replica of the request's claim does so; if two replicas both take
+// themselves for the first, the claim of the next attempt decides.
+func (n *Node) takeOverOrphans(ctx context.Context) {
+	takenOver := make(map[string]time.Time)
+	n.timers.Every(ctx, orphanScanInterval, func() {
 		now := n.timers.Now()
-		maps.DeleteFunc(adopted, func(_ string, until time.Time) bool { return now.After(until) })
+		maps.DeleteFunc(takenOver, func(_ string, until time.Time) bool { return now.After(until) })
 		for _, e := range n.replica.Orphans(func(id string) bool { return !(holders{n}).Faulty(id) }) {
-			if _, seen := adopted[e.Token]; !seen && n.firstReplica(e.Key) {
-				adopted[e.Token] = e.Expires
+			if _, seen := takenOver[e.Token]; !seen && n.isFirstLiveReplica(e.Key) {
+				takenOver[e.Token] = e.Expires
 				n.dispatch.TakeOver(ctx, e)
 			}
 		}
 	})
 }
 
-func (n *Node) firstReplica(key claim.Key) bool {
+func (n *Node) isFirstLiveReplica(key claim.Key) bool {
 	for _, m := range n.keeper.Current().Replicas(key.Region, key.String()) {
 		if m.ID == n.self.ID {
 			return true
--- a/rollout/sequential.go
+++ b/rollout/sequential.go
@@ -52,7 +52,7 @@
 		// The sum has lost the counts of a node; continue from the rest.
 		return false
 	}
-	increase, falseAlarm := orDefault(g.MaxBadIncrease, defaultBadIncrease), orDefault(g.FalseAlarm, defaultFalseAlarm)/2
+	increase, falseAlarm := orDefault(g.MaxBadIncrease, defaultBadIncrease), orDefault(g.FalseAlarmRate, defaultFalseAlarm)/2
 	// The Laplace estimate is above zero even without bad answers.
 	baselineRate := float64(baseline.Bad+1) / float64(baseline.Answers+2)
 	baselineRate = min(baselineRate, 1-increase-minRate)
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -73,7 +73,7 @@
 // 100 were slow, since the prompt caches of their servers were empty; of a slow
 // version's answers half were slow.
 var serviceGuards = config.Guards{
-	MaxBadIncrease: 0.1, FineBadIncrease: 0.005, MaxSlowIncrease: 0.3, UsualSlow: 0.125, FalseAlarm: 0.01,
+	MaxBadIncrease: 0.1, StrictBadIncrease: 0.005, MaxSlowIncrease: 0.3, MinSlowBaseline: 0.125, FalseAlarmRate: 0.01,
 }
 
 // ServicePicker picks the servers of a service according to the current orders.
@@ -132,7 +132,7 @@
 		Rollout: &config.Rollout{
 			Version: o.Target,
 			Stages: []config.Stage{
-				{Share: s.firstStageShare, MinSamples: firstStageMinSamples, WantSamples: firstStageWantSamples, MinSeconds: firstStageFraction * o.Period.Seconds()},
+				{Share: s.firstStageShare, MinSamples: firstStageMinSamples, TargetSamples: firstStageWantSamples, MinSeconds: firstStageFraction * o.Period.Seconds()},
 				{Share: secondStageShare, MinSeconds: secondStageFraction * o.Period.Seconds()},
 				{Share: 1, MinSeconds: max(lastStageMinSeconds, lastStageFraction*o.Period.Seconds())},
 			},
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,7 @@
-// Package settings reads what one process is told about itself: its name, its
-// addresses, its data hall, and where the platform is. Everything that the
-// fleet shares stands in the operators' declarations instead (package config).
+// Package settings loads the settings of one process: its name, its listen
+// addresses, its data hall, and the addresses of the platform's services.
+// Configuration that all nodes share is in the operators' declarations instead
+// (package config).
 //
 // # Usage
 //
@@ -10,9 +11,10 @@
 //	}
 //	g, err := settings.LoadGateway("gateway.json") // for package gateway
 //
-// What differs by VM can come from the environment, so that one file serves a
-// whole data hall; VIOLETTALLY_NAME, VIOLETTALLY_DATA_HALL,
-// VIOLETTALLY_CALLER_LISTEN and the other names stand in the `env` tags below.
+// Environment variables override the file of [Load], so that one file can serve
+// all VMs of a data hall: VIOLETTALLY_NAME, VIOLETTALLY_DATA_HALL,
+// VIOLETTALLY_CALLER_LISTEN and so on. Their names follow from the `env` tags
+// below.
 package settings
 
 import (
@@ -32,106 +34,109 @@
 var (
 	namespace = errs.Namespace("settings")
 
-	// Unreadable says that the settings file cannot be read.
+	// Unreadable means that the settings file cannot be read.
 	Unreadable = namespace.NewType("unreadable")
-	// Invalid says that the settings were read and are wrong.
+	// Invalid means that the settings were read but are not valid.
 	Invalid = namespace.NewType("invalid")
 )
 
-// Settings of one process. The fields are exported for the codecs.
+// Settings holds the settings of one node. The fields are exported for the
+// codecs.
 type Settings struct {
-	// Name of the VM; unique among the VMs that are alive.
+	// Name is the VM's name, unique among the running VMs.
 	Name     string `json:"name" env:"NAME"`
 	Region   string `json:"region" env:"REGION"`
 	DataHall string `json:"data_hall" env:"DATA_HALL"`
 
-	Caller   Door     `json:"caller" envPrefix:"CALLER_"`
-	Operator Door     `json:"operator" envPrefix:"OPERATOR_"`
-	Peer     PeerDoor `json:"peer" envPrefix:"PEER_"`
-	Platform Platform `json:"platform" envPrefix:"PLATFORM_"`
-	Bounds   Bounds   `json:"bounds"`
-	Times    Times    `json:"times"`
+	Caller   Listener     `json:"caller" envPrefix:"CALLER_"`
+	Operator Listener     `json:"operator" envPrefix:"OPERATOR_"`
+	Peer     PeerListener `json:"peer" envPrefix:"PEER_"`
+	Platform Platform     `json:"platform" envPrefix:"PLATFORM_"`
+	Bounds   Bounds       `json:"bounds"`
+	Times    Times        `json:"times"`
 
 	// BootstrapKey is the digest of the key that may apply the first
-	// configuration.
+	// configuration, before any operator is declared.
 	BootstrapKey string `json:"bootstrap_key" env:"BOOTSTRAP_KEY"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `json:"log_level" env:"LOG_LEVEL"`
 }
 
-// Door is one address that the process listens on. Advertise is the address
-// that others are told; Listen if empty.
-type Door struct {
+// Listener is an address that the process listens on. Advertise is the address
+// that clients and peers are told; Listen if empty.
+type Listener struct {
 	Listen    string `json:"listen" env:"LISTEN"`
 	Advertise string `json:"advertise" env:"ADVERTISE"`
 }
 
-// Address returns the address that others use.
-func (d Door) Address() string {
-	if d.Advertise != "" {
-		return d.Advertise
+// Address returns the advertised address.
+func (l Listener) Address() string {
+	if l.Advertise != "" {
+		return l.Advertise
 	}
-	return d.Listen
+	return l.Listen
 }
 
-// PeerDoor is the door for other nodes. Without certificates it may only
-// listen on loopback.
-type PeerDoor struct {
-	Door
+// PeerListener is the listener for other nodes. Without certificates it may only
+// listen on a loopback address.
+type PeerListener struct {
+	Listener
 	Certificate string `json:"certificate" env:"CERTIFICATE"`
 	Key         string `json:"key" env:"KEY"`
 	Authority   string `json:"authority" env:"AUTHORITY"`
 }
 
-// Encrypted reports whether peers speak mutual TLS.
-func (d PeerDoor) Encrypted() bool { return d.Certificate != "" }
+// Encrypted reports whether peers use mutual TLS.
+func (l PeerListener) Encrypted() bool { return l.Certificate != "" }
 
-// Platform says where the platform's services are.
+// Platform holds the URLs of the platform's services.
 type Platform struct {
 	KeyValue []string `json:"key_value" env:"KEY_VALUE"`
 	VMList   string   `json:"vm_list" env:"VM_LIST"`
 	Rating   string   `json:"rating" env:"RATING"`
-	// Prefix separates the keys of this system from others.
+	// Prefix starts all keys of this system in the key-value service.
 	Prefix string `json:"prefix" env:"PREFIX"`
 }
 
-// Bounds on what comes from outside. Zero takes the default.
+// Bounds limits the size of requests and responses, in bytes, and the number of
+// connections. Zero means the default.
 type Bounds struct {
-	BodyBytes    int64 `json:"body_bytes"`
-	HeaderBytes  int   `json:"header_bytes"`
-	Connections  int   `json:"connections"`
-	AnswerBytes  int64 `json:"answer_bytes"`
-	AnswerMemory int64 `json:"answer_memory"`
+	BodyBytes           int64 `json:"body_bytes"`
+	HeaderBytes         int   `json:"header_bytes"`
+	Connections         int   `json:"connections"`
+	ResponseBytes       int64 `json:"answer_bytes"`
+	ResponseMemoryBytes int64 `json:"answer_memory"`
 }
 
-// Times that operators may tune, in milliseconds. Zero takes the default.
+// Times holds intervals, timeouts and TTLs in milliseconds. Zero means the
+// default.
 type Times struct {
-	ProbeMillis      int `json:"probe_ms"`
-	AddressTTLMillis int `json:"address_ttl_ms"`
-	RequestMillis    int `json:"request_ms"`
-	AnswerLifeMillis int `json:"answer_life_ms"`
-	FoldMillis       int `json:"fold_ms"`
-	VMListMillis     int `json:"vm_list_ms"`
-	LoadMillis       int `json:"load_ms"`
-	LeaseMillis      int `json:"lease_ms"`
+	ProbeIntervalMillis  int `json:"probe_ms"`
+	AddressTTLMillis     int `json:"address_ttl_ms"`
+	RequestTimeoutMillis int `json:"request_ms"`
+	ResponseTTLMillis    int `json:"answer_life_ms"`
+	FoldMillis           int `json:"fold_ms"`
+	VMListIntervalMillis int `json:"vm_list_ms"`
+	LoadIntervalMillis   int `json:"load_ms"`
+	LeaseTTLMillis       int `json:"lease_ms"`
 }
 
-// The defaults of [Bounds] and [Times].
+// Defaults of [Bounds] and [Times].
 const (
-	defaultBodyBytes    = 1 << 20
-	defaultHeaderBytes  = 16 << 10
-	defaultConnections  = 4096
-	defaultAnswerBytes  = 1 << 20
-	defaultAnswerMemory = 32 << 20
+	defaultBodyBytes           = 1 << 20
+	defaultHeaderBytes         = 16 << 10
+	defaultConnections         = 4096
+	defaultResponseBytes       = 1 << 20
+	defaultResponseMemoryBytes = 32 << 20
 
-	defaultProbe      = 500
-	defaultAddressTTL = 5_000
-	defaultRequest    = 120_000
-	defaultAnswerLife = 300_000
-	defaultFold       = 5_000
-	defaultVMList     = 2_000
-	defaultLoad       = 250
-	defaultLease      = 5_000
+	defaultProbeIntervalMillis  = 500
+	defaultAddressTTLMillis     = 5_000
+	defaultRequestTimeoutMillis = 120_000
+	defaultResponseTTLMillis    = 300_000
+	defaultFoldMillis           = 5_000
+	defaultVMListIntervalMillis = 2_000
+	defaultLoadIntervalMillis   = 250
+	defaultLeaseTTLMillis       = 5_000
 )
 
 func (s *Settings) setDefaults() {
@@ -141,16 +146,16 @@
 	setDefault(&s.Bounds.BodyBytes, defaultBodyBytes)
 	setDefault(&s.Bounds.HeaderBytes, defaultHeaderBytes)
 	setDefault(&s.Bounds.Connections, defaultConnections)
-	setDefault(&s.Bounds.AnswerBytes, defaultAnswerBytes)
-	setDefault(&s.Bounds.AnswerMemory, defaultAnswerMemory)
-	setDefault(&s.Times.ProbeMillis, defaultProbe)
-	setDefault(&s.Times.AddressTTLMillis, defaultAddressTTL)
-	setDefault(&s.Times.RequestMillis, defaultRequest)
-	setDefault(&s.Times.AnswerLifeMillis, defaultAnswerLife)
-	setDefault(&s.Times.FoldMillis, defaultFold)
-	setDefault(&s.Times.VMListMillis, defaultVMList)
-	setDefault(&s.Times.LoadMillis, defaultLoad)
-	setDefault(&s.Times.LeaseMillis, defaultLease)
+	setDefault(&s.Bounds.ResponseBytes, defaultResponseBytes)
+	setDefault(&s.Bounds.ResponseMemoryBytes, defaultResponseMemoryBytes)
+	setDefault(&s.Times.ProbeIntervalMillis, defaultProbeIntervalMillis)
+	setDefault(&s.Times.AddressTTLMillis, defaultAddressTTLMillis)
+	setDefault(&s.Times.RequestTimeoutMillis, defaultRequestTimeoutMillis)
+	setDefault(&s.Times.ResponseTTLMillis, defaultResponseTTLMillis)
+	setDefault(&s.Times.FoldMillis, defaultFoldMillis)
+	setDefault(&s.Times.VMListIntervalMillis, defaultVMListIntervalMillis)
+	setDefault(&s.Times.LoadIntervalMillis, defaultLoadIntervalMillis)
+	setDefault(&s.Times.LeaseTTLMillis, defaultLeaseTTLMillis)
 }
 
 func setDefault[T comparable](field *T, value T) {
@@ -160,23 +165,24 @@
 	}
 }
 
-// Millis turns a setting in milliseconds into a duration.
+// Millis converts milliseconds to a duration.
 func Millis(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Load reads a settings file, applies the environment and checks the whole.
+// Load reads a settings file, applies overrides from environment variables and
+// validates the result.
 func Load(file string) (*Settings, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, errs.Wrap(Unreadable, "load", err, "settings file %s", file)
 	}
-	return Parse(file, data, environment())
+	return Parse(file, data, readEnvironment())
 }
 
-// environmentPrefix starts the name of every variable that overrides a
-// setting.
+// environmentPrefix starts the names of the environment variables that override
+// settings.
 const environmentPrefix = "VIOLETTALLY_"
 
-func environment() map[string]string {
+func readEnvironment() map[string]string {
 	variables := make(map[string]string)
 	for _, pair := range os.Environ() {
 		name, value, _ := strings.Cut(pair, "=")
@@ -187,95 +193,96 @@
 	return variables
 }
 
-// Parse reads settings from data with the given environment.
+// Parse is Load with the file's content and environment variables given. The
+// file name is used in errors only.
 func Parse(file string, data []byte, environment map[string]string) (*Settings, error) {
 	s := new(Settings)
 	var overrideErr error
-	faults := strictjson.Decode(file, data, s, func(fault strictjson.Report) {
+	faults := strictjson.Decode(file, data, s, func(report strictjson.Report) {
 		overrideErr = env.ParseWithOptions(s, env.Options{Prefix: environmentPrefix, Environment: environment})
 		s.setDefaults()
-		s.check(fault)
+		s.check(report)
 	})
 	if overrideErr != nil {
-		return nil, errs.Wrap(Invalid, "load", overrideErr, "environment")
+		return nil, errs.Wrap(Invalid, "load", overrideErr, "environment variables")
 	}
 	if len(faults) > 0 {
-		return nil, invalid(file, faults)
+		return nil, invalidError(file, faults)
 	}
 	return s, nil
 }
 
-func (s *Settings) check(fault strictjson.Report) {
+func (s *Settings) check(report strictjson.Report) {
 	if s.Name == "" {
-		fault("/name", "want the VM's name, here or in %sNAME", environmentPrefix)
+		report("/name", "want the VM's name, here or in %sNAME", environmentPrefix)
 	}
 	if s.DataHall == "" {
-		fault("/data_hall", "want the data hall's name, here or in %sDATA_HALL", environmentPrefix)
+		report("/data_hall", "want the data hall's name, here or in %sDATA_HALL", environmentPrefix)
 	}
-	checkDoor(fault, "/caller", s.Caller)
-	checkDoor(fault, "/operator", s.Operator)
-	checkDoor(fault, "/peer", s.Peer.Door)
-	s.checkPeerDoor(fault)
+	checkListener(report, "/caller", s.Caller)
+	checkListener(report, "/operator", s.Operator)
+	checkListener(report, "/peer", s.Peer.Listener)
+	s.checkPeerListener(report)
 	if len(s.Platform.KeyValue) == 0 {
-		fault("/platform/key_value", "want the URL of the key-value service")
+		report("/platform/key_value", "want the URL of the key-value service")
 	}
 	for _, u := range s.Platform.KeyValue {
-		checkURL(fault, "/platform/key_value", u)
+		checkURL(report, "/platform/key_value", u)
 	}
-	checkURL(fault, "/platform/vm_list", s.Platform.VMList)
+	checkURL(report, "/platform/vm_list", s.Platform.VMList)
 	if s.Platform.Rating != "" {
-		checkURL(fault, "/platform/rating", s.Platform.Rating)
+		checkURL(report, "/platform/rating", s.Platform.Rating)
 	}
 	if s.BootstrapKey != "" && !config.ValidDigest(s.BootstrapKey) {
-		fault("/bootstrap_key", "want a digest as printed by `violettally digest`")
+		report("/bootstrap_key", "want a digest as printed by `violettally digest`")
 	}
-	checkLevel(fault, s.LogLevel)
+	checkLogLevel(report, s.LogLevel)
 }
 
-// checkLevel reports a log level that there is not.
-func checkLevel(fault strictjson.Report, level string) {
+// checkLogLevel reports an unknown log level.
+func checkLogLevel(report strictjson.Report, level string) {
 	switch level {
 	case "debug", "info", "warn", "error":
 	default:
-		fault("/log_level", "want debug, info, warn or error, found %q", level)
+		report("/log_level", "want debug, info, warn or error, found %q", level)
 	}
 }
 
-func (s *Settings) checkPeerDoor(fault strictjson.Report) {
-	d := s.Peer
-	named := d.Certificate != "" && d.Key != "" && d.Authority != ""
-	some := d.Certificate != "" || d.Key != "" || d.Authority != ""
+func (s *Settings) checkPeerListener(report strictjson.Report) {
+	l := s.Peer
+	allSet := l.Certificate != "" && l.Key != "" && l.Authority != ""
+	anySet := l.Certificate != "" || l.Key != "" || l.Authority != ""
 	switch {
-	case some && !named:
-		fault("/peer", "mutual TLS needs certificate, key and authority together")
-	case !some && !isLoopback(d.Listen):
-		fault("/peer/listen", "without certificates peers may only meet on loopback, found %q", d.Listen)
+	case anySet && !allSet:
+		report("/peer", "mutual TLS needs certificate, key and authority together")
+	case !anySet && !isLoopbackAddress(l.Listen):
+		report("/peer/listen", "want a loopback address, since no certificates are set, found %q", l.Listen)
 	}
 }
 
-func checkDoor(fault strictjson.Report, path string, d Door) {
-	checkAddress(fault, path+"/listen", d.Listen)
-	if d.Advertise != "" {
-		checkAddress(fault, path+"/advertise", d.Advertise)
+func checkListener(report strictjson.Report, path string, l Listener) {
+	checkAddress(report, path+"/listen", l.Listen)
+	if l.Advertise != "" {
+		checkAddress(report, path+"/advertise", l.Advertise)
 	}
 }
 
-// checkAddress wants an IP number, since the VMs have no names to look up.
-func checkAddress(fault strictjson.Report, path, address string) {
+// checkAddress requires an IP address, since the VMs have no DNS names.
+func checkAddress(report strictjson.Report, path, address string) {
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil || port == "" {
-		fault(path, "want IP:PORT, found %q", address)
+		report(path, "want IP:PORT, found %q", address)
 	}
 }
 
-func checkURL(fault strictjson.Report, path, raw string) {
+func checkURL(report strictjson.Report, path, raw string) {
 	u, err := url.Parse(raw)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		fault(path, "want an http or https URL, found %q", raw)
+		report(path, "want an http or https URL, found %q", raw)
 	}
 }
 
-func isLoopback(address string) bool {
+func isLoopbackAddress(address string) bool {
 	host, _, _ := net.SplitHostPort(address)
 	ip := net.ParseIP(host)
 	return ip != nil && ip.IsLoopback()
