--- a/adapter/peer/client.go
+++ b/adapter/peer/client.go
@@ -208,7 +208,7 @@
 func (c conn) Invoke(ctx context.Context, call string, encoding drpc.Encoding, in, out drpc.Message) error {
 	c.metered.call.Store(&ctx)
 	err := c.Conn.Invoke(ctx, call, encoding, in, out)
-	if err != nil && progress.RanOut(ctx) {
+	if err != nil && progress.TimedOut(ctx) {
 		_ = c.Close()
 	}
 	return err
@@ -224,7 +224,7 @@
 func (m *metered) Read(p []byte) (int, error) {
 	n, err := m.Conn.Read(p)
 	if call := m.call.Load(); call != nil && n > 0 {
-		progress.Made(*call)
+		progress.Report(*call)
 	}
 	return n, err
 }
@@ -268,7 +268,7 @@
 	err := c.pool.Get(ctx, p, c.dial).Invoke(ctx, call, encoding, &in, &out)
 	c.calls(call, encoding.sent)
 	if err != nil {
-		if progress.RanOut(ctx) {
+		if progress.TimedOut(ctx) {
 			c.leave(p)
 		}
 		return out, errs.Wrap(Unreachable, call, err, "peer %s", address)
--- a/adapter/peer/silent_test.go
+++ b/adapter/peer/silent_test.go
@@ -53,7 +53,7 @@
 	}
 	calls.Wait()
 
-	p.SilenceOpen()
+	p.BlackholeOpen()
 	inTime := func(d time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), d)
 		defer cancel()
--- a/e2e/doors_test.go
+++ b/e2e/doors_test.go
@@ -163,7 +163,7 @@
 func TestLostAnswers(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, usual)
-	f.fault(f.plain[0], standin.Fault{LoseAnswers: true})
+	f.fault(f.plain[0], standin.Fault{DropResponses: true})
 	for _, n := range f.nodes {
 		r := f.proof(n, "lost-1")
 		must.Eq(t, "outcome_unknown", r.code, must.Sprint(r.body))
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -116,7 +116,7 @@
 	}},
 	{"platform loses answers", func(w *workload, _ *rand.Rand) {
 		w.note("platform loses answers after the write")
-		w.f.fault(w.f.kv, standin.Fault{LoseAnswers: true})
+		w.f.fault(w.f.kv, standin.Fault{DropResponses: true})
 		hold(2 * faultTime)
 		w.f.fault(w.f.kv, standin.Fault{})
 		w.note("platform answers")
--- a/e2e/history_test.go
+++ b/e2e/history_test.go
@@ -281,7 +281,7 @@
 		if !strings.Contains(e.body, `"echo":"`+e.prompt+`"`) {
 			t.Errorf("%s: the answer is another's: %s", e.id, e.body)
 		}
-	case e.text != standin.AnswerText(e.version, e.prompt, answerSize):
+	case e.text != standin.CompletionText(e.version, e.prompt, answerSize):
 		t.Errorf("%s: the answer is not whole or another's: %q by %s", e.id, e.text, e.version)
 	}
 }
--- a/e2e/promises_test.go
+++ b/e2e/promises_test.go
@@ -136,7 +136,7 @@
 	}
 	must.Eq(t, map[int]int{0: 1, 3: 2}, count)
 
-	f.fault(f.kv, standin.Fault{LoseAnswers: true})
+	f.fault(f.kv, standin.Fault{DropResponses: true})
 	code, out := f.operator(f.nodes[0], "apply", f.write(f.declaration(nil)), "--change", "change-1")
 	must.Eq(t, 4, code, must.Sprint(out))
 	f.fault(f.kv, standin.Fault{})
@@ -174,7 +174,7 @@
 		r = f.call(t.Context(), f.nodes[1], "GET", "/v1/requests/slow", "")
 		return r.whole()
 	})
-	must.Eq(t, standin.AnswerText("brief@v1", "slow digest", 16), textOf(r.body, false))
+	must.Eq(t, standin.CompletionText("brief@v1", "slow digest", 16), textOf(r.body, false))
 	f.waitFor("the bill", func() bool { return f.billed(f.nodes[1])["desk/brief@v1"].Requests == 1 })
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -37,7 +37,7 @@
 			for _, key := range tt.keys {
 				store.Put(key, document(key))
 			}
-			server := httptest.NewServer(store.Door().Handler())
+			server := httptest.NewServer(store.NewEndpoint().Handler())
 			t.Cleanup(server.Close)
 			g, err := gateway.New(&settings.Gateway{
 				Name: "n-1", Region: "home", DataHall: "hall-1",
--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -5,7 +5,7 @@
 //
 //	p, err := faultproxy.Listen("127.0.0.1:0", target)
 //	…
-//	p.Set(faultproxy.Silent)
+//	p.Set(faultproxy.Stall)
 //	p.Set(faultproxy.Pass)
 //	p.SilenceOpen()
 //	p.Close()
@@ -28,12 +28,12 @@
 	Delay
 	// Reset resets all connections, and each new one.
 	Reset
-	// Silent holds everything back, both ways, until the mode changes.
-	Silent
-	// NoRequests holds back what the connecting side sends.
-	NoRequests
-	// NoAnswers holds back what the target sends.
-	NoAnswers
+	// Stall holds everything back, both ways, until the mode changes.
+	Stall
+	// StallRequests holds back what the connecting side sends.
+	StallRequests
+	// StallResponses holds back what the target sends.
+	StallResponses
 )
 
 const (
@@ -87,10 +87,10 @@
 	}
 }
 
-// SilenceOpen swallows, from now on and in every mode but Reset, all that either
+// BlackholeOpen swallows, from now on and in every mode but Reset, all that either
 // side of the connections open now sends, their closing included. New
 // connections pass.
-func (p *Proxy) SilenceOpen() {
+func (p *Proxy) BlackholeOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for silent := range p.passing {
@@ -150,9 +150,9 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		p.copy(target, client, NoRequests, silent)
+		p.copy(target, client, StallRequests, silent)
 	}()
-	p.copy(client, target, NoAnswers, silent)
+	p.copy(client, target, StallResponses, silent)
 	// Once the target has nothing more to say, what the client sends is lost.
 	_ = client.Close()
 	<-done
@@ -249,7 +249,7 @@
 		case mode == Delay:
 			time.Sleep(delay)
 			return
-		case mode != Silent && mode != oneWay:
+		case mode != Stall && mode != oneWay:
 			return
 		}
 		<-changed
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -41,9 +41,9 @@
 	}{
 		{"pass", faultproxy.Pass, false},
 		{"delay", faultproxy.Delay, false},
-		{"silent", faultproxy.Silent, true},
-		{"no requests", faultproxy.NoRequests, true},
-		{"no answers", faultproxy.NoAnswers, true},
+		{"silent", faultproxy.Stall, true},
+		{"no requests", faultproxy.StallRequests, true},
+		{"no answers", faultproxy.StallResponses, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -121,7 +121,7 @@
 	}
 	open, lines := dial()
 	passes(open, lines)
-	p.SilenceOpen()
+	p.BlackholeOpen()
 	p.Set(faultproxy.Pass)
 	passes(dial())
 	_, err = io.WriteString(open, "two\n")
--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -8,12 +8,12 @@
 //
 // # Usage
 //
-//	ctx, cancel := progress.WithTimeout(ctx, progress.Bounds{First: first, Silence: silence, Whole: whole})
+//	ctx, cancel := progress.WithTimeout(ctx, progress.Timeouts{First: first, Silence: silence, Whole: whole})
 //	defer cancel()
 //	…
-//	progress.Made(ctx) // with each piece of the answer; see also Reader
+//	progress.Report(ctx) // with each piece of the answer; see also Reader
 //	…
-//	if err != nil && progress.RanOut(ctx) { … } // it took too long
+//	if err != nil && progress.TimedOut(ctx) { … } // it took too long
 package progress
 
 import (
@@ -24,14 +24,14 @@
 	"time"
 )
 
-// Bounds are how long a call may take.
-type Bounds struct {
-	// First is how long nothing may come at first.
-	First time.Duration
-	// Silence is how long nothing may come after a piece of the answer.
-	Silence time.Duration
-	// Whole is how long the call may take in all, however its answer comes.
-	Whole time.Duration
+// Timeouts are how long a call may take.
+type Timeouts struct {
+	// FirstByte is how long nothing may come at first.
+	FirstByte time.Duration
+	// Idle is how long nothing may come after a piece of the answer.
+	Idle time.Duration
+	// Total is how long the call may take in all, however its answer comes.
+	Total time.Duration
 }
 
 // clockKey finds the innermost clock of a context.
@@ -53,20 +53,20 @@
 // WithTimeout returns a context that ends as the bounds say; its cause is then
 // context.DeadlineExceeded. Progress inside it counts for the contexts around
 // it, too.
-func WithTimeout(parent context.Context, b Bounds) (context.Context, context.CancelFunc) {
+func WithTimeout(parent context.Context, b Timeouts) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	now := time.Now()
 	outer, _ := parent.Value(clockKey{}).(*clock)
-	c := &clock{outer: outer, silence: b.Silence, latest: now.Add(b.Whole), at: now.Add(min(b.First, b.Whole))}
-	c.timer = time.AfterFunc(min(b.First, b.Whole), func() { cancel(context.DeadlineExceeded) })
+	c := &clock{outer: outer, silence: b.Idle, latest: now.Add(b.Total), at: now.Add(min(b.FirstByte, b.Total))}
+	c.timer = time.AfterFunc(min(b.FirstByte, b.Total), func() { cancel(context.DeadlineExceeded) })
 	return context.WithValue(ctx, clockKey{}, c), func() {
 		c.timer.Stop()
 		cancel(context.Canceled)
 	}
 }
 
-// Made tells that a piece of the answer has come.
-func Made(ctx context.Context) {
+// Report tells that a piece of the answer has come.
+func Report(ctx context.Context) {
 	c, _ := ctx.Value(clockKey{}).(*clock)
 	now := time.Now()
 	for ; c != nil; c = c.outer {
@@ -74,14 +74,14 @@
 	}
 }
 
-// RanOut reports whether a context has ended because its call took too long, in all
+// TimedOut reports whether a context has ended because its call took too long, in all
 // or in silence.
-func RanOut(ctx context.Context) bool {
+func TimedOut(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
 
-// Begun reports whether some of the answer has come.
-func Begun(ctx context.Context) bool {
+// Started reports whether some of the answer has come.
+func Started(ctx context.Context) bool {
 	c, _ := ctx.Value(clockKey{}).(*clock)
 	if c == nil {
 		return false
@@ -118,7 +118,7 @@
 func (r reader) Read(p []byte) (int, error) {
 	n, err := r.r.Read(p)
 	if n > 0 {
-		Made(r.ctx)
+		Report(r.ctx)
 	}
 	return n, err
 }
--- a/internal/progress/progress_test.go
+++ b/internal/progress/progress_test.go
@@ -15,7 +15,7 @@
 
 // TestWithTimeout lists when pieces of an answer come, and when its call is ended.
 func TestWithTimeout(t *testing.T) {
-	bounds := progress.Bounds{First: 300 * time.Millisecond, Silence: 200 * time.Millisecond, Whole: time.Second}
+	bounds := progress.Timeouts{FirstByte: 300 * time.Millisecond, Idle: 200 * time.Millisecond, Total: time.Second}
 	tests := []struct {
 		name   string
 		pieces []time.Duration
@@ -36,11 +36,11 @@
 				ctx, cancel := progress.WithTimeout(t.Context(), bounds)
 				defer cancel()
 				for _, at := range tt.pieces {
-					time.AfterFunc(at, func() { progress.Made(ctx) })
+					time.AfterFunc(at, func() { progress.Report(ctx) })
 				}
-				must.False(t, progress.Begun(ctx))
+				must.False(t, progress.Started(ctx))
 				<-ctx.Done()
-				must.Eq(t, len(tt.pieces) > 0, progress.Begun(ctx))
+				must.Eq(t, len(tt.pieces) > 0, progress.Started(ctx))
 				must.Eq(t, tt.ends, time.Since(began))
 				must.ErrorIs(t, context.Cause(ctx), context.DeadlineExceeded)
 			})
@@ -52,9 +52,9 @@
 func TestReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		outer, endOuter := progress.WithTimeout(t.Context(), progress.Bounds{First: 100 * time.Millisecond, Silence: 95 * time.Millisecond, Whole: time.Second})
+		outer, endOuter := progress.WithTimeout(t.Context(), progress.Timeouts{FirstByte: 100 * time.Millisecond, Idle: 95 * time.Millisecond, Total: time.Second})
 		defer endOuter()
-		inner, endInner := progress.WithTimeout(outer, progress.Bounds{First: 100 * time.Millisecond, Silence: 50 * time.Millisecond, Whole: time.Second})
+		inner, endInner := progress.WithTimeout(outer, progress.Timeouts{FirstByte: 100 * time.Millisecond, Idle: 50 * time.Millisecond, Total: time.Second})
 		defer endInner()
 		r := iotest.OneByteReader(progress.Reader(inner, strings.NewReader("piece")))
 		for range 3 {
@@ -74,9 +74,9 @@
 // TestCancel: a context that was left says so, and no timer outlives it.
 func TestCancel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, cancel := progress.WithTimeout(t.Context(), progress.Bounds{First: time.Second, Silence: time.Second, Whole: time.Second})
+		ctx, cancel := progress.WithTimeout(t.Context(), progress.Timeouts{FirstByte: time.Second, Idle: time.Second, Total: time.Second})
 		cancel()
-		progress.Made(ctx)
+		progress.Report(ctx)
 		time.Sleep(2 * time.Second)
 		must.ErrorIs(t, context.Cause(ctx), context.Canceled)
 	})
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -25,16 +25,16 @@
 	Tokens int `json:"tokens"`
 	// Quality of the answers by model name, marked in their text.
 	Quality map[string]float64 `json:"quality"`
-	// FailShare of the requests answer 500.
-	FailShare float64 `json:"fail_share"`
-	// DieAfter breaks every answer off after so many tokens; 0 never.
-	DieAfter int `json:"die_after"`
-	// Leaving is told in load reports; new work is refused.
-	Leaving bool `json:"leaving"`
+	// ErrorRate of the requests answer 500.
+	ErrorRate float64 `json:"fail_share"`
+	// AbortAfter breaks every answer off after so many tokens; 0 never.
+	AbortAfter int `json:"die_after"`
+	// Draining is told in load reports; new work is refused.
+	Draining bool `json:"leaving"`
 	// LoadLagMillis is how old a load report is.
 	LoadLagMillis int `json:"load_lag_ms"`
-	// LieShare multiplies the load that is reported, if above zero.
-	LieShare float64 `json:"lie_share"`
+	// LoadScale multiplies the load that is reported, if above zero.
+	LoadScale float64 `json:"lie_share"`
 	// ChecksFencing refuses orders whose token is older than one seen.
 	ChecksFencing bool `json:"checks_fencing"`
 	// CachePrefixes is how many prompt prefixes the cache holds.
@@ -178,7 +178,7 @@
 	}
 	b := e.now()
 	switch {
-	case b.Leaving:
+	case b.Draining:
 		w.Header().Set("X-Not-Run", "true")
 		http.Error(w, `{"error":{"message":"leaving"}}`, http.StatusServiceUnavailable)
 		return
@@ -186,7 +186,7 @@
 		w.Header().Set("X-Not-Run", "true")
 		http.Error(w, `{"error":{"message":"model not loaded"}}`, http.StatusNotFound)
 		return
-	case rand.Float64() < b.FailShare:
+	case rand.Float64() < b.ErrorRate:
 		http.Error(w, `{"error":{"message":"engine fault"}}`, http.StatusInternalServerError)
 		return
 	}
@@ -275,10 +275,10 @@
 	}
 }
 
-// AnswerText returns the answer that an engine stand-in without marked quality
+// CompletionText returns the answer that an engine stand-in without marked quality
 // gives to a prompt of one message, so that a test can tell a whole answer and
 // whose it is.
-func AnswerText(model, prompt string, tokens int) string {
+func CompletionText(model, prompt string, tokens int) string {
 	in := completionJSON{Model: model, MaxTokens: tokens}
 	in.Messages = append(in.Messages, messageJSON{Role: "user", Content: prompt})
 	return strings.Join(answerWords(in, Behaviour{}), "")
@@ -383,7 +383,7 @@
 	for {
 		tokens, ended, changed := s.from(n)
 		for _, token := range tokens {
-			if b.DieAfter > 0 && n >= b.DieAfter {
+			if b.AbortAfter > 0 && n >= b.AbortAfter {
 				panic(http.ErrAbortHandler)
 			}
 			n++
@@ -459,7 +459,7 @@
 	}
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	b := e.now()
-	b.DieAfter = 0
+	b.AbortAfter = 0
 	e.deliver(w, r, s, completionJSON{Stream: true, Model: r.URL.Query().Get("model")}, b, after)
 }
 
@@ -492,12 +492,12 @@
 		}
 	}
 	scale := 1.0
-	if e.behaviour.LieShare > 0 {
-		scale = e.behaviour.LieShare
+	if e.behaviour.LoadScale > 0 {
+		scale = e.behaviour.LoadScale
 	}
 	writeJSON(w, map[string]any{
 		"running": int(float64(shown.running) * scale), "waiting": int(float64(shown.waiting) * scale),
-		"slots": e.behaviour.Slots, "leaving": e.behaviour.Leaving, "age_ms": now.Sub(shown.at).Milliseconds(),
+		"slots": e.behaviour.Slots, "leaving": e.behaviour.Draining, "age_ms": now.Sub(shown.at).Milliseconds(),
 		"models": e.behaviour.Loaded, "cache_hits": e.hits, "cache_misses": e.misses,
 	})
 }
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -26,8 +26,8 @@
 	Down bool `json:"down"`
 	// SlowMillis delays every answer.
 	SlowMillis int `json:"slow_ms"`
-	// LoseAnswers does the work and breaks the connection before the answer.
-	LoseAnswers bool `json:"lose_answers"`
+	// DropResponses does the work and breaks the connection before the answer.
+	DropResponses bool `json:"lose_answers"`
 }
 
 // faulty wraps a handler with the fault that is in force.
@@ -65,7 +65,7 @@
 		if fault.SlowMillis > 0 {
 			time.Sleep(time.Duration(fault.SlowMillis) * time.Millisecond)
 		}
-		if fault.LoseAnswers {
+		if fault.DropResponses {
 			next.ServeHTTP(discard{header: make(http.Header)}, r)
 			panic(http.ErrAbortHandler)
 		}
--- a/internal/standin/revision.go
+++ b/internal/standin/revision.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// KnownRevision returns the revision of the store up to which a gateway knows everything,
+// StoreRevision returns the revision of the store up to which a gateway knows everything,
 // as its metrics at a URL tell; zero if they don't.
-func KnownRevision(url string) int64 {
+func StoreRevision(url string) int64 {
 	response, err := http.Get(url)
 	if err != nil {
 		return 0
--- a/internal/standin/runner.go
+++ b/internal/standin/runner.go
@@ -9,67 +9,67 @@
 	"sync"
 )
 
-// Runner stands in for a backend server of the users' platform: a plain
+// Backend stands in for a backend server of the users' platform: a plain
 // service, or an engine that answers with a stream of events.
-type Runner struct {
+type Backend struct {
 	id   string
 	gone chan struct{}
 
 	mu    sync.Mutex
-	usual RunnerAnswer
+	usual BackendResponse
 	// other is the answer as long as turns last.
-	other RunnerAnswer
-	turns *Turns
-	seen  []RunnerRequest
+	other BackendResponse
+	turns *Quota
+	seen  []BackendRequest
 }
 
-// RunnerRequest is a request as a runner got it.
-type RunnerRequest struct {
+// BackendRequest is a request as a runner got it.
+type BackendRequest struct {
 	Method string
 	URI    string
 	Header http.Header
 	Body   string
 }
 
-// RunnerAnswer is how a runner answers one request.
-type RunnerAnswer struct {
+// BackendResponse is how a runner answers one request.
+type BackendResponse struct {
 	// Status of the answer; 200 if zero.
 	Status int
 	// Body of a plain answer.
 	Body string
 	// Events is the number of events of a stream; zero for a plain answer.
 	Events int
-	// CutAfter breaks the connection in the middle of the event after that
+	// AbortAfter breaks the connection in the middle of the event after that
 	// many whole ones; zero for never.
-	CutAfter int
+	AbortAfter int
 	// Declined marks the answer as "not run".
 	Declined bool
 	// Reset breaks the connection without an answer.
 	Reset bool
-	// OtherID answers under the ID of another request.
-	OtherID bool
+	// WrongAttemptID answers under the ID of another request.
+	WrongAttemptID bool
 	// Confidence is told with the answer; zero for none.
 	Confidence int
 	// Hold keeps the answer back until it is closed or the request is gone.
 	Hold chan struct{}
 }
 
-// NewRunner returns a runner that answers each request in the usual way.
-func NewRunner(id string, usual RunnerAnswer) *Runner {
-	return &Runner{id: id, usual: usual, gone: make(chan struct{}, 64)}
+// NewBackend returns a runner that answers each request in the usual way.
+func NewBackend(id string, usual BackendResponse) *Backend {
+	return &Backend{id: id, usual: usual, gone: make(chan struct{}, 64)}
 }
 
-// Turns is a number of answers that several runners share.
-type Turns struct {
+// Quota is a number of answers that several runners share.
+type Quota struct {
 	mu   sync.Mutex
 	left int
 }
 
-// NewTurns returns n turns.
-func NewTurns(n int) *Turns { return &Turns{left: n} }
+// NewQuota returns n turns.
+func NewQuota(n int) *Quota { return &Quota{left: n} }
 
 // take takes one turn, if one is left.
-func (t *Turns) take() bool {
+func (t *Quota) take() bool {
 	if t == nil {
 		return false
 	}
@@ -79,25 +79,25 @@
 	return t.left >= 0
 }
 
-// Take sets another answer for as long as the turns last; nil ends it.
-func (s *Runner) Take(turns *Turns, other RunnerAnswer) {
+// Override sets another answer for as long as the turns last; nil ends it.
+func (s *Backend) Override(turns *Quota, other BackendResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.turns, s.other = turns, other
 }
 
-// Seen returns the requests that the runner got.
-func (s *Runner) Seen() []RunnerRequest {
+// Requests returns the requests that the runner got.
+func (s *Backend) Requests() []BackendRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]RunnerRequest(nil), s.seen...)
+	return append([]BackendRequest(nil), s.seen...)
 }
 
-// Gone is sent to when a held request's connection has closed.
-func (s *Runner) Gone() <-chan struct{} { return s.gone }
+// Disconnects is sent to when a held request's connection has closed.
+func (s *Backend) Disconnects() <-chan struct{} { return s.gone }
 
 // ServeHTTP answers one request.
-func (s *Runner) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -107,11 +107,11 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	s.answer(w, r, s.note(RunnerRequest{Method: r.Method, URI: r.RequestURI, Header: r.Header.Clone(), Body: string(body)}))
+	s.answer(w, r, s.note(BackendRequest{Method: r.Method, URI: r.RequestURI, Header: r.Header.Clone(), Body: string(body)}))
 }
 
 // note keeps a request as seen and returns how to answer it.
-func (s *Runner) note(seen RunnerRequest) RunnerAnswer {
+func (s *Backend) note(seen BackendRequest) BackendResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.seen = append(s.seen, seen)
@@ -122,7 +122,7 @@
 }
 
 // answer gives one answer, or breaks off.
-func (s *Runner) answer(w http.ResponseWriter, r *http.Request, a RunnerAnswer) {
+func (s *Backend) answer(w http.ResponseWriter, r *http.Request, a BackendResponse) {
 	if a.Hold != nil {
 		select {
 		case <-a.Hold:
@@ -135,7 +135,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	id := r.Header.Get("X-Attempt-Id")
-	if a.OtherID {
+	if a.WrongAttemptID {
 		id = "another"
 	}
 	h := w.Header()
@@ -160,12 +160,12 @@
 
 // stream sends events, from the one after Last-Event-Id on. Their data name
 // the event and the model, not the runner, so that two runs can be compared.
-func (s *Runner) stream(w http.ResponseWriter, r *http.Request, a RunnerAnswer) {
+func (s *Backend) stream(w http.ResponseWriter, r *http.Request, a BackendResponse) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	for n := after + 1; n <= a.Events; n++ {
 		event := fmt.Sprintf("id: %d\ndata: %s/%d\n\n", n, r.Header.Get("X-Model"), n)
-		if a.CutAfter > 0 && n > a.CutAfter {
+		if a.AbortAfter > 0 && n > a.AbortAfter {
 			_, _ = io.WriteString(w, strings.TrimSpace(event)[:len(event)/2])
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -51,29 +51,29 @@
 	}
 }
 
-// StoreDoor is one way into a store, with faults of its own.
-type StoreDoor struct {
+// StoreEndpoint is one way into a store, with faults of its own.
+type StoreEndpoint struct {
 	faulty
 	store *Store
 	// busy answers everything with this status; zero for none.
 	busy int
 }
 
-// Door returns a new way into the store.
-func (s *Store) Door() *StoreDoor { return &StoreDoor{store: s} }
+// NewEndpoint returns a new way into the store.
+func (s *Store) NewEndpoint() *StoreEndpoint { return &StoreEndpoint{store: s} }
 
 // SetFault makes the door misbehave until the next call.
-func (d *StoreDoor) SetFault(f Fault) { d.set(f) }
+func (d *StoreEndpoint) SetFault(f Fault) { d.set(f) }
 
-// SetBusy makes the door answer with a status, such as 429; zero ends that.
-func (d *StoreDoor) SetBusy(status int) {
+// SetStatus makes the door answer with a status, such as 429; zero ends that.
+func (d *StoreEndpoint) SetStatus(status int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.busy = status
 }
 
 // Handler returns the HTTP handler of the door.
-func (d *StoreDoor) Handler() http.Handler {
+func (d *StoreEndpoint) Handler() http.Handler {
 	s := d.store
 	mux := http.NewServeMux()
 	for pattern, handle := range map[string]http.HandlerFunc{
@@ -135,8 +135,8 @@
 	return s.under(prefix)
 }
 
-// Forget drops the history, so that watches that lag are told that it is gone.
-func (s *Store) Forget() {
+// Compact drops the history, so that watches that lag are told that it is gone.
+func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.history, s.forgotten = nil, s.revision
--- a/mirror/follow.go
+++ b/mirror/follow.go
@@ -161,8 +161,8 @@
 
 // waiting returns the bounds of a call that may wait that long, and may be silent for
 // the slack beside it.
-func waiting(wait, slack time.Duration) progress.Bounds {
-	return progress.Bounds{First: wait + slack, Silence: slack, Whole: wait + fetchTime}
+func waiting(wait, slack time.Duration) progress.Timeouts {
+	return progress.Timeouts{FirstByte: wait + slack, Idle: slack, Total: wait + fetchTime}
 }
 
 // stallSlack is by how much a call may outlast its bounds before that is this
@@ -171,7 +171,7 @@
 
 // bounded makes a call and tells how long it took. An error of one that ran out of
 // time is a context's, or Stalled.
-func (m *Mirror) bounded(ctx context.Context, b progress.Bounds, call func(context.Context) (Batch, error)) (batch Batch, took time.Duration, err error) {
+func (m *Mirror) bounded(ctx context.Context, b progress.Timeouts, call func(context.Context) (Batch, error)) (batch Batch, took time.Duration, err error) {
 	ctx, cancel := progress.WithTimeout(ctx, b)
 	defer cancel()
 	begun := m.timers.Steady()
@@ -180,9 +180,9 @@
 	if err == nil {
 		return batch, took, nil
 	}
-	allowed := b.First
-	if progress.Begun(ctx) {
-		allowed = b.Whole
+	allowed := b.FirstByte
+	if progress.Started(ctx) {
+		allowed = b.Total
 	}
 	if took > allowed+stallSlack {
 		return batch, took, errs.Wrap(Stalled, "call", err, "the process did not run: %d ms in place of %d", took.Milliseconds(), allowed.Milliseconds())
@@ -241,7 +241,7 @@
 
 // readAll reads the whole, which also tells what was removed meanwhile.
 func (m *Mirror) readAll(ctx context.Context) error {
-	bounds := progress.Bounds{First: readTimeout, Silence: followSlack, Whole: readTimeout + fetchTime}
+	bounds := progress.Timeouts{FirstByte: readTimeout, Idle: followSlack, Total: readTimeout + fetchTime}
 	batch, took, err := m.bounded(ctx, bounds, func(ctx context.Context) (Batch, error) {
 		if m.Revision() == 0 {
 			// A node that starts during an outage need not wait for the store to time
@@ -265,7 +265,7 @@
 // a node starts with.
 func (m *Mirror) askPeersLater(read context.Context) {
 	m.pause(read, firstPatience)
-	if m.Revision() == 0 && read.Err() == nil && !progress.Begun(read) {
+	if m.Revision() == 0 && read.Err() == nil && !progress.Started(read) {
 		m.askPeers(read)
 	}
 }
@@ -273,7 +273,7 @@
 // askPeers takes what the first of the peers know.
 func (m *Mirror) askPeers(ctx context.Context) {
 	addresses := m.peers.Addresses()
-	ctx, cancel := progress.WithTimeout(ctx, progress.Bounds{First: peerTimeout, Silence: peerTimeout, Whole: fetchTime})
+	ctx, cancel := progress.WithTimeout(ctx, progress.Timeouts{FirstByte: peerTimeout, Idle: peerTimeout, Total: fetchTime})
 	defer cancel()
 	var calls sync.WaitGroup
 	for _, address := range addresses[:min(peersAsked, len(addresses))] {
--- a/mirror/harness_test.go
+++ b/mirror/harness_test.go
@@ -116,7 +116,7 @@
 		s.mu.Lock()
 		return mirror.Batch{}, ctx.Err()
 	}
-	for end := time.Now().Add(s.comes); time.Now().Before(end); progress.Made(ctx) {
+	for end := time.Now().Add(s.comes); time.Now().Before(end); progress.Report(ctx) {
 		s.mu.Unlock()
 		time.Sleep(pieceTime)
 		s.mu.Lock()
