--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -1,5 +1,5 @@
-// Package faultproxy is a TCP proxy on loopback that harms the connections
-// which pass it. Tests put it between real processes.
+// Package faultproxy is a TCP proxy that injects network faults: delays, resets,
+// stalls and black holes. Tests put it between real processes on loopback.
 //
 // # Usage
 //
@@ -17,65 +17,64 @@
 	"time"
 )
 
-// Mode is what happens to connections.
+// Mode is the fault that a proxy injects.
 type Mode int
 
 // The modes.
 const (
-	// Pass harms nothing.
+	// Pass forwards everything unchanged.
 	Pass Mode = iota
-	// Delay holds each piece back for a while.
+	// Delay delays each chunk of bytes by a fixed time.
 	Delay
-	// Reset resets all connections, and each new one.
+	// Reset resets all open connections and each new one.
 	Reset
-	// Stall holds everything back, both ways, until the mode changes.
+	// Stall holds back the bytes of both directions until the mode changes.
 	Stall
-	// StallRequests holds back what the connecting side sends.
+	// StallRequests holds back only what the client sends.
 	StallRequests
-	// StallResponses holds back what the target sends.
+	// StallResponses holds back only what the target sends.
 	StallResponses
 )
 
 const (
-	// delay is how long Delay holds a piece back.
-	delay = 60 * time.Millisecond
-	// dialTime bounds the connection to the target.
-	dialTime = time.Second
-	// pieceSize bounds one piece in bytes.
-	pieceSize = 16 << 10
+	// delay is how long Delay holds back each chunk.
+	delay       = 60 * time.Millisecond
+	dialTimeout = time.Second
+	// bufferSize is the largest chunk that is forwarded at once, in bytes.
+	bufferSize = 16 << 10
 )
 
-// Proxy passes connections on to one target. It is safe for concurrent use.
+// Proxy forwards connections to one target. It is safe for concurrent use.
 type Proxy struct {
 	listener net.Listener
 	target   string
 
 	mu   sync.Mutex
 	mode Mode
-	// changed is closed, and made anew, when the mode changes.
+	// changed is closed and replaced when the mode changes or the proxy is closed.
 	changed chan struct{}
 	closed  bool
 	open    map[*net.TCPConn]struct{}
-	// passing holds for each connection that is passed on what silences it for
-	// good when it is closed.
-	passing map[chan struct{}]struct{}
+	// forwarding holds one channel per forwarded connection that is not black-holed;
+	// closing the channel black-holes the connection for good.
+	forwarding map[chan struct{}]struct{}
 }
 
-// Listen opens a proxy at an address.
+// Listen starts a proxy that listens on address and forwards to target.
 func Listen(address, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	p := &Proxy{listener: listener, target: target, changed: make(chan struct{}), open: make(map[*net.TCPConn]struct{}), passing: make(map[chan struct{}]struct{})}
+	p := &Proxy{listener: listener, target: target, changed: make(chan struct{}), open: make(map[*net.TCPConn]struct{}), forwarding: make(map[chan struct{}]struct{})}
 	go p.accept()
 	return p, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address that the proxy listens on.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the mode, for open connections too.
+// Set changes the mode for open and new connections.
 func (p *Proxy) Set(mode Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,19 +86,19 @@
 	}
 }
 
-// BlackholeOpen swallows, from now on and in every mode but Reset, all that either
-// side of the connections open now sends, their closing included. New
-// connections pass.
+// BlackholeOpen discards, from now on, everything that either side of the
+// currently open connections sends, including the close. Only Reset and Close
+// end such a connection. New connections are not affected.
 func (p *Proxy) BlackholeOpen() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for silent := range p.passing {
-		close(silent)
+	for blackholed := range p.forwarding {
+		close(blackholed)
 	}
-	clear(p.passing)
+	clear(p.forwarding)
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
@@ -125,41 +124,42 @@
 		if err != nil {
 			return
 		}
-		go p.pass(c.(*net.TCPConn))
+		go p.forward(c.(*net.TCPConn))
 	}
 }
 
-// pass joins one connection to the target.
-func (p *Proxy) pass(client *net.TCPConn) {
-	if !p.take(client) {
+// forward connects a client to the target and copies in both directions.
+func (p *Proxy) forward(client *net.TCPConn) {
+	if !p.track(client) {
 		return
 	}
-	defer p.drop(client)
-	silent := p.begin()
-	defer p.end(silent)
-	c, err := net.DialTimeout("tcp", p.target, dialTime)
+	defer p.untrack(client)
+	blackholed := p.trackForwarding()
+	defer p.untrackForwarding(blackholed)
+	c, err := net.DialTimeout("tcp", p.target, dialTimeout)
 	if err != nil {
 		_ = client.SetLinger(0)
 		return
 	}
 	target := c.(*net.TCPConn)
-	if !p.take(target) {
+	if !p.track(target) {
 		return
 	}
-	defer p.drop(target)
+	defer p.untrack(target)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		p.copy(target, client, StallRequests, silent)
+		p.copy(target, client, StallRequests, blackholed)
 	}()
-	p.copy(client, target, StallResponses, silent)
-	// Once the target has nothing more to say, what the client sends is lost.
+	p.copy(client, target, StallResponses, blackholed)
+	// Once the target has closed its side, further bytes from the client are lost.
 	_ = client.Close()
 	<-done
 }
 
-// take adds a connection, or resets it.
-func (p *Proxy) take(c *net.TCPConn) bool {
+// track registers a connection. It resets the connection and returns false if the
+// proxy is closed or in mode Reset.
+func (p *Proxy) track(c *net.TCPConn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.mode == Reset {
@@ -171,49 +171,49 @@
 	return true
 }
 
-func (p *Proxy) drop(c *net.TCPConn) {
+func (p *Proxy) untrack(c *net.TCPConn) {
 	p.mu.Lock()
 	delete(p.open, c)
 	p.mu.Unlock()
 	_ = c.Close()
 }
 
-// begin counts a connection among those that SilenceOpen silences.
-func (p *Proxy) begin() (silent chan struct{}) {
+// trackForwarding registers a connection for BlackholeOpen and returns its channel.
+func (p *Proxy) trackForwarding() (blackholed chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	silent = make(chan struct{})
-	p.passing[silent] = struct{}{}
-	return silent
+	blackholed = make(chan struct{})
+	p.forwarding[blackholed] = struct{}{}
+	return blackholed
 }
 
-func (p *Proxy) end(silent chan struct{}) {
+func (p *Proxy) untrackForwarding(blackholed chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.passing, silent)
+	delete(p.forwarding, blackholed)
 }
 
-// copy passes bytes on one way; oneWay is the mode that holds back just these,
-// and a closed silent swallows them.
-func (p *Proxy) copy(to, from *net.TCPConn, oneWay Mode, silent <-chan struct{}) {
-	piece := make([]byte, pieceSize)
+// copy forwards the bytes of one direction. stallMode is the mode that stalls this
+// direction only. Once blackholed is closed, bytes and the close are discarded.
+func (p *Proxy) copy(to, from *net.TCPConn, stallMode Mode, blackholed <-chan struct{}) {
+	buffer := make([]byte, bufferSize)
 	for {
-		n, err := from.Read(piece)
+		n, err := from.Read(buffer)
 		if n == 0 && err == nil {
 			continue
 		}
-		p.hold(oneWay) // a close is as silent as bytes
+		p.waitWhileStalled(stallMode) // a close is delayed or stalled like data
 		select {
-		case <-silent:
+		case <-blackholed:
 			if err != nil {
-				p.untilClosed()
+				p.waitClosed()
 				return
 			}
 			continue
 		default:
 		}
 		if n > 0 {
-			if _, err := to.Write(piece[:n]); err != nil {
+			if _, err := to.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
@@ -224,8 +224,8 @@
 	}
 }
 
-// untilClosed returns once the proxy is closed.
-func (p *Proxy) untilClosed() {
+// waitClosed returns once the proxy is closed.
+func (p *Proxy) waitClosed() {
 	for {
 		p.mu.Lock()
 		changed, closed := p.changed, p.closed
@@ -237,8 +237,8 @@
 	}
 }
 
-// hold returns once bytes may pass.
-func (p *Proxy) hold(oneWay Mode) {
+// waitWhileStalled returns once this direction may forward; mode Delay adds its delay.
+func (p *Proxy) waitWhileStalled(stallMode Mode) {
 	for {
 		p.mu.Lock()
 		mode, changed, closed := p.mode, p.changed, p.closed
@@ -249,7 +249,7 @@
 		case mode == Delay:
 			time.Sleep(delay)
 			return
-		case mode != Stall && mode != oneWay:
+		case mode != Stall && mode != stallMode:
 			return
 		}
 		<-changed
--- a/internal/faultproxy/faultproxy_test.go
+++ b/internal/faultproxy/faultproxy_test.go
@@ -14,8 +14,8 @@
 	"github.com/violettally/violettally/internal/faultproxy"
 )
 
-// echo answers each line with itself.
-func echo(t *testing.T) string {
+// echoServer starts a TCP server that echoes all bytes and returns its address.
+func echoServer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { l.Close() })
@@ -31,23 +31,23 @@
 	return l.Addr().String()
 }
 
-// TestModes: what each mode does to an open connection, and that it passes
-// again afterwards.
+// TestModes checks the effect of each mode on an open connection, and that data
+// is forwarded again once the mode is back to Pass.
 func TestModes(t *testing.T) {
 	tests := []struct {
-		name string
-		mode faultproxy.Mode
-		held bool
+		name    string
+		mode    faultproxy.Mode
+		stalled bool
 	}{
 		{"pass", faultproxy.Pass, false},
 		{"delay", faultproxy.Delay, false},
-		{"silent", faultproxy.Stall, true},
-		{"no requests", faultproxy.StallRequests, true},
-		{"no answers", faultproxy.StallResponses, true},
+		{"stall", faultproxy.Stall, true},
+		{"stall requests", faultproxy.StallRequests, true},
+		{"stall responses", faultproxy.StallResponses, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			p, err := faultproxy.Listen("127.0.0.1:0", echo(t))
+			p, err := faultproxy.Listen("127.0.0.1:0", echoServer(t))
 			must.NoError(t, err)
 			t.Cleanup(p.Close)
 			c, err := net.Dial("tcp", p.Address())
@@ -57,7 +57,7 @@
 			p.Set(tt.mode)
 			_, err = io.WriteString(c, "one\n")
 			must.NoError(t, err)
-			if tt.held {
+			if tt.stalled {
 				must.NoError(t, c.SetReadDeadline(time.Now().Add(50*time.Millisecond)))
 				_, err = lines.ReadString('\n')
 				must.ErrorIs(t, err, os.ErrDeadlineExceeded)
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestReset resets the open connection and each new one.
+// TestReset checks that Reset resets an open connection and each new one.
 func TestReset(t *testing.T) {
-	p, err := faultproxy.Listen("127.0.0.1:0", echo(t))
+	p, err := faultproxy.Listen("127.0.0.1:0", echoServer(t))
 	must.NoError(t, err)
 	t.Cleanup(p.Close)
 	for _, open := range []bool{true, false} {
@@ -82,7 +82,7 @@
 		}
 		c, err := net.Dial("tcp", p.Address())
 		if !open && err != nil {
-			// The reset may come before the dialer has looked.
+			// The reset may arrive before Dial returns.
 			must.ErrorIs(t, err, syscall.ECONNRESET)
 			continue
 		}
@@ -100,10 +100,10 @@
 	}
 }
 
-// TestSilenceOpen: the open connection is silent for good, its closing too, and
-// a new one passes.
-func TestSilenceOpen(t *testing.T) {
-	p, err := faultproxy.Listen("127.0.0.1:0", echo(t))
+// TestBlackholeOpen checks that data and the close of an open connection are
+// discarded for good, while a new connection is forwarded.
+func TestBlackholeOpen(t *testing.T) {
+	p, err := faultproxy.Listen("127.0.0.1:0", echoServer(t))
 	must.NoError(t, err)
 	t.Cleanup(p.Close)
 	dial := func() (net.Conn, *bufio.Reader) {
@@ -112,7 +112,7 @@
 		t.Cleanup(func() { c.Close() })
 		return c, bufio.NewReader(c)
 	}
-	passes := func(c net.Conn, lines *bufio.Reader) {
+	mustEcho := func(c net.Conn, lines *bufio.Reader) {
 		_, err := io.WriteString(c, "one\n")
 		must.NoError(t, err)
 		line, err := lines.ReadString('\n')
@@ -120,10 +120,10 @@
 		must.Eq(t, "one\n", line)
 	}
 	open, lines := dial()
-	passes(open, lines)
+	mustEcho(open, lines)
 	p.BlackholeOpen()
 	p.Set(faultproxy.Pass)
-	passes(dial())
+	mustEcho(dial())
 	_, err = io.WriteString(open, "two\n")
 	must.NoError(t, err)
 	must.NoError(t, open.(*net.TCPConn).CloseWrite())
