--- a/internal/progress/progress.go
+++ b/internal/progress/progress.go
@@ -1,19 +1,18 @@
-// Package progress bounds how long a call may be silent, in place of how long it
-// may take.
+// Package progress provides idle timeouts for calls: a call times out when no part
+// of its response has arrived for some time, not after a fixed duration.
 //
-// A large answer on a busy link comes for longer than a small one, and is lost
-// if it is given up half-way: it then has to be sent whole again, on the same
-// link. So a call here ends when nothing of its answer has come for some time,
-// however much is still to come, with a bound on the whole.
+// With a fixed timeout, a large response on a busy link is given up half-way and
+// has to be sent again from the start, on the same link. An idle timeout lets it
+// finish as long as data keeps arriving. A total timeout still bounds the call.
 //
 // # Usage
 //
-//	ctx, cancel := progress.WithTimeout(ctx, progress.Timeouts{First: first, Silence: silence, Whole: whole})
+//	ctx, cancel := progress.WithTimeout(ctx, progress.Timeouts{FirstByte: firstByte, Idle: idle, Total: total})
 //	defer cancel()
 //	…
-//	progress.Report(ctx) // with each piece of the answer; see also Reader
+//	progress.Report(ctx) // for each part of the response; see also Reader
 //	…
-//	if err != nil && progress.TimedOut(ctx) { … } // it took too long
+//	if err != nil && progress.TimedOut(ctx) { … } // the call timed out
 package progress
 
 import (
@@ -24,90 +23,92 @@
 	"time"
 )
 
-// Timeouts are how long a call may take.
+// Timeouts limit the duration of a call.
 type Timeouts struct {
-	// FirstByte is how long nothing may come at first.
+	// FirstByte limits the time from the start to the first part of the response. A
+	// first part that arrives early does not shorten it.
 	FirstByte time.Duration
-	// Idle is how long nothing may come after a piece of the answer.
+	// Idle limits the time after each part of the response in which no other arrives.
 	Idle time.Duration
-	// Total is how long the call may take in all, however its answer comes.
+	// Total limits the whole call, however steadily its response arrives.
 	Total time.Duration
 }
 
-// clockKey finds the innermost clock of a context.
-type clockKey struct{}
+// deadlineKey is the context key of the innermost deadline.
+type deadlineKey struct{}
 
-// clock ends one context.
-type clock struct {
-	outer   *clock
-	silence time.Duration
-	latest  time.Time
+// deadline cancels one context when its current end time is reached.
+type deadline struct {
+	outer  *deadline
+	idle   time.Duration
+	latest time.Time
 
 	mu    sync.Mutex
 	timer *time.Timer
 	at    time.Time
-	// begun says that some of the answer has come.
-	begun bool
+	// started is whether a part of the response has arrived.
+	started bool
 }
 
-// WithTimeout returns a context that ends as the bounds say; its cause is then
-// context.DeadlineExceeded. Progress inside it counts for the contexts around
-// it, too.
-func WithTimeout(parent context.Context, b Timeouts) (context.Context, context.CancelFunc) {
+// WithTimeout returns a context that is cancelled with the cause
+// context.DeadlineExceeded when a timeout expires. Progress reported on it also
+// extends the deadlines of enclosing contexts made by WithTimeout.
+func WithTimeout(parent context.Context, t Timeouts) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancelCause(parent)
 	now := time.Now()
-	outer, _ := parent.Value(clockKey{}).(*clock)
-	c := &clock{outer: outer, silence: b.Idle, latest: now.Add(b.Total), at: now.Add(min(b.FirstByte, b.Total))}
-	c.timer = time.AfterFunc(min(b.FirstByte, b.Total), func() { cancel(context.DeadlineExceeded) })
-	return context.WithValue(ctx, clockKey{}, c), func() {
-		c.timer.Stop()
+	outer, _ := parent.Value(deadlineKey{}).(*deadline)
+	d := &deadline{outer: outer, idle: t.Idle, latest: now.Add(t.Total), at: now.Add(min(t.FirstByte, t.Total))}
+	d.timer = time.AfterFunc(min(t.FirstByte, t.Total), func() { cancel(context.DeadlineExceeded) })
+	return context.WithValue(ctx, deadlineKey{}, d), func() {
+		d.timer.Stop()
 		cancel(context.Canceled)
 	}
 }
 
-// Report tells that a piece of the answer has come.
+// Report records that a part of the response has arrived. It extends the deadlines
+// of ctx and its enclosing contexts.
 func Report(ctx context.Context) {
-	c, _ := ctx.Value(clockKey{}).(*clock)
+	d, _ := ctx.Value(deadlineKey{}).(*deadline)
 	now := time.Now()
-	for ; c != nil; c = c.outer {
-		c.made(now)
+	for ; d != nil; d = d.outer {
+		d.extend(now)
 	}
 }
 
-// TimedOut reports whether a context has ended because its call took too long, in all
-// or in silence.
+// TimedOut reports whether ctx was cancelled because one of its timeouts expired.
 func TimedOut(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
 
-// Started reports whether some of the answer has come.
+// Started reports whether a part of the response has arrived.
 func Started(ctx context.Context) bool {
-	c, _ := ctx.Value(clockKey{}).(*clock)
-	if c == nil {
+	d, _ := ctx.Value(deadlineKey{}).(*deadline)
+	if d == nil {
 		return false
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.begun
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.started
 }
 
-// made puts the end off, and never nearer.
-func (c *clock) made(now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.begun = true
-	at := now.Add(c.silence)
-	if at.After(c.latest) {
-		at = c.latest
+// extend moves the end time to one idle timeout from now, but never earlier than it
+// is and never beyond the total timeout.
+func (d *deadline) extend(now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.started = true
+	at := now.Add(d.idle)
+	if at.After(d.latest) {
+		at = d.latest
 	}
-	// A timer that has fired stays so.
-	if at.After(c.at) && c.timer.Stop() {
-		c.at = at
-		c.timer.Reset(at.Sub(now))
+	// A timer that has fired is not started again: the context is cancelled.
+	if at.After(d.at) && d.timer.Stop() {
+		d.at = at
+		d.timer.Reset(at.Sub(now))
 	}
 }
 
-// Reader returns r with each piece that is read told to the context.
+// Reader returns a reader that calls [Report] on ctx for each read that returns data.
 func Reader(ctx context.Context, r io.Reader) io.Reader { return reader{ctx, r} }
 
 type reader struct {
