--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -1,6 +1,6 @@
-// Package errs gives every package of the project the same shape of error:
-// one errorx namespace per package, one errorx type per kind of failure, and
-// the operation that failed as a printable property.
+// Package errs gives the errors of all packages the same structure: one errorx
+// namespace per package, one errorx type per kind of failure, and the operation
+// that failed as a printable property.
 //
 // # Usage
 //
@@ -24,9 +24,9 @@
 
 var opProperty = errorx.RegisterPrintableProperty("op")
 
-// Namespace returns the namespace of a package's errors. They carry no stack
-// trace: the operation says where they come from, and refusals are made by the
-// thousand when the system is overloaded.
+// Namespace returns the errorx namespace for a package's errors. They carry no
+// stack trace: the operation already says where an error comes from, and an
+// overloaded system creates thousands of refusals.
 func Namespace(name string) errorx.Namespace {
 	return errorx.NewNamespace(name).ApplyModifiers(errorx.TypeModifierOmitStackTrace)
 }
@@ -42,15 +42,15 @@
 	return kind.Wrap(err, format, args...).WithProperty(opProperty, op)
 }
 
-// Op returns the operation that an error made by this package names, or "".
+// Op returns the operation named by an error from [New] or [Wrap], or "".
 func Op(err error) string {
 	op, _ := errorx.ExtractProperty(err, opProperty)
 	name, _ := op.(string)
 	return name
 }
 
-// Kind returns the name of the kind of an error that is made by this package, as it
-// stands in logs and metrics, or "".
+// Kind returns the errorx type name of an error, without its namespace, as logs
+// and metrics show it. It returns "" if err is not an errorx error.
 func Kind(err error) string {
 	typed := errorx.Cast(err)
 	if typed == nil {
@@ -60,8 +60,8 @@
 	return name[strings.LastIndexByte(name, '.')+1:]
 }
 
-// Is reports whether target is err or one of its causes. The standard
-// errors.Is does not see the causes of errorx errors.
+// Is reports whether target is err or one of its causes. Unlike errors.Is, it
+// also follows the causes of errorx errors.
 func Is(err, target error) bool {
 	for err != nil {
 		if errors.Is(err, target) {
--- a/internal/jsonlines/jsonlines.go
+++ b/internal/jsonlines/jsonlines.go
@@ -1,9 +1,9 @@
-// Package jsonlines reads logs of JSON lines, as the programs write them and as
-// journals and collectors hand them on.
+// Package jsonlines reads logs in the JSON Lines format, also if a journal or log
+// collector has put a prefix before each line.
 //
 // # Usage
 //
-//	broken, err := jsonlines.Read("gateway.log", log, func(object []byte) bool {
+//	malformed, err := jsonlines.Read("gateway.log", log, func(object []byte) bool {
 //		return json.Unmarshal(object, &entry) == nil
 //	})
 package jsonlines
@@ -20,38 +20,39 @@
 var (
 	namespace = errs.Namespace("jsonlines")
 
-	// Unreadable says that a log could not be read to its end.
+	// Unreadable is the error for a log that could not be read to its end.
 	Unreadable = namespace.NewType("unreadable")
 )
 
-// maxLine bounds a line in bytes; a decision takes a few thousand.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line; the log entry of a decision takes a few thousand bytes.
+const maxLineBytes = 1 << 20
 
-// Read calls take with each line from its first brace on: what stands before it is of
-// a journal or collector. Lines without a brace are passed over. It returns how many
-// lines take refused, or were too long. The name is for errors.
-func Read(name string, log io.Reader, take func(object []byte) bool) (broken int, err error) {
-	lines := bufio.NewReaderSize(log, maxLine)
+// Read calls handle with each line, from its first brace on; anything before it is a
+// prefix from a journal or collector. Lines without a brace are skipped. Read returns
+// the number of malformed lines: those for which handle returned false and those
+// that are too long. The name is used in errors.
+func Read(name string, log io.Reader, handle func(object []byte) bool) (malformed int, err error) {
+	lines := bufio.NewReaderSize(log, maxLineBytes)
 	for n := 1; ; n++ {
 		line, err := lines.ReadSlice('\n')
 		if errors.Is(err, bufio.ErrBufferFull) {
-			broken++
+			malformed++
 			err = skipLine(lines)
 		} else if err == nil || errors.Is(err, io.EOF) {
-			if brace := bytes.IndexByte(line, '{'); brace >= 0 && !take(line[brace:]) {
-				broken++
+			if brace := bytes.IndexByte(line, '{'); brace >= 0 && !handle(line[brace:]) {
+				malformed++
 			}
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			return broken, nil
+			return malformed, nil
 		case err != nil:
-			return broken, errs.Wrap(Unreadable, "read", err, "%s, line %d", name, n)
+			return malformed, errs.Wrap(Unreadable, "read", err, "%s, line %d", name, n)
 		}
 	}
 }
 
-// skipLine reads to the end of a line that is too long.
+// skipLine discards the rest of a line that is too long.
 func skipLine(lines *bufio.Reader) error {
 	for {
 		if _, err := lines.ReadSlice('\n'); !errors.Is(err, bufio.ErrBufferFull) {
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,7 @@
 // Package rendezvous scores pairs of names for rendezvous hashing (Thaler and
-// Ravishankar, 1998): everybody who knows the names agrees on the scores, and
-// when a name goes, only what it had scored highest for moves.
+// Ravishankar, 1998), also called highest random weight hashing. All nodes compute
+// the same scores, and when a node is removed, only the keys for which it had the
+// highest score move.
 //
 // # Usage
 //
@@ -17,19 +18,19 @@
 // Hash returns the hash of a name.
 func Hash(name string) uint64 { return xxhash.Sum64String(name) }
 
-// Position places a hash in [0, 1), evenly, for choices by share or weight.
+// Position maps a hash uniformly to [0, 1), for choices by percentage or weight.
 func Position(hash uint64) float64 {
 	// A float64 holds 53 bits exactly.
 	return float64(hash>>11) / (1 << 53)
 }
 
-// odd is the fractional part of the golden ratio, as an odd number.
-const odd = 0x9e3779b97f4a7c15
+// goldenRatio is the fractional part of the golden ratio times 2^64, rounded down; it is odd.
+const goldenRatio = 0x9e3779b97f4a7c15
 
-// Score returns the score of a pair of hashes, folding 128-bit products. It
-// costs two multiplications, since a key is scored against every node.
+// Score returns the score of a pair of hashes, by folding 128-bit products. It takes
+// only two multiplications because a key is scored against every node.
 func Score(a, b uint64) uint64 {
-	hi, lo := bits.Mul64(a^b^odd, bits.RotateLeft64(a, 32)|1)
-	hi2, lo2 := bits.Mul64(hi^lo^b, odd)
+	hi, lo := bits.Mul64(a^b^goldenRatio, bits.RotateLeft64(a, 32)|1)
+	hi2, lo2 := bits.Mul64(hi^lo^b, goldenRatio)
 	return hi2 ^ lo2
 }
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,6 +1,6 @@
-// Package stall tells when this process did not run: it was frozen, or waited for a
-// processor. What a process logs meanwhile as "did not answer" has its cause there
-// and not in the network.
+// Package stall detects periods in which this process did not run, because it was
+// suspended or got no CPU time. Timeouts that the process logs around such a
+// period are caused by the stall and not by the network.
 //
 // # Usage
 //
@@ -16,20 +16,19 @@
 )
 
 const (
-	// tick is how often a process looks whether it gets the processor.
-	tick = 50 * time.Millisecond
-	// least is the delay that is told: a claim replica that is as late does not
-	// answer in its time.
-	least = 300 * time.Millisecond
+	checkInterval = 50 * time.Millisecond
+	// minReported is the delay above which a stall is reported: a claim replica that
+	// stalls for so long misses its response deadline.
+	minReported = 300 * time.Millisecond
 )
 
-// Log writes a log line of a stall.
+// Log logs a stall as a warning. It is a report function for [Watch].
 func Log(late time.Duration) { slog.Warn("process did not run", "late_ms", late.Milliseconds()) }
 
-// Watch calls tell when this process did not run for long, with how long, until the
-// context ends.
-func Watch(ctx context.Context, timers *timer.Service, tell func(late time.Duration)) {
-	ticks := timers.Subscribe(tick)
+// Watch calls report with the length of each stall longer than minReported, until
+// the context ends.
+func Watch(ctx context.Context, timers *timer.Service, report func(late time.Duration)) {
+	ticks := timers.Subscribe(checkInterval)
 	defer ticks.Stop()
 	last := timers.Steady()
 	for {
@@ -39,8 +38,8 @@
 		case <-ticks.C():
 		}
 		now := timers.Steady()
-		if late := now.Sub(last) - tick; late > least {
-			tell(late)
+		if late := now.Sub(last) - checkInterval; late > minReported {
+			report(late)
 		}
 		last = now
 	}
--- a/internal/strictjson/strictjson.go
+++ b/internal/strictjson/strictjson.go
@@ -1,10 +1,10 @@
-// Package strictjson decodes the JSON files that people write, and reports all
-// their faults at once, each with line, column and JSON pointer (RFC 6901).
+// Package strictjson decodes hand-written JSON files and reports all their faults
+// at once, each with line, column and JSON pointer (RFC 6901).
 //
-// encoding/json stops at the first wrong type and names no position for an
-// unknown field. Here the file is parsed to a syntax tree with offsets, the
-// tree is compared with the Go type it must decode into, and only a tree
-// without faults is decoded. Comments and trailing commas are allowed.
+// encoding/json reports only one wrong type and gives no position for an unknown
+// field. This package parses the file into a syntax tree with offsets, checks
+// the tree against the Go type it decodes into, and decodes only a tree without
+// faults. Comments and trailing commas are allowed.
 //
 // # Usage
 //
@@ -27,8 +27,9 @@
 	"github.com/tailscale/hujson"
 )
 
-// Fault is one thing wrong with a file. Line and Column count
-// from one; Path is a JSON pointer (RFC 6901).
+// Fault is one error in a file. Line and Column are 1-based, Column in bytes;
+// Path is a JSON pointer (RFC 6901), empty for a syntax error and for the whole
+// document.
 type Fault struct {
 	File    string `json:"file"`
 	Line    int    `json:"line"`
@@ -37,7 +38,7 @@
 	Message string `json:"message"`
 }
 
-// String formats the fault as editors and compilers do.
+// String formats the fault as file:line:column: path: message, as compilers do.
 func (f Fault) String() string {
 	if f.Path == "" {
 		return fmt.Sprintf("%s:%d:%d: %s", f.File, f.Line, f.Column, f.Message)
@@ -45,13 +46,14 @@
 	return fmt.Sprintf("%s:%d:%d: %s: %s", f.File, f.Line, f.Column, f.Path, f.Message)
 }
 
-// Report records a fault at the value that a JSON pointer names, or at the
-// nearest value around it that the file has.
+// Report records a fault at the value that a JSON pointer names or, if the file
+// has no such value, at its nearest enclosing value.
 type Report func(pointer, format string, args ...any)
 
-// Decode decodes data into the struct that into points to. It returns every
-// fault; with any fault, into must not be used. The check, which may be nil,
-// runs on the decoded value and reports what no type can show.
+// Decode decodes data into the struct that into points to and returns all faults.
+// If there are any, the contents of into are unspecified. The file name is used
+// in faults only. After decoding, check (may be nil) validates what the Go type
+// cannot express.
 func Decode(file string, data []byte, into any, check func(Report)) []Fault {
 	p := &parser{file: file, data: data}
 	root, err := hujson.Parse(data)
@@ -74,8 +76,8 @@
 	return p.faults
 }
 
-// Standardize returns a source without its comments and trailing commas. A
-// source that does not parse comes back as it is.
+// Standardize returns source without comments and trailing commas. It returns a
+// source that does not parse unchanged.
 func Standardize(source []byte) []byte {
 	v, err := hujson.Parse(source)
 	if err != nil {
@@ -84,7 +86,7 @@
 	return standardized(v)
 }
 
-// EscapePointer escapes a name as one token of a JSON pointer.
+// EscapePointer escapes a name for use as one token of a JSON pointer.
 func EscapePointer(name string) string {
 	return strings.NewReplacer("~", "~0", "/", "~1").Replace(name)
 }
@@ -103,7 +105,8 @@
 	faults []Fault
 }
 
-// add records a fault at the value that the JSON pointer path names.
+// add records a fault at the value that the JSON pointer path names, or at its
+// nearest enclosing value.
 func (p *parser) add(path, format string, args ...any) {
 	offset := 0
 	for at := path; ; at = at[:strings.LastIndexByte(at, '/')] {
@@ -119,7 +122,7 @@
 }
 
 func (p *parser) addAt(offset int, path, format string, args ...any) {
-	line, column := position(p.data, offset)
+	line, column := lineColumn(p.data, offset)
 	p.faults = append(p.faults, Fault{
 		File:    p.file,
 		Line:    line,
@@ -129,8 +132,8 @@
 	})
 }
 
-// addSyntax records a syntax error. The parser's message starts with its own
-// position, which the fault carries already.
+// addSyntax records a syntax error. The position at the start of hujson's message
+// moves into the fault's line and column.
 func (p *parser) addSyntax(err error) {
 	var line, column int
 	message := strings.TrimPrefix(err.Error(), "hujson: ")
@@ -140,7 +143,7 @@
 	p.faults = append(p.faults, Fault{File: p.file, Line: max(line, 1), Column: max(column, 1), Message: message})
 }
 
-func position(data []byte, offset int) (line, column int) {
+func lineColumn(data []byte, offset int) (line, column int) {
 	before := string(data[:min(offset, len(data))])
 	line = strings.Count(before, "\n") + 1
 	column = len(before) - strings.LastIndexByte(before, '\n')
@@ -149,8 +152,8 @@
 
 var textUnmarshaler = reflect.TypeFor[encoding.TextUnmarshaler]()
 
-// walk compares a value with the Go type that it must decode into, so that
-// all unknown fields and wrong types are found, not only the first.
+// walk checks a value against the Go type it decodes into and records all unknown
+// fields and wrong types, not only the first.
 func (p *parser) walk(v *hujson.Value, t reflect.Type, path string) {
 	if v.Value.Kind() == 'n' && (t.Kind() == reflect.Pointer || t.Kind() == reflect.Slice) {
 		return
