--- a/internal/faultproxy/faultproxy.go
+++ b/internal/faultproxy/faultproxy.go
@@ -7,7 +7,7 @@
 //	…
 //	p.Set(faultproxy.Stall)
 //	p.Set(faultproxy.Pass)
-//	p.SilenceOpen()
+//	p.BlackholeOpen()
 //	p.Close()
 package faultproxy
 
