--- /dev/null
+++ b/internal/standin/backend.go
@@ -0,0 +1,180 @@
+package standin
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+)
+
+// Backend is a stand-in for a backend server of the users' platform, which the
+// platform's headers call a runner: a plain service, or an engine that responds
+// with a stream of events.
+type Backend struct {
+	id          string
+	disconnects chan struct{}
+
+	mu       sync.Mutex
+	response BackendResponse
+	// override replaces response until quota is used up.
+	override BackendResponse
+	quota    *Quota
+	requests []BackendRequest
+}
+
+// BackendRequest is a request that a backend received.
+type BackendRequest struct {
+	Method string
+	URI    string
+	Header http.Header
+	Body   string
+}
+
+// BackendResponse is how a backend responds to a request.
+type BackendResponse struct {
+	// Status is the HTTP status of a plain response; 200 if zero.
+	Status int
+	// Body is the body of a plain response.
+	Body string
+	// Events is the number of events of a stream; zero for a plain response.
+	Events int
+	// AbortAfter is the number of complete events after which the connection is
+	// aborted, in the middle of the next event; zero for never.
+	AbortAfter int
+	// Declined marks the request as not run, by the header X-Not-Run.
+	Declined bool
+	// Reset aborts the connection without a response.
+	Reset bool
+	// WrongAttemptID sends the response with the attempt ID of another request.
+	WrongAttemptID bool
+	// Confidence is sent in the header X-Confidence; zero for none.
+	Confidence int
+	// Hold delays the response until Hold is closed or the client disconnects.
+	Hold chan struct{}
+}
+
+// NewBackend returns a backend with the given server ID that responds to each request
+// with response, unless [Backend.Override] sets another one.
+func NewBackend(id string, response BackendResponse) *Backend {
+	return &Backend{id: id, response: response, disconnects: make(chan struct{}, 64)}
+}
+
+// Quota is a number of responses that several backends share.
+type Quota struct {
+	mu        sync.Mutex
+	remaining int
+}
+
+// NewQuota returns a quota of n responses.
+func NewQuota(n int) *Quota { return &Quota{remaining: n} }
+
+// take uses up one response of the quota. It returns false if none is left.
+func (q *Quota) take() bool {
+	if q == nil {
+		return false
+	}
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.remaining--
+	return q.remaining >= 0
+}
+
+// Override replaces the response until the quota is used up; a nil quota restores the
+// original response.
+func (b *Backend) Override(quota *Quota, response BackendResponse) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.quota, b.override = quota, response
+}
+
+// Requests returns the requests received so far.
+func (b *Backend) Requests() []BackendRequest {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return append([]BackendRequest(nil), b.requests...)
+}
+
+// Disconnects returns a channel that receives a value each time a client disconnects
+// from a request that is on hold.
+func (b *Backend) Disconnects() <-chan struct{} { return b.disconnects }
+
+// ServeHTTP responds to one request, with 421 if it expects another server ID.
+func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	body, err := io.ReadAll(r.Body)
+	if err != nil {
+		return
+	}
+	if expected := r.Header.Get("X-Expect-Runner"); expected != "" && expected != b.id {
+		w.Header().Set("X-Attempt-Id", r.Header.Get("X-Attempt-Id"))
+		w.WriteHeader(http.StatusMisdirectedRequest)
+		return
+	}
+	b.respond(w, r, b.record(BackendRequest{Method: r.Method, URI: r.RequestURI, Header: r.Header.Clone(), Body: string(body)}))
+}
+
+// record stores a request and returns the response to send.
+func (b *Backend) record(request BackendRequest) BackendResponse {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.requests = append(b.requests, request)
+	if b.quota.take() {
+		return b.override
+	}
+	return b.response
+}
+
+// respond sends a response or aborts the connection.
+func (b *Backend) respond(w http.ResponseWriter, r *http.Request, response BackendResponse) {
+	if response.Hold != nil {
+		select {
+		case <-response.Hold:
+		case <-r.Context().Done():
+			b.disconnects <- struct{}{}
+			return
+		}
+	}
+	if response.Reset {
+		panic(http.ErrAbortHandler)
+	}
+	id := r.Header.Get("X-Attempt-Id")
+	if response.WrongAttemptID {
+		id = "another"
+	}
+	h := w.Header()
+	h.Set("X-Attempt-Id", id)
+	h.Set("X-Stamp", "stamp-"+b.id)
+	h.Set("X-Runner-Load", "1,0,8")
+	if response.Declined {
+		h.Set("X-Not-Run", "1")
+	}
+	if response.Confidence != 0 {
+		h.Set("X-Confidence", strconv.Itoa(response.Confidence))
+	}
+	if response.Events > 0 {
+		b.stream(w, r, response)
+		return
+	}
+	if response.Status != 0 {
+		w.WriteHeader(response.Status)
+	}
+	_, _ = io.WriteString(w, response.Body)
+}
+
+// stream sends the events after Last-Event-Id. Their data names the event and the
+// model but not the backend, so that streams of different backends can be compared.
+func (b *Backend) stream(w http.ResponseWriter, r *http.Request, response BackendResponse) {
+	w.Header().Set("Content-Type", "text/event-stream")
+	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
+	for n := after + 1; n <= response.Events; n++ {
+		event := fmt.Sprintf("id: %d\ndata: %s/%d\n\n", n, r.Header.Get("X-Model"), n)
+		if response.AbortAfter > 0 && n > response.AbortAfter {
+			_, _ = io.WriteString(w, strings.TrimSpace(event)[:len(event)/2])
+			_ = http.NewResponseController(w).Flush()
+			panic(http.ErrAbortHandler)
+		}
+		_, _ = io.WriteString(w, event)
+		_ = http.NewResponseController(w).Flush()
+	}
+}
--- a/internal/standin/cmd/standin/main.go
+++ b/internal/standin/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs one of the stand-ins as a process of its own, for the
-// example, the tests and the measurements. It is no part of the product.
+// Command standin runs one of the stand-ins as a separate process, for the
+// example, the tests and benchmarks. It is not part of the product.
 //
 //	standin kv --listen 127.0.0.1:7001
 //	standin engine --listen 127.0.0.1:7101 --name r1 --token-ms 5
@@ -58,9 +58,9 @@
 func main() {
 	var args arguments
 	parser := arg.MustParse(&args)
-	listen, handler := choose(args)
+	listen, handler := newHandler(args)
 	if handler == nil {
-		parser.Fail("want a subcommand")
+		parser.Fail("a subcommand is required")
 	}
 	server := &http.Server{Addr: listen, Handler: handler, ReadHeaderTimeout: 10 * time.Second}
 	if err := server.ListenAndServe(); err != nil {
@@ -69,23 +69,23 @@
 	}
 }
 
-func choose(args arguments) (listen string, handler http.Handler) {
+func newHandler(args arguments) (listen string, handler http.Handler) {
 	switch {
 	case args.KeyValue != nil:
 		return args.KeyValue.Listen, standin.NewKeyValue().Handler()
 	case args.VMList != nil:
-		return args.VMList.Listen, vmList(args.VMList).Handler()
+		return args.VMList.Listen, newVMList(args.VMList).Handler()
 	case args.Rating != nil:
 		return args.Rating.Listen, standin.NewRating(args.Rating.Drift).Handler()
 	case args.Engine != nil:
-		return args.Engine.Listen, engine(args.Engine).Handler()
+		return args.Engine.Listen, newEngine(args.Engine).Handler()
 	case args.Plain != nil:
 		return args.Plain.Listen, standin.NewPlain(millis(args.Plain.DelayMillis)).Handler()
 	}
 	return "", nil
 }
 
-func vmList(args *vmListArgs) *standin.VMList {
+func newVMList(args *vmListArgs) *standin.VMList {
 	var vms []standin.VM
 	for _, name := range args.Live {
 		vms = append(vms, standin.VM{Name: name, State: "live"})
@@ -93,7 +93,7 @@
 	return standin.NewVMList(millis(args.LagMillis), vms...)
 }
 
-func engine(args *engineArgs) *standin.Engine {
+func newEngine(args *engineArgs) *standin.Engine {
 	return standin.NewEngine(args.Name, standin.Behaviour{
 		Slots:         args.Slots,
 		Tokens:        args.Tokens,
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,40 +13,42 @@
 	"time"
 )
 
-// Behaviour is how an engine stand-in works; POST /behave replaces it.
+// Behaviour configures an engine stand-in. POST /behave changes the fields that its
+// body contains.
 type Behaviour struct {
-	// Slots is how many requests run at once; the rest wait in the engine.
+	// Slots is the number of requests that run concurrently; others wait. 8 if zero.
 	Slots int `json:"slots"`
-	// PrefillMillis per 100 prompt tokens that the prefix cache lacks.
+	// PrefillMillis is the prefill time per 100 prompt tokens on a prefix cache miss.
 	PrefillMillis float64 `json:"prefill_ms"`
-	// TokenMillis between two tokens.
+	// TokenMillis is the time per generated token.
 	TokenMillis float64 `json:"token_ms"`
-	// Tokens in an answer whose request sets no bound.
+	// Tokens is the length of a completion if the request sets none; 16 if zero.
 	Tokens int `json:"tokens"`
-	// Quality of the answers by model name, marked in their text.
+	// Quality is the rating by model name that the completion's text is marked with.
 	Quality map[string]float64 `json:"quality"`
-	// ErrorRate of the requests answer 500.
+	// ErrorRate is the fraction of requests that get status 500.
 	ErrorRate float64 `json:"fail_share"`
-	// AbortAfter breaks every answer off after so many tokens; 0 never.
+	// AbortAfter is the number of tokens after which the connection is aborted; zero
+	// for never.
 	AbortAfter int `json:"die_after"`
-	// Draining is told in load reports; new work is refused.
+	// Draining is shown in load reports and refuses new requests.
 	Draining bool `json:"leaving"`
-	// LoadLagMillis is how old a load report is.
+	// LoadLagMillis is the age of the load that is reported.
 	LoadLagMillis int `json:"load_lag_ms"`
-	// LoadScale multiplies the load that is reported, if above zero.
+	// LoadScale falsifies load reports: the reported load is the real one times this,
+	// if above zero.
 	LoadScale float64 `json:"lie_share"`
-	// ChecksFencing refuses orders whose token is older than one seen.
+	// ChecksFencing rejects orders whose fencing token is lower than the highest seen.
 	ChecksFencing bool `json:"checks_fencing"`
-	// CachePrefixes is how many prompt prefixes the cache holds.
+	// CachePrefixes is the capacity of the prefix cache, in prompts.
 	CachePrefixes int `json:"cache_prefixes"`
-	// Loaded lists the models that the engine holds; all if empty.
+	// Loaded lists the models that the engine has loaded; empty for all.
 	Loaded []string `json:"loaded"`
-	// LoadMillis is how long it takes to load a model.
+	// LoadMillis is the time that an order to load or unload a model takes.
 	LoadMillis int `json:"load_ms"`
 }
 
-// Run is one piece of work that a backend stand-in has done, as GET /ran
-// lists it.
+// Run is one request that a stand-in has run, as listed by GET /ran.
 type Run struct {
 	RequestID string    `json:"request_id"`
 	Model     string    `json:"model"`
@@ -57,11 +59,11 @@
 	Cancelled bool      `json:"cancelled"`
 }
 
-// Engine stands in for a model engine: the OpenAI-compatible API with
-// server-sent events, resume by stream id, load reports with a lag, and
-// orders that carry a fencing token.
+// Engine is a stand-in for a model engine: the OpenAI-compatible API with
+// server-sent events, streams that can be resumed by ID, load reports with a lag,
+// and orders with a fencing token.
 type Engine struct {
-	faulty
+	faultInjector
 	name string
 
 	mu        sync.Mutex
@@ -70,16 +72,17 @@
 	running   int
 	waiting   int
 	runs      []*Run
-	streams   map[string]*stream
+	streams   map[string]*completionStream
 	reports   []loadReport
 	prefixes  []uint64
-	fence     int64
+	maxToken  int64
 	orders    []Order
 	hits      int
 	misses    int
 }
 
-// Order is a load order (docs/INTERFACES.md).
+// Order is a command to load or unload a model (docs/INTERFACES.md). Token is its
+// fencing token.
 type Order struct {
 	Token  int64  `json:"token"`
 	Action string `json:"action"`
@@ -92,9 +95,9 @@
 	waiting int
 }
 
-// stream is an answer under way. It goes on for a while after its connection
-// broke, so that it can be resumed.
-type stream struct {
+// completionStream is a completion in progress. Generation continues for
+// resumeTimeout after a disconnect, so that the client can resume.
+type completionStream struct {
 	mu      sync.Mutex
 	tokens  []string
 	ended   bool
@@ -103,17 +106,17 @@
 	readers int
 }
 
-// resumeGrace is how long a stream without a reader goes on.
-const resumeGrace = 300 * time.Millisecond
+// resumeTimeout is how long a stream without readers continues.
+const resumeTimeout = 300 * time.Millisecond
 
-// NewEngine returns an engine with the given behaviour.
+// NewEngine returns an engine stand-in. Its name starts the IDs of its streams.
 func NewEngine(name string, b Behaviour) *Engine {
-	e := &Engine{name: name, streams: make(map[string]*stream)}
-	e.behave(b)
+	e := &Engine{name: name, streams: make(map[string]*completionStream)}
+	e.setBehaviour(b)
 	return e
 }
 
-func (e *Engine) behave(b Behaviour) {
+func (e *Engine) setBehaviour(b Behaviour) {
 	if b.Slots == 0 {
 		b.Slots = 8
 	}
@@ -126,7 +129,7 @@
 	e.slots = make(chan struct{}, b.Slots)
 }
 
-func (e *Engine) now() Behaviour {
+func (e *Engine) currentBehaviour() Behaviour {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.behaviour
@@ -137,13 +140,13 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", e.complete)
 	mux.HandleFunc("GET /v1/streams/{id}", e.resume)
-	mux.HandleFunc("GET /load", e.load)
-	mux.HandleFunc("POST /orders", e.order)
-	mux.HandleFunc("GET /ran", e.ran)
+	mux.HandleFunc("GET /load", e.reportLoad)
+	mux.HandleFunc("POST /orders", e.handleOrder)
+	mux.HandleFunc("GET /ran", e.listRuns)
 	mux.HandleFunc("POST /behave", func(w http.ResponseWriter, r *http.Request) {
-		b := e.now()
+		b := e.currentBehaviour()
 		if readJSON(w, r, &b) {
-			e.behave(b)
+			e.setBehaviour(b)
 		}
 	})
 	return e.wrap(mux)
@@ -163,12 +166,12 @@
 }
 
 func (c completionJSON) prompt() string {
-	var all strings.Builder
+	var prompt strings.Builder
 	for _, m := range c.Messages {
-		all.WriteString(m.Content)
-		all.WriteByte('\n')
+		prompt.WriteString(m.Content)
+		prompt.WriteByte('\n')
 	}
-	return all.String()
+	return prompt.String()
 }
 
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
@@ -176,13 +179,13 @@
 	if !readJSON(w, r, &in) {
 		return
 	}
-	b := e.now()
+	b := e.currentBehaviour()
 	switch {
 	case b.Draining:
 		w.Header().Set("X-Not-Run", "true")
 		http.Error(w, `{"error":{"message":"leaving"}}`, http.StatusServiceUnavailable)
 		return
-	case !e.holds(in.Model):
+	case !e.hasModel(in.Model):
 		w.Header().Set("X-Not-Run", "true")
 		http.Error(w, `{"error":{"message":"model not loaded"}}`, http.StatusNotFound)
 		return
@@ -191,22 +194,23 @@
 		return
 	}
 	run := &Run{RequestID: r.Header.Get("X-Request-Id"), Model: in.Model, Started: time.Now()}
-	if !e.enter(r.Context(), run) {
+	if !e.acquireSlot(r.Context(), run) {
 		return
 	}
 	id := fmt.Sprintf("%s-%d", e.name, rand.Uint64())
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &stream{changed: make(chan struct{}), cancel: cancel}
+	s := &completionStream{changed: make(chan struct{}), cancel: cancel}
 	e.mu.Lock()
 	e.streams[id] = s
 	e.mu.Unlock()
 	go e.generate(ctx, id, s, in, b, run)
 	w.Header().Set("X-Stream-Id", id)
-	e.deliver(w, r, s, in, b, 0)
+	e.writeCompletion(w, r, s, in, b, 0)
 }
 
-// enter waits for a slot and notes the run as started.
-func (e *Engine) enter(ctx context.Context, run *Run) bool {
+// acquireSlot waits for a free slot and records the run as started. It returns false
+// if ctx ends first.
+func (e *Engine) acquireSlot(ctx context.Context, run *Run) bool {
 	e.mu.Lock()
 	slots := e.slots
 	e.waiting++
@@ -227,8 +231,8 @@
 	return true
 }
 
-// generate makes the tokens of one answer.
-func (e *Engine) generate(ctx context.Context, id string, s *stream, in completionJSON, b Behaviour, run *Run) {
+// generate produces the tokens of one completion and then frees its slot.
+func (e *Engine) generate(ctx context.Context, id string, s *completionStream, in completionJSON, b Behaviour, run *Run) {
 	e.mu.Lock()
 	slots := e.slots
 	e.mu.Unlock()
@@ -248,8 +252,8 @@
 		})
 	}()
 	prompt := in.prompt()
-	pause(ctx, e.prefill(prompt, b))
-	words := answerWords(in, b)
+	sleep(ctx, e.prefill(prompt, b))
+	words := completionWords(in, b)
 	for _, word := range words {
 		if ctx.Err() != nil {
 			break
@@ -258,12 +262,12 @@
 		e.mu.Lock()
 		run.Tokens++
 		e.mu.Unlock()
-		pause(ctx, time.Duration(b.TokenMillis*float64(time.Millisecond)))
+		sleep(ctx, time.Duration(b.TokenMillis*float64(time.Millisecond)))
 	}
 	s.end()
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
@@ -275,17 +279,18 @@
 	}
 }
 
-// CompletionText returns the answer that an engine stand-in without marked quality
-// gives to a prompt of one message, so that a test can tell a whole answer and
-// whose it is.
+// CompletionText returns the full completion that an engine stand-in without a
+// quality mark generates for a prompt of one message. A test can compare a response
+// with it to check that it is complete and belongs to its request.
 func CompletionText(model, prompt string, tokens int) string {
 	in := completionJSON{Model: model, MaxTokens: tokens}
 	in.Messages = append(in.Messages, messageJSON{Role: "user", Content: prompt})
-	return strings.Join(answerWords(in, Behaviour{}), "")
+	return strings.Join(completionWords(in, Behaviour{}), "")
 }
 
-// answerWords makes an answer that depends on the prompt and the model only.
-func answerWords(in completionJSON, b Behaviour) []string {
+// completionWords returns the words of a completion. They are deterministic: they
+// depend only on the model, the prompt and the token limit, and on a quality mark.
+func completionWords(in completionJSON, b Behaviour) []string {
 	count := b.Tokens
 	if in.MaxTokens > 0 {
 		count = in.MaxTokens
@@ -306,8 +311,8 @@
 	return words
 }
 
-// prefill returns how long the prompt takes, less what the cache holds. The
-// cache keeps the first 256 bytes of the prompts last used.
+// prefill returns the prefill time of a prompt, zero on a cache hit. The cache is
+// keyed by the first 256 bytes of a prompt and evicts the least recently used.
 func (e *Engine) prefill(prompt string, b Behaviour) time.Duration {
 	tokens := len(strings.Fields(prompt))
 	h := fnv.New64a()
@@ -330,7 +335,7 @@
 	return time.Duration(b.PrefillMillis * float64(tokens) / 100 * float64(time.Millisecond))
 }
 
-func (s *stream) append(token string) {
+func (s *completionStream) append(token string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.tokens = append(s.tokens, token)
@@ -338,7 +343,7 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *stream) end() {
+func (s *completionStream) end() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ended = true
@@ -346,15 +351,15 @@
 	s.changed = make(chan struct{})
 }
 
-func (s *stream) from(n int) (tokens []string, ended bool, changed <-chan struct{}) {
+func (s *completionStream) tokensFrom(n int) (tokens []string, ended bool, changed <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tokens[min(n, len(s.tokens)):], s.ended, s.changed
 }
 
-// attach counts a reader; the returned function counts it out again and
-// cancels the stream if no other reader comes in time.
-func (s *stream) attach() func() {
+// addReader registers a reader and returns a function that removes it. The stream is
+// cancelled if it has no reader resumeTimeout after that.
+func (s *completionStream) addReader() func() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.readers++
@@ -362,7 +367,7 @@
 		s.mu.Lock()
 		s.readers--
 		s.mu.Unlock()
-		time.AfterFunc(resumeGrace, func() {
+		time.AfterFunc(resumeTimeout, func() {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			if s.readers == 0 && !s.ended {
@@ -372,16 +377,16 @@
 	}
 }
 
-// deliver writes the answer from the nth token on.
-func (e *Engine) deliver(w http.ResponseWriter, r *http.Request, s *stream, in completionJSON, b Behaviour, n int) {
-	defer s.attach()()
+// writeCompletion writes the completion, skipping its first n tokens.
+func (e *Engine) writeCompletion(w http.ResponseWriter, r *http.Request, s *completionStream, in completionJSON, b Behaviour, n int) {
+	defer s.addReader()()
 	if in.Stream {
 		w.Header().Set("Content-Type", "text/event-stream")
 	}
 	first := n
 	var text strings.Builder
 	for {
-		tokens, ended, changed := s.from(n)
+		tokens, ended, changed := s.tokensFrom(n)
 		for _, token := range tokens {
 			if b.AbortAfter > 0 && n >= b.AbortAfter {
 				panic(http.ErrAbortHandler)
@@ -458,12 +463,12 @@
 		return
 	}
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
-	b := e.now()
+	b := e.currentBehaviour()
 	b.AbortAfter = 0
-	e.deliver(w, r, s, completionJSON{Stream: true, Model: r.URL.Query().Get("model")}, b, after)
+	e.writeCompletion(w, r, s, completionJSON{Stream: true, Model: r.URL.Query().Get("model")}, b, after)
 }
 
-func (e *Engine) holds(model string) bool {
+func (e *Engine) hasModel(model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.behaviour.Loaded) == 0 {
@@ -477,18 +482,18 @@
 	return false
 }
 
-// load reports the load as it was a lag ago.
-func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
+// reportLoad responds with the load of LoadLagMillis ago, scaled by LoadScale.
+func (e *Engine) reportLoad(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
 	e.reports = append(e.reports, loadReport{at: now, running: e.running, waiting: e.waiting})
 	e.reports = e.reports[max(0, len(e.reports)-256):]
 	lag := time.Duration(e.behaviour.LoadLagMillis) * time.Millisecond
-	shown := e.reports[0]
+	reported := e.reports[0]
 	for _, report := range e.reports {
 		if now.Sub(report.at) >= lag {
-			shown = report
+			reported = report
 		}
 	}
 	scale := 1.0
@@ -496,44 +501,44 @@
 		scale = e.behaviour.LoadScale
 	}
 	writeJSON(w, map[string]any{
-		"running": int(float64(shown.running) * scale), "waiting": int(float64(shown.waiting) * scale),
-		"slots": e.behaviour.Slots, "leaving": e.behaviour.Draining, "age_ms": now.Sub(shown.at).Milliseconds(),
+		"running": int(float64(reported.running) * scale), "waiting": int(float64(reported.waiting) * scale),
+		"slots": e.behaviour.Slots, "leaving": e.behaviour.Draining, "age_ms": now.Sub(reported.at).Milliseconds(),
 		"models": e.behaviour.Loaded, "cache_hits": e.hits, "cache_misses": e.misses,
 	})
 }
 
-func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var in Order
 	if !readJSON(w, r, &in) {
 		return
 	}
 	e.mu.Lock()
-	if e.behaviour.ChecksFencing && in.Token < e.fence {
+	if e.behaviour.ChecksFencing && in.Token < e.maxToken {
 		e.mu.Unlock()
 		http.Error(w, `{"error":{"message":"fenced off"}}`, http.StatusConflict)
 		return
 	}
-	e.fence = max(e.fence, in.Token)
+	e.maxToken = max(e.maxToken, in.Token)
 	e.orders = append(e.orders, in)
-	wait := time.Duration(e.behaviour.LoadMillis) * time.Millisecond
+	loadTime := time.Duration(e.behaviour.LoadMillis) * time.Millisecond
 	e.mu.Unlock()
-	pause(r.Context(), wait)
+	sleep(r.Context(), loadTime)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	kept := e.behaviour.Loaded[:0:0]
+	loaded := e.behaviour.Loaded[:0:0]
 	for _, m := range e.behaviour.Loaded {
 		if m != in.Model {
-			kept = append(kept, m)
+			loaded = append(loaded, m)
 		}
 	}
 	if in.Action == "load" {
-		kept = append(kept, in.Model)
+		loaded = append(loaded, in.Model)
 	}
-	e.behaviour.Loaded = kept
+	e.behaviour.Loaded = loaded
 	writeJSON(w, struct{}{})
 }
 
-func (e *Engine) ran(w http.ResponseWriter, _ *http.Request) {
+func (e *Engine) listRuns(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	writeJSON(w, map[string]any{"runs": e.runs, "orders": e.orders})
--- a/internal/standin/faults.go
+++ b/internal/standin/faults.go
@@ -1,16 +1,16 @@
-// Package standin holds small stand-ins for what surrounds the system: the
-// platform's key-value service, VM list and rating service, a model engine
-// and a plain service. They speak the published protocols over HTTP and can
-// be told to fail; they are used by tests, the example and measurements, and
-// the shipped binary does not contain them.
+// Package standin provides stand-ins for the external services that the system
+// uses: the platform's metadata store, key-value service, VM list and rating
+// service, its backend servers, a model engine and a plain service. They speak the
+// published protocols over HTTP and can inject faults. Tests, the example and
+// benchmarks use them; they are not part of the shipped binary.
 //
 // # Usage
 //
 //	server := httptest.NewServer(standin.NewKeyValue().Handler())
 //	defer server.Close()
 //
-// Each stand-in takes POST /fault with a [Fault] and behaves so until the next
-// one.
+// POST /fault with a [Fault] sets the fault of a stand-in until the next one; a
+// [Backend] takes its faults from its [BackendResponse] instead.
 package standin
 
 import (
@@ -20,35 +20,36 @@
 	"time"
 )
 
-// Fault tells a stand-in how to misbehave.
+// Fault is the fault that a stand-in injects into every request.
 type Fault struct {
-	// Down breaks every connection without an answer.
+	// Down aborts every connection without a response.
 	Down bool `json:"down"`
-	// SlowMillis delays every answer.
+	// SlowMillis delays every request, in milliseconds.
 	SlowMillis int `json:"slow_ms"`
-	// DropResponses does the work and breaks the connection before the answer.
+	// DropResponses processes the request, then aborts the connection instead of
+	// sending the response.
 	DropResponses bool `json:"lose_answers"`
 }
 
-// faulty wraps a handler with the fault that is in force.
-type faulty struct {
+// faultInjector wraps a handler with the current fault.
+type faultInjector struct {
 	mu    sync.Mutex
 	fault Fault
 }
 
-func (f *faulty) set(fault Fault) {
+func (f *faultInjector) set(fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fault = fault
 }
 
-func (f *faulty) get() Fault {
+func (f *faultInjector) get() Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.fault
 }
 
-func (f *faulty) wrap(next http.Handler) http.Handler {
+func (f *faultInjector) wrap(next http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /fault", func(w http.ResponseWriter, r *http.Request) {
 		var fault Fault
@@ -66,7 +67,7 @@
 			time.Sleep(time.Duration(fault.SlowMillis) * time.Millisecond)
 		}
 		if fault.DropResponses {
-			next.ServeHTTP(discard{header: make(http.Header)}, r)
+			next.ServeHTTP(discardWriter{header: make(http.Header)}, r)
 			panic(http.ErrAbortHandler)
 		}
 		next.ServeHTTP(w, r)
@@ -74,13 +75,13 @@
 	return mux
 }
 
-// discard takes an answer that nobody will see.
-type discard struct{ header http.Header }
+// discardWriter is a ResponseWriter that discards the response.
+type discardWriter struct{ header http.Header }
 
-func (d discard) Header() http.Header         { return d.header }
-func (d discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d discard) WriteHeader(int)             {}
-func (d discard) Flush()                      {}
+func (d discardWriter) Header() http.Header         { return d.header }
+func (d discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d discardWriter) WriteHeader(int)             {}
+func (d discardWriter) Flush()                      {}
 
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
 	if err := json.NewDecoder(r.Body).Decode(into); err != nil {
--- a/internal/standin/keyvalue.go
+++ b/internal/standin/keyvalue.go
@@ -9,42 +9,42 @@
 	"time"
 )
 
-// KeyValue stands in for the platform's key-value service: etcd's v3 API in
-// its JSON form, as far as the system uses it, in memory.
+// KeyValue is an in-memory stand-in for the platform's key-value service: the JSON
+// gateway of etcd's v3 API, limited to the calls that the system uses.
 type KeyValue struct {
-	faulty
+	faultInjector
 	mu       sync.Mutex
 	revision int64
-	keys     map[string]stored
-	leases   map[int64]*grant
+	keys     map[string]keyValueJSON
+	leases   map[int64]*keyValueLease
 	nextID   int64
-	watchers map[chan event]rangeJSON
+	watchers map[chan eventJSON]rangeJSON
 	calls    map[string]int64
 }
 
-type stored struct {
+type keyValueJSON struct {
 	Key         []byte `json:"key"`
 	Value       []byte `json:"value"`
 	ModRevision int64  `json:"mod_revision,string"`
 	Lease       int64  `json:"lease,string,omitempty"`
 }
 
-type grant struct {
+type keyValueLease struct {
 	ttl   time.Duration
 	timer *time.Timer
 }
 
-type event struct {
-	Type string `json:"type,omitempty"`
-	KV   stored `json:"kv"`
+type eventJSON struct {
+	Type string       `json:"type,omitempty"`
+	KV   keyValueJSON `json:"kv"`
 }
 
 // NewKeyValue returns an empty store.
 func NewKeyValue() *KeyValue {
 	return &KeyValue{
-		keys:     make(map[string]stored),
-		leases:   make(map[int64]*grant),
-		watchers: make(map[chan event]rangeJSON),
+		keys:     make(map[string]keyValueJSON),
+		leases:   make(map[int64]*keyValueLease),
+		watchers: make(map[chan eventJSON]rangeJSON),
 		calls:    make(map[string]int64),
 	}
 }
@@ -52,12 +52,12 @@
 // Handler returns the HTTP handler of the store.
 func (s *KeyValue) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v3/kv/range", s.counted("range", s.rangeKeys))
-	mux.HandleFunc("POST /v3/kv/txn", s.counted("txn", s.txn))
-	mux.HandleFunc("POST /v3/lease/grant", s.counted("grant", s.grant))
-	mux.HandleFunc("POST /v3/lease/keepalive", s.counted("keepalive", s.keepAlive))
-	mux.HandleFunc("POST /v3/lease/revoke", s.counted("revoke", s.revoke))
-	mux.HandleFunc("POST /v3/watch", s.counted("watch", s.watch))
+	mux.HandleFunc("POST /v3/kv/range", s.countCalls("range", s.rangeKeys))
+	mux.HandleFunc("POST /v3/kv/txn", s.countCalls("txn", s.txn))
+	mux.HandleFunc("POST /v3/lease/grant", s.countCalls("grant", s.grant))
+	mux.HandleFunc("POST /v3/lease/keepalive", s.countCalls("keepalive", s.keepAlive))
+	mux.HandleFunc("POST /v3/lease/revoke", s.countCalls("revoke", s.revoke))
+	mux.HandleFunc("POST /v3/watch", s.countCalls("watch", s.watch))
 	mux.HandleFunc("GET /calls", func(w http.ResponseWriter, _ *http.Request) {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -66,7 +66,7 @@
 	return s.wrap(mux)
 }
 
-func (s *KeyValue) counted(name string, next http.HandlerFunc) http.HandlerFunc {
+func (s *KeyValue) countCalls(name string, next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
 		s.calls[name]++
@@ -94,24 +94,24 @@
 	defer s.mu.Unlock()
 	found := s.find(in)
 	writeJSON(w, struct {
-		Header headerJSON `json:"header"`
-		KVs    []stored   `json:"kvs"`
-		Count  int64      `json:"count,string"`
+		Header headerJSON     `json:"header"`
+		KVs    []keyValueJSON `json:"kvs"`
+		Count  int64          `json:"count,string"`
 	}{headerJSON{s.revision}, found, int64(len(found))})
 }
 
-// holds reports whether a key lies in the range.
-func (r rangeJSON) holds(key string) bool {
+// contains reports whether a key is in the range.
+func (r rangeJSON) contains(key string) bool {
 	if len(r.RangeEnd) == 0 {
 		return key == string(r.Key)
 	}
 	return key >= string(r.Key) && key < string(r.RangeEnd)
 }
 
-func (s *KeyValue) find(in rangeJSON) []stored {
-	var found []stored
+func (s *KeyValue) find(in rangeJSON) []keyValueJSON {
+	var found []keyValueJSON
 	for key, kv := range s.keys {
-		if in.holds(key) {
+		if in.contains(key) {
 			if in.KeysOnly {
 				kv.Value = nil
 			}
@@ -144,15 +144,15 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	holds := true
+	succeeded := true
 	for _, c := range in.Compare {
-		holds = holds && s.keys[string(c.Key)].ModRevision == c.ModRevision
+		succeeded = succeeded && s.keys[string(c.Key)].ModRevision == c.ModRevision
 	}
-	if holds {
+	if succeeded {
 		s.revision++
 		for _, op := range in.Success {
 			if op.Put != nil {
-				s.put(stored{Key: op.Put.Key, Value: op.Put.Value, ModRevision: s.revision, Lease: op.Put.Lease})
+				s.put(keyValueJSON{Key: op.Put.Key, Value: op.Put.Value, ModRevision: s.revision, Lease: op.Put.Lease})
 			}
 			if op.Delete != nil {
 				s.remove(string(op.Delete.Key))
@@ -162,12 +162,12 @@
 	writeJSON(w, struct {
 		Header    headerJSON `json:"header"`
 		Succeeded bool       `json:"succeeded"`
-	}{headerJSON{s.revision}, holds})
+	}{headerJSON{s.revision}, succeeded})
 }
 
-func (s *KeyValue) put(kv stored) {
+func (s *KeyValue) put(kv keyValueJSON) {
 	s.keys[string(kv.Key)] = kv
-	s.notify(string(kv.Key), event{KV: kv})
+	s.notify(string(kv.Key), eventJSON{KV: kv})
 }
 
 func (s *KeyValue) remove(key string) {
@@ -176,12 +176,12 @@
 		return
 	}
 	delete(s.keys, key)
-	s.notify(key, event{Type: "DELETE", KV: stored{Key: kv.Key, ModRevision: s.revision}})
+	s.notify(key, eventJSON{Type: "DELETE", KV: keyValueJSON{Key: kv.Key, ModRevision: s.revision}})
 }
 
-func (s *KeyValue) notify(key string, e event) {
+func (s *KeyValue) notify(key string, e eventJSON) {
 	for watcher, watched := range s.watchers {
-		if watched.holds(key) {
+		if watched.contains(key) {
 			select {
 			case watcher <- e:
 			default:
@@ -204,7 +204,7 @@
 	defer s.mu.Unlock()
 	s.nextID++
 	id, ttl := s.nextID, time.Duration(in.TTL)*time.Second
-	s.leases[id] = &grant{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.lapse(id) })}
+	s.leases[id] = &keyValueLease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.endLease(id) })}
 	writeJSON(w, leaseJSON{ID: id, TTL: in.TTL})
 }
 
@@ -216,9 +216,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := leaseJSON{ID: in.ID}
-	if g := s.leases[in.ID]; g != nil {
-		g.timer.Reset(g.ttl)
-		out.TTL = int64(g.ttl / time.Second)
+	if l := s.leases[in.ID]; l != nil {
+		l.timer.Reset(l.ttl)
+		out.TTL = int64(l.ttl / time.Second)
 	}
 	writeJSON(w, map[string]leaseJSON{"result": out})
 }
@@ -228,18 +228,18 @@
 	if !readJSON(w, r, &in) {
 		return
 	}
-	s.lapse(in.ID)
+	s.endLease(in.ID)
 	writeJSON(w, struct{}{})
 }
 
-func (s *KeyValue) lapse(id int64) {
+func (s *KeyValue) endLease(id int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := s.leases[id]
-	if g == nil {
+	l := s.leases[id]
+	if l == nil {
 		return
 	}
-	g.timer.Stop()
+	l.timer.Stop()
 	delete(s.leases, id)
 	for key, kv := range s.keys {
 		if kv.Lease == id {
@@ -259,11 +259,11 @@
 	if !readJSON(w, r, &in) {
 		return
 	}
-	events := make(chan event, 1024)
+	events := make(chan eventJSON, 1024)
 	s.mu.Lock()
 	for _, kv := range s.find(in.Create.rangeJSON) {
 		if kv.ModRevision >= in.Create.StartRevision {
-			events <- event{KV: kv}
+			events <- eventJSON{KV: kv}
 		}
 	}
 	s.watchers[events] = in.Create.rangeJSON
@@ -276,23 +276,23 @@
 	s.streamEvents(w, r, events)
 }
 
-func (s *KeyValue) streamEvents(w http.ResponseWriter, r *http.Request, events <-chan event) {
+func (s *KeyValue) streamEvents(w http.ResponseWriter, r *http.Request, events <-chan eventJSON) {
 	encoder := json.NewEncoder(w)
 	flusher, _ := w.(http.Flusher)
 	_ = encoder.Encode(map[string]any{"result": map[string]bool{"created": true}})
 	flusher.Flush()
-	check := time.NewTicker(50 * time.Millisecond)
-	defer check.Stop()
+	downCheck := time.NewTicker(50 * time.Millisecond)
+	defer downCheck.Stop()
 	for {
 		select {
 		case <-r.Context().Done():
 			return
-		case <-check.C:
+		case <-downCheck.C:
 			if s.get().Down {
 				panic(http.ErrAbortHandler)
 			}
 		case e := <-events:
-			_ = encoder.Encode(map[string]any{"result": map[string]any{"events": []event{e}}})
+			_ = encoder.Encode(map[string]any{"result": map[string]any{"events": []eventJSON{e}}})
 			flusher.Flush()
 		}
 	}
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// Plain stands in for a plain service, such as the dispatch desk's record of
-// proofs of drop. It counts what it runs; a call run twice shows in GET /ran.
+// Plain is a stand-in for a plain service, one that is not a model engine, such as
+// the dispatch desk's record of proofs of drop. GET /ran lists each run, so that a
+// test can detect a call that ran twice.
 type Plain struct {
-	faulty
+	faultInjector
 	delay time.Duration
 	mu    sync.Mutex
 	runs  []*Run
 }
 
-// NewPlain returns a service that takes delay for each call.
+// NewPlain returns a service that responds to each call after delay.
 func NewPlain(delay time.Duration) *Plain { return &Plain{delay: delay} }
 
 // Handler returns the HTTP handler of the service.
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -15,17 +15,17 @@
 	Peer  string `json:"peer,omitempty"`
 }
 
-// VMList stands in for the platform's VM list, which lags.
+// VMList is a stand-in for the platform's VM list, which shows changes late.
 type VMList struct {
-	faulty
-	lag   time.Duration
-	mu    sync.Mutex
-	shown []VM
+	faultInjector
+	lag     time.Duration
+	mu      sync.Mutex
+	visible []VM
 }
 
 // NewVMList returns a list that shows each change after lag.
 func NewVMList(lag time.Duration, vms ...VM) *VMList {
-	return &VMList{lag: lag, shown: vms}
+	return &VMList{lag: lag, visible: vms}
 }
 
 // Handler returns the HTTP handler of the list.
@@ -34,7 +34,7 @@
 	mux.HandleFunc("GET /vms", func(w http.ResponseWriter, _ *http.Request) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		writeJSON(w, map[string][]VM{"vms": l.shown})
+		writeJSON(w, map[string][]VM{"vms": l.visible})
 	})
 	mux.HandleFunc("POST /vms", func(w http.ResponseWriter, r *http.Request) {
 		var in map[string][]VM
@@ -45,12 +45,12 @@
 	return l.wrap(mux)
 }
 
-// Set changes the list, after the lag.
+// Set replaces the list, visible after the lag.
 func (l *VMList) Set(vms []VM) {
 	show := func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.shown = vms
+		l.visible = vms
 	}
 	if l.lag == 0 {
 		show()
@@ -59,22 +59,22 @@
 	time.AfterFunc(l.lag, show)
 }
 
-// Rating stands in for the rating service. It rates an answer by the mark
-// "[q=0.85]" that the engine stand-in puts into it.
+// Rating is a stand-in for the rating service. It takes the rating of a completion
+// from the mark, such as "[q=0.85]", that the engine stand-in puts into the text.
 type Rating struct {
-	faulty
+	faultInjector
 	drift float64
 	mu    sync.Mutex
 	rated int
 }
 
-// NewRating returns a service whose ratings are off by drift.
+// NewRating returns a service that adds drift to each rating.
 func NewRating(drift float64) *Rating { return &Rating{drift: drift} }
 
 var qualityMark = regexp.MustCompile(`\[q=([0-9.]+)\]`)
 
-// unmarkedRating is the rating of an answer without a mark.
-const unmarkedRating = 0.9
+// defaultRating is the rating of a completion without a mark.
+const defaultRating = 0.9
 
 // Handler returns the HTTP handler of the service.
 func (s *Rating) Handler() http.Handler {
@@ -89,7 +89,7 @@
 		s.mu.Lock()
 		s.rated++
 		s.mu.Unlock()
-		rating := unmarkedRating
+		rating := defaultRating
 		if m := qualityMark.FindStringSubmatch(in.Answer); m != nil {
 			rating, _ = strconv.ParseFloat(m[1], 64)
 		}
--- a/internal/standin/revision.go
+++ b/internal/standin/revision.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// StoreRevision returns the revision of the store up to which a gateway knows everything,
-// as its metrics at a URL tell; zero if they don't.
+// StoreRevision returns the store revision that a gateway has caught up with, from
+// its metrics page at url. It returns zero if the page or the metric is missing.
 func StoreRevision(url string) int64 {
 	response, err := http.Get(url)
 	if err != nil {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -10,22 +10,23 @@
 	"time"
 )
 
-// Store stands in for the metadata store of the users' platform, as far as
-// the system uses it, in memory. Each node may get a door of its own, so that
-// one can be turned away while others are served.
+// Store is an in-memory stand-in for the metadata store of the users' platform,
+// limited to the calls that the system uses. Each node may get an endpoint of its
+// own, so that a test can fail the calls of one node while others are served.
 type Store struct {
 	mu       sync.Mutex
 	revision int64
 	items    map[string]storeItem
 	history  []storeItem
-	// forgotten is the revision up to which history is gone.
-	forgotten int64
+	// compacted is the revision up to which the history has been dropped.
+	compacted int64
 	leases    map[int64]*storeLease
-	changed   chan struct{}
-	calls     map[string]int
+	// changed is closed and replaced at each change.
+	changed chan struct{}
+	calls   map[string]int
 }
 
-// storeItem is a key as the store keeps and sends it.
+// storeItem is a key with its value, as stored and as sent on the wire.
 type storeItem struct {
 	Key      string `json:"tls_key"`
 	Value    []byte `json:"value,omitempty"`
@@ -35,7 +36,7 @@
 	Deleted  bool   `json:"deleted,omitempty"`
 }
 
-// storeLease is a lease that lapses unless it is renewed.
+// storeLease is a lease that expires unless it is renewed.
 type storeLease struct {
 	ttl   time.Duration
 	timer *time.Timer
@@ -51,59 +52,61 @@
 	}
 }
 
-// StoreEndpoint is one way into a store, with faults of its own.
+// StoreEndpoint serves the API of a store, with fault injection of its own.
 type StoreEndpoint struct {
-	faulty
+	faultInjector
 	store *Store
-	// busy answers everything with this status; zero for none.
-	busy int
+	// status is the response to every request; zero serves requests normally.
+	status int
 }
 
-// NewEndpoint returns a new way into the store.
+// NewEndpoint returns a new endpoint of the store.
 func (s *Store) NewEndpoint() *StoreEndpoint { return &StoreEndpoint{store: s} }
 
-// SetFault makes the door misbehave until the next call.
-func (d *StoreEndpoint) SetFault(f Fault) { d.set(f) }
+// SetFault sets the fault of the endpoint until the next call.
+func (e *StoreEndpoint) SetFault(f Fault) { e.set(f) }
 
-// SetStatus makes the door answer with a status, such as 429; zero ends that.
-func (d *StoreEndpoint) SetStatus(status int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.busy = status
+// SetStatus makes the endpoint respond to every request with a status, such as 429.
+// Zero serves requests normally again.
+func (e *StoreEndpoint) SetStatus(status int) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.status = status
 }
 
-// Handler returns the HTTP handler of the door.
-func (d *StoreEndpoint) Handler() http.Handler {
-	s := d.store
+// Handler returns the HTTP handler of the endpoint.
+func (e *StoreEndpoint) Handler() http.Handler {
+	s := e.store
 	mux := http.NewServeMux()
 	for pattern, handle := range map[string]http.HandlerFunc{
-		"GET /api/kv-key":               s.key,
-		"GET /api/kv-range":             s.page,
+		"GET /api/kv-key":               s.getKey,
+		"GET /api/kv-range":             s.listPage,
 		"GET /api/kv-watch":             s.watch,
-		"POST /api/kv-txn":              s.txn,
-		"POST /api/kv-lease":            s.grant,
-		"POST /api/kv-keep/{id}":        s.keep,
-		"DELETE /api/kv-lease-end/{id}": s.end,
+		"POST /api/kv-txn":              s.commitTxn,
+		"POST /api/kv-lease":            s.grantLease,
+		"POST /api/kv-keep/{id}":        s.renewLease,
+		"DELETE /api/kv-lease-end/{id}": s.revokeLease,
 	} {
 		name := pattern[strings.LastIndex(pattern, "kv-"):]
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, r *http.Request) {
-			s.count(name)
+			s.countCall(name)
 			handle(w, r)
 		})
 	}
-	return d.wrap(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		d.mu.Lock()
-		busy := d.busy
-		d.mu.Unlock()
-		if busy != 0 {
-			w.WriteHeader(busy)
+	return e.wrap(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		e.mu.Lock()
+		status := e.status
+		e.mu.Unlock()
+		if status != 0 {
+			w.WriteHeader(status)
 			return
 		}
 		mux.ServeHTTP(w, r)
 	}))
 }
 
-// Put writes a key as the operators and the servers do.
+// Put writes a key with a JSON value, as operators and backend servers do, and returns
+// the new revision.
 func (s *Store) Put(key string, value any) int64 {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -121,43 +124,42 @@
 	s.write(nil, []string{key})
 }
 
-// Get returns a key's value, nil if it is not there.
+// Get returns a key's value, nil if there is no such key.
 func (s *Store) Get(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.items[key].Value
 }
 
-// Keys returns the keys under a prefix, sorted.
+// Keys returns the keys with a prefix, sorted.
 func (s *Store) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.under(prefix)
+	return s.keysWithPrefix(prefix)
 }
 
-// Compact drops the history, so that watches that lag are told that it is gone.
+// Compact drops the history. Watches that lag behind then get 410 Gone.
 func (s *Store) Compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.history, s.forgotten = nil, s.revision
+	s.history, s.compacted = nil, s.revision
 }
 
-// Calls returns how often a call was made, such as "kv-watch".
+// Calls returns how often an API call, such as "kv-watch", was made.
 func (s *Store) Calls(name string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls[name]
 }
 
-// count counts a call by its name.
-func (s *Store) count(name string) {
+func (s *Store) countCall(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.calls[strings.TrimSuffix(name, "/{id}")]++
 }
 
-// under returns the keys under a prefix, sorted. The caller holds mu.
-func (s *Store) under(prefix string) []string {
+// keysWithPrefix returns the keys with a prefix, sorted. The caller holds mu.
+func (s *Store) keysWithPrefix(prefix string) []string {
 	var keys []string
 	for key := range s.items {
 		if strings.HasPrefix(key, prefix) {
@@ -168,7 +170,7 @@
 	return keys
 }
 
-// write changes the store; all changes of one call share a revision. The caller
+// write applies puts and removals as one revision, which it returns. The caller
 // holds mu.
 func (s *Store) write(puts []storeItem, remove []string) int64 {
 	s.revision++
@@ -191,7 +193,7 @@
 	return s.revision
 }
 
-func (s *Store) key(w http.ResponseWriter, r *http.Request) {
+func (s *Store) getKey(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	item, ok := s.items[r.URL.Query().Get("tls_key")]
@@ -202,10 +204,10 @@
 	writeJSON(w, item)
 }
 
-// pageItems is how many items a page has; few, so that tests see several.
-const pageItems = 5
+// pageSize is the number of items in a page, small so that tests see several pages.
+const pageSize = 5
 
-func (s *Store) page(w http.ResponseWriter, r *http.Request) {
+func (s *Store) listPage(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := struct {
@@ -214,11 +216,11 @@
 		Revision int64       `json:"as_of"`
 	}{Items: []storeItem{}, Revision: s.revision}
 	after := r.URL.Query().Get("after_rev")
-	for _, key := range s.under(r.URL.Query().Get("path_prefix")) {
+	for _, key := range s.keysWithPrefix(r.URL.Query().Get("path_prefix")) {
 		if key <= after {
 			continue
 		}
-		if len(out.Items) == pageItems {
+		if len(out.Items) == pageSize {
 			out.More = true
 			break
 		}
@@ -234,7 +236,7 @@
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	for {
-		events, revision, changed, gone := s.since(query.Get("path_prefix"), after)
+		events, revision, changed, gone := s.changesSince(query.Get("path_prefix"), after)
 		if gone {
 			w.WriteHeader(http.StatusGone)
 			return
@@ -253,10 +255,10 @@
 	}
 }
 
-// since returns the changes under a prefix after a revision, the revision up to
-// which they go, a channel that is closed at the next change, and whether some
-// of the changes are not kept any more.
-func (s *Store) since(prefix string, after int64) (events []storeItem, revision int64, changed chan struct{}, gone bool) {
+// changesSince returns the changes to keys with a prefix after a revision, the current
+// revision, a channel that is closed at the next change, and whether some of the
+// changes have been dropped by [Store.Compact].
+func (s *Store) changesSince(prefix string, after int64) (events []storeItem, revision int64, changed chan struct{}, gone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	events = []storeItem{}
@@ -265,10 +267,10 @@
 			events = append(events, item)
 		}
 	}
-	return events, s.revision, s.changed, after < s.forgotten
+	return events, s.revision, s.changed, after < s.compacted
 }
 
-func (s *Store) txn(w http.ResponseWriter, r *http.Request) {
+func (s *Store) commitTxn(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		Expect []storeItem `json:"expect_rev"`
 		Puts   []storeItem `json:"puts"`
@@ -294,7 +296,7 @@
 	writeJSON(w, map[string]int64{"rev": s.write(in.Puts, in.Remove)})
 }
 
-func (s *Store) grant(w http.ResponseWriter, r *http.Request) {
+func (s *Store) grantLease(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		TTL int64 `json:"ttl_ms"`
 	}
@@ -306,20 +308,20 @@
 	s.revision++
 	id := s.revision
 	l := &storeLease{ttl: time.Duration(in.TTL) * time.Millisecond}
-	l.timer = time.AfterFunc(l.ttl, func() { s.lapse(id) })
+	l.timer = time.AfterFunc(l.ttl, func() { s.endLease(id) })
 	s.leases[id] = l
 	writeJSON(w, map[string]int64{"lease": id, "ttl_ms": in.TTL})
 }
 
-// lapse ends a lease.
-func (s *Store) lapse(id int64) {
+// endLease ends a lease that expired or was revoked.
+func (s *Store) endLease(id int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drop(id)
+	s.removeLease(id)
 }
 
-// drop ends a lease and removes the keys that go with it. The caller holds mu.
-func (s *Store) drop(id int64) {
+// removeLease removes a lease and the keys attached to it. The caller holds mu.
+func (s *Store) removeLease(id int64) {
 	l := s.leases[id]
 	if l == nil {
 		return
@@ -335,7 +337,7 @@
 	s.write(nil, keys)
 }
 
-func (s *Store) keep(w http.ResponseWriter, r *http.Request) {
+func (s *Store) renewLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -348,13 +350,13 @@
 	writeJSON(w, map[string]int64{"ttl_ms": l.ttl.Milliseconds()})
 }
 
-func (s *Store) end(w http.ResponseWriter, r *http.Request) {
+func (s *Store) revokeLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := strconv.ParseInt(r.PathValue("id"), 10, 64)
-	s.lapse(id)
+	s.endLease(id)
 	writeJSON(w, map[string]int64{})
 }
 
-// Close ends the timers of all leases.
+// Close stops the expiry timers of all leases.
 func (s *Store) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
