--- a/adapter/peer/client.go
+++ b/adapter/peer/client.go
@@ -209,7 +209,7 @@
 func (c conn) Invoke(ctx context.Context, call string, encoding drpc.Encoding, in, out drpc.Message) error {
 	c.wire.callContext.Store(&ctx)
 	err := c.Conn.Invoke(ctx, call, encoding, in, out)
-	if err != nil && progress.RanOut(ctx) {
+	if err != nil && progress.TimedOut(ctx) {
 		_ = c.Close()
 	}
 	return err
@@ -225,7 +225,7 @@
 func (c *progressConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if call := c.callContext.Load(); call != nil && n > 0 {
-		progress.Made(*call)
+		progress.Report(*call)
 	}
 	return n, err
 }
@@ -269,7 +269,7 @@
 	err := c.pool.Get(ctx, key, c.dial).Invoke(ctx, call, encoding, &in, &out)
 	c.countCall(call, encoding.sentBytes)
 	if err != nil {
-		if progress.RanOut(ctx) {
+		if progress.TimedOut(ctx) {
 			c.retireConns(key)
 		}
 		return out, errs.Wrap(Unreachable, call, err, "peer %s", address)
--- a/adapter/peer/silent_test.go
+++ b/adapter/peer/silent_test.go
@@ -53,7 +53,7 @@
 	}
 	calls.Wait()
 
-	proxy.SilenceOpen()
+	proxy.BlackholeOpen()
 	exchangeWithin := func(timeout time.Duration) error {
 		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		defer cancel()
--- a/internal/standin/revision.go
+++ b/internal/standin/revision.go
@@ -7,9 +7,9 @@
 	"strings"
 )
 
-// KnownRevision returns the revision of the store up to which a gateway knows everything,
-// as its metrics at a URL tell; zero if they don't.
-func KnownRevision(url string) int64 {
+// StoreRevision returns the store revision that a gateway has caught up with, from
+// its metrics page at url. It returns zero if the page or the metric is missing.
+func StoreRevision(url string) int64 {
 	response, err := http.Get(url)
 	if err != nil {
 		return 0
--- a/mirror/follow.go
+++ b/mirror/follow.go
@@ -164,8 +164,8 @@
 
 // longPollBounds returns the bounds of a call that the other side may hold for wait,
 // and whose answer may be late or pause by the slack.
-func longPollBounds(wait, slack time.Duration) progress.Bounds {
-	return progress.Bounds{First: wait + slack, Silence: slack, Whole: wait + transferTimeout}
+func longPollBounds(wait, slack time.Duration) progress.Timeouts {
+	return progress.Timeouts{FirstByte: wait + slack, Idle: slack, Total: wait + transferTimeout}
 }
 
 // stallSlack is how far a call may exceed its bounds before the delay is attributed to
@@ -174,7 +174,7 @@
 
 // callWithBounds makes a call and returns how long it took. A call that runs out of
 // time fails with the context's cause, or with Stalled if this process did not run.
-func (m *Mirror) callWithBounds(ctx context.Context, b progress.Bounds, call func(context.Context) (Batch, error)) (batch Batch, took time.Duration, err error) {
+func (m *Mirror) callWithBounds(ctx context.Context, b progress.Timeouts, call func(context.Context) (Batch, error)) (batch Batch, took time.Duration, err error) {
 	ctx, cancel := progress.WithTimeout(ctx, b)
 	defer cancel()
 	begun := m.timers.Steady()
@@ -183,9 +183,9 @@
 	if err == nil {
 		return batch, took, nil
 	}
-	allowed := b.First
-	if progress.Begun(ctx) {
-		allowed = b.Whole
+	allowed := b.FirstByte
+	if progress.Started(ctx) {
+		allowed = b.Total
 	}
 	if took > allowed+stallSlack {
 		return batch, took, errs.Wrap(Stalled, "call", err, "the process did not run: %d ms in place of %d", took.Milliseconds(), allowed.Milliseconds())
@@ -247,7 +247,7 @@
 
 // readAll reads a snapshot, from which deletions follow as well.
 func (m *Mirror) readAll(ctx context.Context) error {
-	bounds := progress.Bounds{First: readTimeout, Silence: watchSlack, Whole: readTimeout + transferTimeout}
+	bounds := progress.Timeouts{FirstByte: readTimeout, Idle: watchSlack, Total: readTimeout + transferTimeout}
 	batch, took, err := m.callWithBounds(ctx, bounds, func(ctx context.Context) (Batch, error) {
 		if m.Revision() == 0 {
 			// A node that starts during an outage does not have to wait until the call
@@ -271,7 +271,7 @@
 // peers whose addresses a node starts with.
 func (m *Mirror) queryPeersAfterDelay(read context.Context) {
 	m.pause(read, startupPeerDelay)
-	if m.Revision() == 0 && read.Err() == nil && !progress.Begun(read) {
+	if m.Revision() == 0 && read.Err() == nil && !progress.Started(read) {
 		m.queryPeers(read)
 	}
 }
@@ -279,7 +279,7 @@
 // queryPeers takes what the first peers know.
 func (m *Mirror) queryPeers(ctx context.Context) {
 	addresses := m.peers.Addresses()
-	ctx, cancel := progress.WithTimeout(ctx, progress.Bounds{First: peerTimeout, Silence: peerTimeout, Whole: transferTimeout})
+	ctx, cancel := progress.WithTimeout(ctx, progress.Timeouts{FirstByte: peerTimeout, Idle: peerTimeout, Total: transferTimeout})
 	defer cancel()
 	var calls sync.WaitGroup
 	for _, address := range addresses[:min(peersQueried, len(addresses))] {
