--- a/e2e/doors_test.go
+++ b/e2e/errors_test.go
@@ -27,11 +27,11 @@
 	"github.com/violettally/violettally/internal/standin"
 )
 
-// TestBadInput sends each kind of bad input to the callers' door: a clear
+// TestInvalidInput sends each kind of bad input to the callers' door: a clear
 // error with a stable code, and nothing runs.
-func TestBadInput(t *testing.T) {
+func TestInvalidInput(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, usual)
+	f := newFleet(t, defaultSpec)
 	good := chatBody("brief", "x")
 	tests := []struct {
 		name, method, path, body string
@@ -64,8 +64,8 @@
 		{"request of another account", "GET", "/v1/requests/mine", "", []string{"Authorization", "Bearer " + otherKey}, 404, "request_not_found"},
 		{"id of another request", "POST", "/v1/chat/completions", chatBody("brief", "other"), []string{"Idempotency-Key", "mine"}, 422, "id_reused"},
 	}
-	must.True(t, f.chat(f.nodes[1], "brief", "mine", "Idempotency-Key", "mine").whole())
-	ran := len(f.ran(f.engines))
+	must.True(t, f.chat(f.nodes[1], "brief", "mine", "Idempotency-Key", "mine").complete())
+	ran := len(f.runsByRequestID(f.engineAddrs))
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := f.call(context.Background(), f.nodes[0], tt.method, tt.path, tt.body, tt.headers...)
@@ -74,14 +74,14 @@
 			must.Eq(t, tt.code, r.code, must.Sprint(r.body))
 		})
 	}
-	must.Eq(t, ran, len(f.ran(f.engines)), must.Sprint("bad input must not run"))
-	must.Eq(t, 0, len(f.ran(f.plain)))
-	metrics := string(f.get(f.nodes[0].operator, "/metrics"))
+	must.Eq(t, ran, len(f.runsByRequestID(f.engineAddrs)), must.Sprint("bad input must not run"))
+	must.Eq(t, 0, len(f.runsByRequestID(f.plainAddrs)))
+	metrics := string(f.get(f.nodes[0].operatorAddr, "/metrics"))
 	must.StrContains(t, metrics, `reason="model_not_found"`)
 }
 
-// TestBadAnswers lets engines answer what no caller may be given.
-func TestBadAnswers(t *testing.T) {
+// TestInvalidEngineResponses lets engines answer what no caller may be given.
+func TestInvalidEngineResponses(t *testing.T) {
 	t.Parallel()
 	// Nodes ask for the load whenever they like, so the answer is changed under
 	// requests.
@@ -97,10 +97,10 @@
 	must.NoError(t, err)
 	go func() { _ = engine.Serve(listener) }()
 	t.Cleanup(func() { engine.Close() })
-	f := newFleet(t, shape{halls: 3, perHall: 1, plain: 1})
-	f.engines = []string{listener.Addr().String()}
-	f.apply(f.declaration(nil))
-	f.waitFor("the engine everywhere", func() bool { return f.revisionEverywhere(2, f.nodes...) })
+	f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 1, plainServices: 1})
+	f.engineAddrs = []string{listener.Addr().String()}
+	f.apply(f.newConfig(nil))
+	f.waitFor("the engine everywhere", func() bool { return f.revisionInForce(2, f.nodes...) })
 	tests := []struct {
 		name, model string
 		stream      bool
@@ -129,8 +129,8 @@
 			if tt.stream {
 				body = strings.Replace(body, "false", "true", 1)
 			}
-			noRedirect := &http.Client{Timeout: patience, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-			request, err := http.NewRequest(http.MethodPost, "http://"+f.nodes[0].caller+"/v1/chat/completions", strings.NewReader(body))
+			noRedirect := &http.Client{Timeout: waitTimeout, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
+			request, err := http.NewRequest(http.MethodPost, "http://"+f.nodes[0].clientAddr+"/v1/chat/completions", strings.NewReader(body))
 			must.NoError(t, err)
 			request.Header.Set("Authorization", "Bearer "+accountKey)
 			response, err := noRedirect.Do(request)
@@ -158,46 +158,46 @@
 	}
 }
 
-// TestLostAnswers lets a plain service run calls and lose its answers: what may
+// TestLostResponses lets a plain service run calls and lose its answers: what may
 // not be repeated is not, and nobody is told that it did not run.
-func TestLostAnswers(t *testing.T) {
+func TestLostResponses(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, usual)
-	f.fault(f.plain[0], standin.Fault{LoseAnswers: true})
+	f := newFleet(t, defaultSpec)
+	f.setFault(f.plainAddrs[0], standin.Fault{LoseAnswers: true})
 	for _, n := range f.nodes {
-		r := f.proof(n, "lost-1")
+		r := f.postProof(n, "lost-1")
 		must.Eq(t, "outcome_unknown", r.code, must.Sprint(r.body))
 		must.Eq(t, "unknown", r.ran)
 	}
 	read := f.call(context.Background(), f.nodes[0], http.MethodGet, "/v1/services/records/manifests/7", "")
 	must.Eq(t, "unknown", read.ran, must.Sprint(read.body))
-	f.fault(f.plain[0], standin.Fault{})
-	must.Eq(t, "outcome_unknown", f.proof(f.nodes[1], "lost-1").code)
-	must.Len(t, 1, f.ran(f.plain)["lost-1"])
-	f.fault(f.plain[0], standin.Fault{Down: true})
+	f.setFault(f.plainAddrs[0], standin.Fault{})
+	must.Eq(t, "outcome_unknown", f.postProof(f.nodes[1], "lost-1").code)
+	must.Len(t, 1, f.runsByRequestID(f.plainAddrs)["lost-1"])
+	f.setFault(f.plainAddrs[0], standin.Fault{Down: true})
 	for _, n := range f.nodes {
-		must.NotEq(t, "no", f.proof(n, "lost-2").ran, must.Sprint("a broken connection does not say that nothing ran"))
+		must.NotEq(t, "no", f.postProof(n, "lost-2").ran, must.Sprint("a broken connection does not say that nothing ran"))
 	}
 }
 
-// TestNotRunIsOfTheID refuses ids for causes found before their claim: 'not
+// TestNotRunOnlyForUnusedID refuses ids for causes found before their claim: 'not
 // run' is said of an id that has not run, and not of one that has.
-func TestNotRunIsOfTheID(t *testing.T) {
+func TestNotRunOnlyForUnusedID(t *testing.T) {
 	t.Parallel()
-	f := newFleet(t, usual)
-	must.True(t, f.proof(f.nodes[0], "ran-before").whole())
-	f.apply(f.declaration(func(c *config.Config) { c.Accounts[0].Models = []string{"small"} }))
-	f.waitFor("the change", func() bool { return f.revisionEverywhere(2, f.nodes...) })
+	f := newFleet(t, defaultSpec)
+	must.True(t, f.postProof(f.nodes[0], "ran-before").complete())
+	f.apply(f.newConfig(func(c *config.Config) { c.Accounts[0].Models = []string{"small"} }))
+	f.waitFor("the change", func() bool { return f.revisionInForce(2, f.nodes...) })
 	must.Eq(t, "no", f.chat(f.nodes[1], "brief", "x", "Idempotency-Key", "new").ran)
 	must.Eq(t, "unknown", f.chat(f.nodes[1], "brief", "x", "Idempotency-Key", "ran-before").ran)
 	old := "01850000-0000-7000-8000-000000000001"
-	must.Eq(t, "outcome_unknown", f.proof(f.nodes[2], old).code, must.Sprint("an id from 2022"))
-	must.MapNotContainsKey(t, f.ran(f.plain), old)
+	must.Eq(t, "outcome_unknown", f.postProof(f.nodes[2], old).code, must.Sprint("an id from 2022"))
+	must.MapNotContainsKey(t, f.runsByRequestID(f.plainAddrs), old)
 }
 
-// TestBadSettings starts nodes with settings that cannot work: every fault is
+// TestInvalidSettings starts nodes with settings that cannot work: every fault is
 // named, and the process ends.
-func TestBadSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	t.Parallel()
 	tests := []struct{ name, settings, env, want string }{
 		{"all faults at once", `{
@@ -215,7 +215,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "s.json")
 			must.NoError(t, os.WriteFile(file, []byte(tt.settings), 0o600))
-			cmd := exec.Command(filepath.Join(binaries, "violettally"), "serve", "--settings", file)
+			cmd := exec.Command(filepath.Join(binDir, "violettally"), "serve", "--settings", file)
 			cmd.Env = append(os.Environ(), tt.env)
 			out, err := cmd.CombinedOutput()
 			must.Error(t, err)
@@ -225,55 +225,55 @@
 	}
 }
 
-// certificates makes an authority and a certificate for each node.
-type certificates struct {
-	t         *testing.T
-	dir       string
-	authority *x509.Certificate
-	key       *ecdsa.PrivateKey
+// testCA makes an authority and a certificate for each node.
+type testCA struct {
+	t    *testing.T
+	dir  string
+	cert *x509.Certificate
+	key  *ecdsa.PrivateKey
 }
 
-func newCertificates(t *testing.T) *certificates {
-	c := &certificates{t: t, dir: t.TempDir()}
+func newTestCA(t *testing.T) *testCA {
+	c := &testCA{t: t, dir: t.TempDir()}
 	var err error
 	c.key, err = ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	must.NoError(t, err)
-	c.authority = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"}, NotAfter: time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
-	der, err := x509.CreateCertificate(rand.Reader, c.authority, c.authority, &c.key.PublicKey, c.key)
+	c.cert = &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "authority"}, NotAfter: time.Now().Add(time.Hour), IsCA: true, BasicConstraintsValid: true, KeyUsage: x509.KeyUsageCertSign}
+	der, err := x509.CreateCertificate(rand.Reader, c.cert, c.cert, &c.key.PublicKey, c.key)
 	must.NoError(t, err)
-	c.write("authority.pem", "CERTIFICATE", der)
+	c.writePEM("authority.pem", "CERTIFICATE", der)
 	return c
 }
 
-func (c *certificates) write(name, kind string, der []byte) string {
+func (c *testCA) writePEM(name, kind string, der []byte) string {
 	file := filepath.Join(c.dir, name)
 	must.NoError(c.t, os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
 	return file
 }
 
-func (c *certificates) issue(name string) (certificate, key, authority string) {
+func (c *testCA) issue(name string) (certificate, key, authority string) {
 	own, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	must.NoError(c.t, err)
 	template := &x509.Certificate{SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: name}, NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}
-	der, err := x509.CreateCertificate(rand.Reader, template, c.authority, &own.PublicKey, c.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, c.cert, &own.PublicKey, c.key)
 	must.NoError(c.t, err)
 	keyDER, err := x509.MarshalECPrivateKey(own)
 	must.NoError(c.t, err)
-	return c.write(name+".pem", "CERTIFICATE", der), c.write(name+".key", "EC PRIVATE KEY", keyDER), filepath.Join(c.dir, "authority.pem")
+	return c.writePEM(name+".pem", "CERTIFICATE", der), c.writePEM(name+".key", "EC PRIVATE KEY", keyDER), filepath.Join(c.dir, "authority.pem")
 }
 
-// TestPeersUnderTLS runs the path with mutual TLS between nodes, and turns
+// TestPeerMutualTLS runs the path with mutual TLS between nodes, and turns
 // away who has no certificate of the authority.
-func TestPeersUnderTLS(t *testing.T) {
+func TestPeerMutualTLS(t *testing.T) {
 	t.Parallel()
-	s := usual
-	s.certificates = newCertificates(t).issue
+	s := defaultSpec
+	s.issueCertificate = newTestCA(t).issue
 	f := newFleet(t, s)
-	must.True(t, f.proof(f.nodes[0], "tls-1").whole())
-	must.Eq(t, f.proof(f.nodes[0], "tls-1").body, f.proof(f.nodes[1], "tls-1").body)
-	stranger, _, _ := newCertificates(t).issue("stranger")
+	must.True(t, f.postProof(f.nodes[0], "tls-1").complete())
+	must.Eq(t, f.postProof(f.nodes[0], "tls-1").body, f.postProof(f.nodes[1], "tls-1").body)
+	stranger, _, _ := newTestCA(t).issue("stranger")
 	must.FileExists(t, stranger)
-	conn, err := tls.Dial("tcp", f.nodes[0].peerListen, &tls.Config{InsecureSkipVerify: true, MinVersion: tls.VersionTLS13})
+	conn, err := tls.Dial("tcp", f.nodes[0].peerAddr, &tls.Config{InsecureSkipVerify: true, MinVersion: tls.VersionTLS13})
 	if err == nil {
 		_, err = conn.Read(make([]byte, 1))
 		conn.Close()
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -18,16 +18,16 @@
 	stepsFlag = flag.Int("steps", 4, "faults in a randomised run")
 )
 
-var faultShape = shape{
-	halls: 3, perHall: 2, engines: 2, plain: 1,
-	engineArgs: []string{"--token-ms", "1", "--tokens", fmt.Sprint(answerSize), "--fencing"},
+var faultSpec = fleetSpec{
+	halls: 3, nodesPerHall: 2, engines: 2, plainServices: 1,
+	engineArgs: []string{"--token-ms", "1", "--tokens", fmt.Sprint(responseTokens), "--fencing"},
 	plainArgs:  []string{"--delay-ms", "5"},
-	declare:    rollingOut,
+	editConfig: startRollout,
 }
 
-// rollingOut has a roll-out under way, whose stages move on while the workload
+// startRollout has a roll-out under way, whose stages move on while the workload
 // runs, so that a session that is not pinned would change its version.
-func rollingOut(c *config.Config) {
+func startRollout(c *config.Config) {
 	c.Models[1].Versions[1].State = config.VersionRollingOut
 	c.Models[1].Rollout = &config.Rollout{
 		Version: "v2",
@@ -36,24 +36,24 @@
 	}
 }
 
-// faultTime is how long a fault lasts while the workload goes on.
-const faultTime = 1500 * time.Millisecond
+// faultDuration is how long a fault lasts while the workload goes on.
+const faultDuration = 1500 * time.Millisecond
 
 // fault is one thing that goes wrong while callers go on, and its end.
 type fault struct {
 	name   string
-	inject func(w *workload, random *rand.Rand)
+	inject func(w *workload, rng *rand.Rand)
 }
 
-// pick returns a random node.
-func pick(w *workload, random *rand.Rand) *entry {
-	return w.f.nodes[random.IntN(len(w.f.nodes))]
+// randomNode returns a random node.
+func randomNode(w *workload, rng *rand.Rand) *node {
+	return w.f.nodes[rng.IntN(len(w.f.nodes))]
 }
 
-// replace gives a VM that has ended a new process, and waits for it.
-func replace(w *workload, nodes ...*entry) {
+// replaceNodes gives a VM that has ended a new process, and waits for it.
+func replaceNodes(w *workload, nodes ...*node) {
 	for _, n := range nodes {
-		w.f.restart(n)
+		w.f.restartNode(n)
 	}
 	w.f.waitReady(nodes...)
 }
@@ -61,40 +61,40 @@
 // faults are the single faults; the randomised run draws from them, two at
 // once too.
 var faults = []fault{
-	{"kill a node", func(w *workload, random *rand.Rand) {
-		n := pick(w, random)
+	{"kill a node", func(w *workload, rng *rand.Rand) {
+		n := randomNode(w, rng)
 		w.note("kill %s", n.vm)
 		n.kill()
-		hold(faultTime)
-		replace(w, n)
+		runFor(faultDuration)
+		replaceNodes(w, n)
 		w.note("%s is back with an empty memory", n.vm)
 	}},
-	{"freeze a node", func(w *workload, random *rand.Rand) {
-		n := pick(w, random)
+	{"freeze a node", func(w *workload, rng *rand.Rand) {
+		n := randomNode(w, rng)
 		w.note("freeze %s", n.vm)
 		n.freeze()
-		hold(2 * faultTime)
+		runFor(2 * faultDuration)
 		n.thaw()
 		w.note("thaw %s", n.vm)
 		w.f.waitReady(n)
 	}},
-	{"cut a node off inward", func(w *workload, random *rand.Rand) {
-		n := pick(w, random)
+	{"cut a node off inward", func(w *workload, rng *rand.Rand) {
+		n := randomNode(w, rng)
 		w.note("peers do not reach %s", n.vm)
 		n.peerProxy.Set(faultproxy.Reset)
-		hold(2 * faultTime)
+		runFor(2 * faultDuration)
 		n.peerProxy.Set(faultproxy.Pass)
 		w.note("peers reach %s", n.vm)
 	}},
-	{"cut a data hall off from the platform", func(w *workload, random *rand.Rand) {
-		hall := pick(w, random).hall
+	{"cut a data hall off from the platform", func(w *workload, rng *rand.Rand) {
+		hall := randomNode(w, rng).hall
 		w.note("%s does not reach the platform", hall)
 		for _, n := range w.f.nodes {
 			if n.hall == hall {
 				n.platformProxy.Set(faultproxy.Reset)
 			}
 		}
-		hold(2 * faultTime)
+		runFor(2 * faultDuration)
 		for _, n := range w.f.nodes {
 			n.platformProxy.Set(faultproxy.Pass)
 		}
@@ -102,67 +102,67 @@
 	}},
 	{"platform down", func(w *workload, _ *rand.Rand) {
 		w.note("platform down")
-		w.f.fault(w.f.kv, standin.Fault{Down: true})
-		hold(2 * faultTime)
-		w.f.fault(w.f.kv, standin.Fault{})
+		w.f.setFault(w.f.kvAddr, standin.Fault{Down: true})
+		runFor(2 * faultDuration)
+		w.f.setFault(w.f.kvAddr, standin.Fault{})
 		w.note("platform up")
 	}},
 	{"platform slow", func(w *workload, _ *rand.Rand) {
 		w.note("platform slow")
-		w.f.fault(w.f.kv, standin.Fault{SlowMillis: 400})
-		hold(2 * faultTime)
-		w.f.fault(w.f.kv, standin.Fault{})
+		w.f.setFault(w.f.kvAddr, standin.Fault{SlowMillis: 400})
+		runFor(2 * faultDuration)
+		w.f.setFault(w.f.kvAddr, standin.Fault{})
 		w.note("platform fast")
 	}},
 	{"platform loses answers", func(w *workload, _ *rand.Rand) {
 		w.note("platform loses answers after the write")
-		w.f.fault(w.f.kv, standin.Fault{LoseAnswers: true})
-		hold(2 * faultTime)
-		w.f.fault(w.f.kv, standin.Fault{})
+		w.f.setFault(w.f.kvAddr, standin.Fault{LoseAnswers: true})
+		runFor(2 * faultDuration)
+		w.f.setFault(w.f.kvAddr, standin.Fault{})
 		w.note("platform answers")
 	}},
 	{"rating service down", func(w *workload, _ *rand.Rand) {
 		w.note("rating down")
-		w.f.fault(w.f.rating, standin.Fault{Down: true})
-		hold(faultTime)
-		w.f.fault(w.f.rating, standin.Fault{})
+		w.f.setFault(w.f.ratingAddr, standin.Fault{Down: true})
+		runFor(faultDuration)
+		w.f.setFault(w.f.ratingAddr, standin.Fault{})
 		w.note("rating up")
 	}},
-	{"an engine breaks its streams", func(w *workload, random *rand.Rand) {
-		engine := w.f.engines[random.IntN(len(w.f.engines))]
+	{"an engine breaks its streams", func(w *workload, rng *rand.Rand) {
+		engine := w.f.engineAddrs[rng.IntN(len(w.f.engineAddrs))]
 		w.note("engine %s breaks streams after 5 tokens", engine)
-		w.f.behave(engine, map[string]any{"die_after": 5})
-		hold(faultTime)
-		w.f.behave(engine, map[string]any{"die_after": 0})
+		w.f.setBehaviour(engine, map[string]any{"die_after": 5})
+		runFor(faultDuration)
+		w.f.setBehaviour(engine, map[string]any{"die_after": 0})
 		w.note("engine %s is whole", engine)
 	}},
-	{"an engine fails", func(w *workload, random *rand.Rand) {
-		engine := w.f.engines[random.IntN(len(w.f.engines))]
+	{"an engine fails", func(w *workload, rng *rand.Rand) {
+		engine := w.f.engineAddrs[rng.IntN(len(w.f.engineAddrs))]
 		w.note("engine %s answers 500", engine)
-		w.f.behave(engine, map[string]any{"fail_share": 1})
-		hold(faultTime)
-		w.f.behave(engine, map[string]any{"fail_share": 0})
+		w.f.setBehaviour(engine, map[string]any{"fail_share": 1})
+		runFor(faultDuration)
+		w.f.setBehaviour(engine, map[string]any{"fail_share": 0})
 		w.note("engine %s is well", engine)
 	}},
-	{"planned stop of a node", func(w *workload, random *rand.Rand) {
-		n := pick(w, random)
+	{"planned stop of a node", func(w *workload, rng *rand.Rand) {
+		n := randomNode(w, rng)
 		w.note("stop %s", n.vm)
-		n.stop()
-		replace(w, n)
+		n.shutdown()
+		replaceNodes(w, n)
 		w.note("%s is back", n.vm)
 	}},
-	{"a data hall is lost and replaced", func(w *workload, random *rand.Rand) {
-		hall := pick(w, random).hall
+	{"a data hall is lost and replaced", func(w *workload, rng *rand.Rand) {
+		hall := randomNode(w, rng).hall
 		w.note("kill all of %s", hall)
-		var lost []*entry
+		var lost []*node
 		for _, n := range w.f.nodes {
 			if n.hall == hall {
 				n.kill()
 				lost = append(lost, n)
 			}
 		}
-		hold(faultTime)
-		replace(w, lost...)
+		runFor(faultDuration)
+		replaceNodes(w, lost...)
 		w.note("%s is back", hall)
 	}},
 }
@@ -180,11 +180,11 @@
 
 // runFault runs the workload under one fault and checks it.
 func runFault(t *testing.T, what fault, seed uint64) *workload {
-	f := newFleet(t, faultShape)
+	f := newFleet(t, faultSpec)
 	w := startWorkload(f, seed)
-	w.flow()
+	w.waitForResponses()
 	what.inject(w, rand.New(rand.NewPCG(seed, 0)))
-	w.flow()
+	w.waitForResponses()
 	w.stop()
 	w.check(t)
 	return w
@@ -201,13 +201,13 @@
 		t.Run(fmt.Sprintf("seed_%d", seed), func(t *testing.T) {
 			t.Parallel()
 			t.Logf("seed %d, %d steps", seed, *stepsFlag)
-			random := rand.New(rand.NewPCG(seed, 99))
-			f := newFleet(t, faultShape)
+			rng := rand.New(rand.NewPCG(seed, 99))
+			f := newFleet(t, faultSpec)
 			w := startWorkload(f, seed)
-			w.flow()
+			w.waitForResponses()
 			for range *stepsFlag {
-				w.step(random)
-				w.flow()
+				w.injectRandomFaults(rng)
+				w.waitForResponses()
 			}
 			w.stop()
 			w.check(t)
@@ -216,12 +216,12 @@
 	}
 }
 
-// step injects one fault, or two at once if they do not act on the same part.
-func (w *workload) step(random *rand.Rand) {
-	first := faults[random.IntN(len(faults))]
-	second := faults[random.IntN(len(faults))]
-	seedA, seedB := random.Uint64(), random.Uint64()
-	if random.IntN(2) == 0 || onNodes(first) && onNodes(second) || onPlatform(first) && onPlatform(second) {
+// injectRandomFaults injects one fault, or two at once if they do not act on the same part.
+func (w *workload) injectRandomFaults(rng *rand.Rand) {
+	first := faults[rng.IntN(len(faults))]
+	second := faults[rng.IntN(len(faults))]
+	seedA, seedB := rng.Uint64(), rng.Uint64()
+	if rng.IntN(2) == 0 || affectsNodes(first) && affectsNodes(second) || affectsPlatform(first) && affectsPlatform(second) {
 		first.inject(w, rand.New(rand.NewPCG(seedA, 0)))
 		return
 	}
@@ -234,8 +234,8 @@
 	<-done
 }
 
-func onNodes(f fault) bool {
+func affectsNodes(f fault) bool {
 	return strings.Contains(f.name, "node") || strings.Contains(f.name, "data hall is")
 }
 
-func onPlatform(f fault) bool { return strings.Contains(f.name, "platform") }
+func affectsPlatform(f fault) bool { return strings.Contains(f.name, "platform") }
--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -29,17 +29,17 @@
 	"github.com/violettally/violettally/internal/standin"
 )
 
-var binaries string
+var binDir string
 
 func TestMain(m *testing.M) {
-	host = loopback(os.Getpid())
+	listenHost = loopbackAddress(os.Getpid())
 	code := func() int {
 		dir, err := os.MkdirTemp("", "violettally-e2e")
 		if err != nil {
 			panic(err)
 		}
 		defer os.RemoveAll(dir)
-		binaries = dir
+		binDir = dir
 		for _, target := range []string{"../cmd/violettally", "../internal/standin/cmd/standin"} {
 			build := exec.Command("go", append(buildFlags, "-o", dir, target)...)
 			build.Stderr = os.Stderr
@@ -56,8 +56,8 @@
 	operatorKey = "operator-key"
 	accountKey  = "account-key"
 	otherKey    = "other-key"
-	// patience bounds every wait for a condition; nothing is judged by time.
-	patience = 40 * time.Second
+	// waitTimeout bounds every wait for a condition; nothing is judged by time.
+	waitTimeout = 40 * time.Second
 )
 
 // Ports are handed out from below the range that outgoing connections use, and
@@ -68,19 +68,19 @@
 )
 
 var (
-	// host is this run's own address: of two runs at once on one address, six
+	// listenHost is this run's own address: of two runs at once on one address, six
 	// beside each other in the worst case, a node found its port "already in
 	// use" between freeAddress and its start in 2 of 33.
-	host     string
-	nextPort atomic.Int32
-	// forking keeps a process that is being started from holding a listener of
+	listenHost string
+	nextPort   atomic.Int32
+	// forkMu keeps a process that is being started from holding a listener of
 	// freeAddress open between its fork and its exec.
-	forking sync.Mutex
+	forkMu sync.Mutex
 )
 
-// loopback returns the address of 127.0.0.0/8 for a run of the tests. The ranges
+// loopbackAddress returns the address of 127.0.0.0/8 for a run of the tests. The ranges
 // of the other packages' fleets end below it.
-func loopback(pid int) string {
+func loopbackAddress(pid int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 200+pid%50, pid/50%250, pid/12_500%250+1)
 }
 
@@ -89,7 +89,7 @@
 	t.Helper()
 	for range lastPort - firstPort {
 		port := firstPort + int(nextPort.Add(1))%(lastPort-firstPort)
-		address := fmt.Sprintf("%s:%d", host, port)
+		address := fmt.Sprintf("%s:%d", listenHost, port)
 		if isFree(address) {
 			return address
 		}
@@ -99,8 +99,8 @@
 }
 
 func isFree(address string) bool {
-	forking.Lock()
-	defer forking.Unlock()
+	forkMu.Lock()
+	defer forkMu.Unlock()
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return false
@@ -111,23 +111,23 @@
 
 // process is one process that the test started.
 type process struct {
-	t    testing.TB
-	name string
-	cmd  *exec.Cmd
-	log  string
-	done chan struct{}
+	t       testing.TB
+	name    string
+	cmd     *exec.Cmd
+	logPath string
+	done    chan struct{}
 }
 
-func start(t testing.TB, name, binary string, args ...string) *process {
+func startProcess(t testing.TB, name, binary string, args ...string) *process {
 	t.Helper()
 	logFile := filepath.Join(t.TempDir(), strings.ReplaceAll(name, "/", "-")+".log")
 	out, err := os.Create(logFile)
 	must.NoError(t, err)
-	p := &process{t: t, name: name, cmd: exec.Command(filepath.Join(binaries, binary), args...), log: logFile, done: make(chan struct{})}
+	p := &process{t: t, name: name, cmd: exec.Command(filepath.Join(binDir, binary), args...), logPath: logFile, done: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = out, out
-	forking.Lock()
+	forkMu.Lock()
 	err = p.cmd.Start()
-	forking.Unlock()
+	forkMu.Unlock()
 	must.NoError(t, err)
 	go func() {
 		_ = p.cmd.Wait()
@@ -137,7 +137,7 @@
 	t.Cleanup(func() {
 		p.signal(syscall.SIGCONT)
 		p.kill()
-		if data, _ := os.ReadFile(p.log); bytes.Contains(data, []byte("DATA RACE")) {
+		if data, _ := os.ReadFile(p.logPath); bytes.Contains(data, []byte("DATA RACE")) {
 			t.Errorf("%s has a data race", p.name)
 		}
 		if t.Failed() {
@@ -159,119 +159,121 @@
 func (p *process) freeze() { p.signal(syscall.SIGSTOP) }
 func (p *process) thaw()   { p.signal(syscall.SIGCONT) }
 
-// stop asks the process to end and waits until it has.
-func (p *process) stop() {
+// shutdown asks the process to end and waits until it has.
+func (p *process) shutdown() {
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		p.t.Fatalf("%s did not stop", p.name)
 	}
 }
 
-// maxLog is how much of a process's log a failed test prints, in bytes: some 20 s of
+// maxLogBytes is how much of a process's log a failed test prints, in bytes: some 20 s of
 // requests. A bill that is missing shows at the end of a run, and its request may be
 // any of those before; with the last 4 kB its line was gone.
-const maxLog = 400_000
+const maxLogBytes = 400_000
 
 func (p *process) printLog() {
-	data, _ := os.ReadFile(p.log)
-	p.t.Logf("log of %s:\n%s", p.name, data[max(0, len(data)-maxLog):])
+	data, _ := os.ReadFile(p.logPath)
+	p.t.Logf("log of %s:\n%s", p.name, data[max(0, len(data)-maxLogBytes):])
 }
 
-// entry is one node of the system with the addresses that the test uses. The
+// node is one node of the system with the addresses that the test uses. The
 // node tells its peers the address of a proxy, so that the test can cut it.
-type entry struct {
+type node struct {
 	*process
 	vm, hall                 string
-	caller, operator         string
+	clientAddr, operatorAddr string
 	peerProxy, platformProxy *faultproxy.Proxy
 	settingsFile             string
-	peerListen               string
+	peerAddr                 string
 }
 
 // fleet is one deployment.
 type fleet struct {
-	t        testing.TB
-	dir      string
-	kv       string
-	vms      string
-	rating   string
-	engines  []string
-	plain    []string
-	backends []*process
-	nodes    []*entry
-	mu       sync.Mutex
-	listed   map[string]string
-}
-
-// shape is what a fleet consists of.
-type shape struct {
-	halls   int
-	perHall int
-	engines int
-	plain   int
+	t           testing.TB
+	dir         string
+	kvAddr      string
+	vmListAddr  string
+	ratingAddr  string
+	engineAddrs []string
+	plainAddrs  []string
+	backends    []*process
+	nodes       []*node
+	mu          sync.Mutex
+	vmStates    map[string]string
+}
+
+// fleetSpec is what a fleet consists of.
+type fleetSpec struct {
+	halls         int
+	nodesPerHall  int
+	engines       int
+	plainServices int
 	// engineArgs go to every engine stand-in.
 	engineArgs []string
 	plainArgs  []string
 	// tls lets the peers speak mutual TLS.
-	certificates func(name string) (certificate, key, authority string)
-	// declare changes the first configuration.
-	declare func(*config.Config)
+	issueCertificate func(name string) (certificate, key, authority string)
+	// editConfig changes the first configuration.
+	editConfig func(*config.Config)
 }
 
-var usual = shape{halls: 3, perHall: 1, engines: 2, plain: 1, engineArgs: []string{"--token-ms", "1"}}
+var defaultSpec = fleetSpec{halls: 3, nodesPerHall: 1, engines: 2, plainServices: 1, engineArgs: []string{"--token-ms", "1"}}
 
 // newFleet starts stand-ins and nodes and applies the first configuration.
-func newFleet(t testing.TB, s shape) *fleet {
+func newFleet(t testing.TB, s fleetSpec) *fleet {
 	t.Helper()
-	f := &fleet{t: t, dir: t.TempDir(), listed: make(map[string]string)}
-	f.kv, f.vms, f.rating = freeAddress(t), freeAddress(t), freeAddress(t)
-	start(t, "kv", "standin", "kv", "--listen", f.kv)
-	start(t, "vmlist", "standin", "vmlist", "--listen", f.vms)
-	start(t, "rating", "standin", "rating", "--listen", f.rating)
+	f := &fleet{t: t, dir: t.TempDir(), vmStates: make(map[string]string)}
+	f.kvAddr, f.vmListAddr, f.ratingAddr = freeAddress(t), freeAddress(t), freeAddress(t)
+	startProcess(t, "kv", "standin", "kv", "--listen", f.kvAddr)
+	startProcess(t, "vmlist", "standin", "vmlist", "--listen", f.vmListAddr)
+	startProcess(t, "rating", "standin", "rating", "--listen", f.ratingAddr)
 	for i := range s.engines {
 		address := freeAddress(t)
 		args := append([]string{"engine", "--listen", address, "--name", fmt.Sprintf("e%d", i)}, s.engineArgs...)
-		f.backends = append(f.backends, start(t, fmt.Sprintf("e%d", i), "standin", args...))
-		f.engines = append(f.engines, address)
-		f.listed[fmt.Sprintf("e%d", i)] = "live"
+		f.backends = append(f.backends, startProcess(t, fmt.Sprintf("e%d", i), "standin", args...))
+		f.engineAddrs = append(f.engineAddrs, address)
+		f.vmStates[fmt.Sprintf("e%d", i)] = "live"
 	}
-	for i := range s.plain {
+	for i := range s.plainServices {
 		address := freeAddress(t)
 		args := append([]string{"plain", "--listen", address}, s.plainArgs...)
-		f.backends = append(f.backends, start(t, fmt.Sprintf("p%d", i), "standin", args...))
-		f.plain = append(f.plain, address)
-		f.listed[fmt.Sprintf("p%d", i)] = "live"
+		f.backends = append(f.backends, startProcess(t, fmt.Sprintf("p%d", i), "standin", args...))
+		f.plainAddrs = append(f.plainAddrs, address)
+		f.vmStates[fmt.Sprintf("p%d", i)] = "live"
 	}
-	f.waitFor("stand-ins", func() bool { return f.putVMs() == nil && f.get(f.kv, "/calls") != nil && f.get(f.rating, "/x") != nil })
+	f.waitFor("stand-ins", func() bool {
+		return f.putVMList() == nil && f.get(f.kvAddr, "/calls") != nil && f.get(f.ratingAddr, "/x") != nil
+	})
 	for hall := range s.halls {
-		for i := range s.perHall {
+		for i := range s.nodesPerHall {
 			f.startNode(fmt.Sprintf("n%d%c", hall, 'a'+i), fmt.Sprintf("hall-%d", hall), s)
 		}
 	}
-	f.waitFor("a node's operator door", func() bool { return f.get(f.nodes[0].operator, "/health") != nil })
-	f.apply(f.declaration(s.declare))
+	f.waitFor("a node's operator door", func() bool { return f.get(f.nodes[0].operatorAddr, "/health") != nil })
+	f.apply(f.newConfig(s.editConfig))
 	f.waitReady(f.nodes...)
 	return f
 }
 
-func (f *fleet) startNode(vm, hall string, s shape) *entry {
+func (f *fleet) startNode(vm, hall string, s fleetSpec) *node {
 	f.t.Helper()
-	n := &entry{vm: vm, hall: hall, caller: freeAddress(f.t), operator: freeAddress(f.t), peerListen: freeAddress(f.t)}
-	n.peerProxy = newProxy(f.t, n.peerListen)
-	n.platformProxy = newProxy(f.t, f.kv)
+	n := &node{vm: vm, hall: hall, clientAddr: freeAddress(f.t), operatorAddr: freeAddress(f.t), peerAddr: freeAddress(f.t)}
+	n.peerProxy = newProxy(f.t, n.peerAddr)
+	n.platformProxy = newProxy(f.t, f.kvAddr)
 	values := map[string]any{
 		"name": vm, "data_hall": hall,
-		"caller":        map[string]any{"listen": n.caller},
-		"operator":      map[string]any{"listen": n.operator},
-		"platform":      map[string]any{"key_value": []string{"http://" + n.platformProxy.Address()}, "vm_list": "http://" + f.vms, "rating": "http://" + f.rating},
+		"caller":        map[string]any{"listen": n.clientAddr},
+		"operator":      map[string]any{"listen": n.operatorAddr},
+		"platform":      map[string]any{"key_value": []string{"http://" + n.platformProxy.Address()}, "vm_list": "http://" + f.vmListAddr, "rating": "http://" + f.ratingAddr},
 		"bootstrap_key": config.Digest(operatorKey),
 		"times":         map[string]any{"probe_ms": 200, "address_ttl_ms": 500, "fold_ms": 500, "vm_list_ms": 300, "lease_ms": 4000, "answer_life_ms": 60000, "request_ms": 30000},
 	}
-	door := map[string]any{"listen": n.peerListen, "advertise": n.peerProxy.Address()}
-	if s.certificates != nil {
-		door["certificate"], door["key"], door["authority"] = three(s.certificates(vm))
+	door := map[string]any{"listen": n.peerAddr, "advertise": n.peerProxy.Address()}
+	if s.issueCertificate != nil {
+		door["certificate"], door["key"], door["authority"] = asAny(s.issueCertificate(vm))
 	}
 	values["peer"] = door
 	n.settingsFile = filepath.Join(f.dir, vm+".json")
@@ -279,38 +281,38 @@
 	must.NoError(f.t, err)
 	must.NoError(f.t, os.WriteFile(n.settingsFile, data, 0o600))
 	f.mu.Lock()
-	f.listed[vm] = "live"
+	f.vmStates[vm] = "live"
 	f.mu.Unlock()
-	must.NoError(f.t, f.putVMs())
-	n.process = start(f.t, vm, "violettally", "serve", "--settings", n.settingsFile)
+	must.NoError(f.t, f.putVMList())
+	n.process = startProcess(f.t, vm, "violettally", "serve", "--settings", n.settingsFile)
 	f.nodes = append(f.nodes, n)
 	return n
 }
 
-func three(a, b, c string) (any, any, any) { return a, b, c }
+func asAny(a, b, c string) (any, any, any) { return a, b, c }
 
-// restart starts a new process on the VM of a node that has ended.
-func (f *fleet) restart(n *entry) {
+// restartNode starts a new process on the VM of a node that has ended.
+func (f *fleet) restartNode(n *node) {
 	f.t.Helper()
-	n.process = start(f.t, n.vm, "violettally", "serve", "--settings", n.settingsFile)
+	n.process = startProcess(f.t, n.vm, "violettally", "serve", "--settings", n.settingsFile)
 }
 
-// setVM changes a VM's state on the list; "" takes it off.
-func (f *fleet) setVM(name, state string) {
+// setVMState changes a VM's state on the list; "" takes it off.
+func (f *fleet) setVMState(name, state string) {
 	f.mu.Lock()
 	if state == "" {
-		delete(f.listed, name)
+		delete(f.vmStates, name)
 	} else {
-		f.listed[name] = state
+		f.vmStates[name] = state
 	}
 	f.mu.Unlock()
-	must.NoError(f.t, f.putVMs())
+	must.NoError(f.t, f.putVMList())
 }
 
-func (f *fleet) putVMs() error {
+func (f *fleet) putVMList() error {
 	f.mu.Lock()
 	list := []standin.VM{}
-	for name, state := range f.listed {
+	for name, state := range f.vmStates {
 		vm := standin.VM{Name: name, State: state}
 		for _, n := range f.nodes {
 			if n.vm == name {
@@ -320,22 +322,22 @@
 		list = append(list, vm)
 	}
 	f.mu.Unlock()
-	return f.post(f.vms, "/vms", map[string]any{"vms": list})
+	return f.post(f.vmListAddr, "/vms", map[string]any{"vms": list})
 }
 
-// fault tells a stand-in how to misbehave.
-func (f *fleet) fault(address string, fault standin.Fault) {
+// setFault tells a stand-in how to misbehave.
+func (f *fleet) setFault(address string, fault standin.Fault) {
 	f.t.Helper()
 	must.NoError(f.t, f.post(address, "/fault", fault))
 }
 
-// behave changes an engine's behaviour; fields that are not given stay.
-func (f *fleet) behave(address string, fields map[string]any) {
+// setBehaviour changes an engine's behaviour; fields that are not given stay.
+func (f *fleet) setBehaviour(address string, fields map[string]any) {
 	f.t.Helper()
 	must.NoError(f.t, f.post(address, "/behave", fields))
 }
 
-var httpClient = &http.Client{Timeout: patience}
+var httpClient = &http.Client{Timeout: waitTimeout}
 
 func (f *fleet) post(address, path string, value any) error {
 	data, err := json.Marshal(value)
@@ -367,7 +369,7 @@
 // waitFor polls a condition until it holds.
 func (f *fleet) waitFor(what string, holds func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
 			f.t.Fatalf("waited in vain for %s", what)
@@ -376,15 +378,15 @@
 	}
 }
 
-func (f *fleet) waitReady(nodes ...*entry) {
+func (f *fleet) waitReady(nodes ...*node) {
 	f.t.Helper()
 	for _, n := range nodes {
-		f.waitFor(n.vm+" to be ready", func() bool { return strings.HasPrefix(string(f.get(n.operator, "/ready")), "ready") })
+		f.waitFor(n.vm+" to be ready", func() bool { return strings.HasPrefix(string(f.get(n.operatorAddr, "/ready")), "ready") })
 	}
 }
 
-// ran lists what the backend servers did, by request id.
-func (f *fleet) ran(addresses []string) map[string][]standin.Run {
+// runsByRequestID lists what the backend servers did, by request id.
+func (f *fleet) runsByRequestID(addresses []string) map[string][]standin.Run {
 	f.t.Helper()
 	all := make(map[string][]standin.Run)
 	for _, address := range addresses {
@@ -397,10 +399,10 @@
 	return all
 }
 
-// operator runs an operator's command and returns its exit code and output.
-func (f *fleet) operator(n *entry, args ...string) (int, string) {
+// runOperatorCommand runs an operator's command and returns its exit code and output.
+func (f *fleet) runOperatorCommand(n *node, args ...string) (int, string) {
 	f.t.Helper()
-	cmd := exec.Command(filepath.Join(binaries, "violettally"), append(args, "--node", "http://"+n.operator, "--key", operatorKey)...)
+	cmd := exec.Command(filepath.Join(binDir, "violettally"), append(args, "--node", "http://"+n.operatorAddr, "--key", operatorKey)...)
 	out, err := cmd.CombinedOutput()
 	if exit, ok := err.(*exec.ExitError); ok {
 		return exit.ExitCode(), string(out)
@@ -412,11 +414,11 @@
 // apply puts a declaration in force by way of the first node.
 func (f *fleet) apply(c *config.Config) {
 	f.t.Helper()
-	code, out := f.operator(f.nodes[0], "apply", f.write(c))
+	code, out := f.runOperatorCommand(f.nodes[0], "apply", f.writeConfig(c))
 	must.Eq(f.t, 0, code, must.Sprint(out))
 }
 
-func (f *fleet) write(c *config.Config) string {
+func (f *fleet) writeConfig(c *config.Config) string {
 	f.t.Helper()
 	data, err := json.MarshalIndent(c, "", " ")
 	must.NoError(f.t, err)
@@ -425,8 +427,8 @@
 	return file
 }
 
-// declaration is the usual configuration, changed by change.
-func (f *fleet) declaration(change func(*config.Config)) *config.Config {
+// newConfig is the usual configuration, changed by change.
+func (f *fleet) newConfig(change func(*config.Config)) *config.Config {
 	c := &config.Config{
 		Operators: []config.Operator{{Name: "ops", Keys: []string{config.Digest(operatorKey)}}},
 		Accounts: []config.Account{
@@ -447,10 +449,10 @@
 			{Method: "POST", Path: "/proofs"},
 		}}},
 	}
-	for i, address := range f.engines {
+	for i, address := range f.engineAddrs {
 		c.Pools[0].Servers = append(c.Pools[0].Servers, config.Server{Name: fmt.Sprintf("e%d", i), URL: "http://" + address, DataHall: "hall-0", Slots: 16, ChecksFencing: true})
 	}
-	for i, address := range f.plain {
+	for i, address := range f.plainAddrs {
 		c.Pools[1].Servers = append(c.Pools[1].Servers, config.Server{Name: fmt.Sprintf("p%d", i), URL: "http://" + address, DataHall: "hall-0", Slots: 64})
 	}
 	if change != nil {
@@ -459,8 +461,8 @@
 	return c
 }
 
-// reply is what a caller got.
-type reply struct {
+// clientResponse is what a caller got.
+type clientResponse struct {
 	status int
 	header http.Header
 	body   string
@@ -469,12 +471,14 @@
 	ran    string
 }
 
-// whole reports whether a caller has a whole answer.
-func (r reply) whole() bool { return r.err == nil && r.status == http.StatusOK && r.code == "" }
+// complete reports whether a caller has a whole answer.
+func (r clientResponse) complete() bool {
+	return r.err == nil && r.status == http.StatusOK && r.code == ""
+}
 
 // call sends one request as a caller does.
-func (f *fleet) call(ctx context.Context, n *entry, method, path, body string, headers ...string) reply {
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+n.caller+path, strings.NewReader(body))
+func (f *fleet) call(ctx context.Context, n *node, method, path, body string, headers ...string) clientResponse {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+n.clientAddr+path, strings.NewReader(body))
 	must.NoError(f.t, err)
 	request.Header.Set("Authorization", "Bearer "+accountKey)
 	request.Header.Set("Content-Type", "application/json")
@@ -483,11 +487,11 @@
 	}
 	response, err := httpClient.Do(request)
 	if err != nil {
-		return reply{err: err}
+		return clientResponse{err: err}
 	}
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
-	r := reply{status: response.StatusCode, header: response.Header, body: string(data), err: err}
+	r := clientResponse{status: response.StatusCode, header: response.Header, body: string(data), err: err}
 	var refusal struct {
 		Error struct{ Code, Ran string }
 	}
@@ -502,18 +506,18 @@
 }
 
 // chat sends a chat completion and returns the reply.
-func (f *fleet) chat(n *entry, model, prompt string, headers ...string) reply {
+func (f *fleet) chat(n *node, model, prompt string, headers ...string) clientResponse {
 	return f.call(context.Background(), n, http.MethodPost, "/v1/chat/completions", chatBody(model, prompt), headers...)
 }
 
-// proof sends a call that may not be repeated.
-func (f *fleet) proof(n *entry, id string) reply {
+// postProof sends a call that may not be repeated.
+func (f *fleet) postProof(n *node, id string) clientResponse {
 	return f.call(context.Background(), n, http.MethodPost, "/v1/services/records/proofs", `{"drop":"`+id+`"}`, "Idempotency-Key", id)
 }
 
-// billed returns the ledger's totals, as any node shows them.
-func (f *fleet) billed(n *entry) map[string]struct{ Requests, Cost int64 } {
-	code, out := f.operator(n, "show", "ledger")
+// ledgerTotals returns the ledger's totals, as any node shows them.
+func (f *fleet) ledgerTotals(n *node) map[string]struct{ Requests, Cost int64 } {
+	code, out := f.runOperatorCommand(n, "show", "ledger")
 	if code != 0 {
 		return nil
 	}
--- a/e2e/measure_test.go
+++ b/e2e/measure_test.go
@@ -42,18 +42,18 @@
 	t.Run("outage", measureOutage)
 }
 
-// measured is one kind of call with its times in microseconds.
-type measured struct {
-	first, whole *hdrhistogram.Histogram
+// latencies is one kind of call with its times in microseconds.
+type latencies struct {
+	firstEvent, total *hdrhistogram.Histogram
 }
 
-func newMeasured() measured {
+func newLatencies() latencies {
 	histogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(1, 60_000_000, 3) }
-	return measured{first: histogram(), whole: histogram()}
+	return latencies{firstEvent: histogram(), total: histogram()}
 }
 
-// streamOnce times the first event and the whole of one streamed answer.
-func (m measured) streamOnce(t testing.TB, address, key, model string) {
+// timeStream times the first event and the whole of one streamed answer.
+func (m latencies) timeStream(t testing.TB, address, key, model string) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"Route for 14 drops"}]}`, model)
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(body))
 	must.NoError(t, err)
@@ -67,65 +67,65 @@
 	first := true
 	for scanner.Scan() {
 		if first && strings.HasPrefix(scanner.Text(), "data:") {
-			_ = m.first.RecordValue(time.Since(start).Microseconds())
+			_ = m.firstEvent.RecordValue(time.Since(start).Microseconds())
 			first = false
 		}
 	}
-	_ = m.whole.RecordValue(time.Since(start).Microseconds())
+	_ = m.total.RecordValue(time.Since(start).Microseconds())
 }
 
-func (m measured) row(name string) string {
+func (m latencies) tableRow(name string) string {
 	q := func(h *hdrhistogram.Histogram, p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
 	return fmt.Sprintf("| %s | %.2f | %.2f | %.2f | %.2f | %.2f | %.2f |", name,
-		q(m.first, 50), q(m.first, 95), q(m.first, 99), q(m.whole, 50), q(m.whole, 95), q(m.whole, 99))
+		q(m.firstEvent, 50), q(m.firstEvent, 95), q(m.firstEvent, 99), q(m.total, 50), q(m.total, 95), q(m.total, 99))
 }
 
 // measurePath compares a call through a node with one straight to the engine,
 // by turns in one run.
 func measurePath(t *testing.T) {
-	f := newFleet(t, shape{halls: 3, perHall: 2, engines: 1, plain: 1, engineArgs: []string{"--token-ms", "2", "--tokens", "32", "--slots", "64"}})
-	direct, minted := newMeasured(), newMeasured()
+	f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 2, engines: 1, plainServices: 1, engineArgs: []string{"--token-ms", "2", "--tokens", "32", "--slots", "64"}})
+	direct, minted := newLatencies(), newLatencies()
 	const rounds = 400
 	for i := range rounds + 20 {
 		if i == 20 {
-			direct, minted = newMeasured(), newMeasured()
+			direct, minted = newLatencies(), newLatencies()
 		}
-		direct.streamOnce(t, f.engines[0], "", "brief@v1")
-		minted.streamOnce(t, f.nodes[i%6].caller, accountKey, "brief")
+		direct.timeStream(t, f.engineAddrs[0], "", "brief@v1")
+		minted.timeStream(t, f.nodes[i%6].clientAddr, accountKey, "brief")
 	}
 	t.Logf("\n| %d streams each, by turns | first p50 ms | p95 | p99 | whole p50 | p95 | p99 |\n|---|---|---|---|---|---|---|\n%s\n%s",
-		rounds, direct.row("engine, directly"), minted.row("through a node"))
+		rounds, direct.tableRow("engine, directly"), minted.tableRow("through a node"))
 }
 
 // measureRate finds the requests that a node answers per second of its
 // processor time, the memory it takes, and the calls that a request costs.
 func measureRate(t *testing.T) {
-	f := newFleet(t, shape{halls: 3, perHall: 1, engines: 3, plain: 1, engineArgs: []string{"--token-ms", "0", "--prefill-ms", "0", "--slots", "512"}})
-	f.apply(f.declaration(func(c *config.Config) {
+	f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 1, engines: 3, plainServices: 1, engineArgs: []string{"--token-ms", "0", "--prefill-ms", "0", "--slots", "512"}})
+	f.apply(f.newConfig(func(c *config.Config) {
 		for i := range c.Pools[0].Servers {
 			c.Pools[0].Servers[i].Slots = 512
 		}
 	}))
 	var lines []string
 	for _, mode := range []string{"idle", "minted id", "given id", "session", "proof"} {
-		before := f.scrapeAll()
+		before := f.scrapeMetrics()
 		var done atomic.Int64
 		start := time.Now()
-		f.load(mode, 24, 6*time.Second, &done)
-		after := f.scrapeAll()
+		f.generateLoad(mode, 24, 6*time.Second, &done)
+		after := f.scrapeMetrics()
 		seconds := time.Since(start).Seconds()
-		cpu := after.sum("process_cpu_seconds_total") - before.sum("process_cpu_seconds_total")
-		calls := after.sum("violettally_peer_calls_total") - before.sum("violettally_peer_calls_total")
-		bytes := after.sum("violettally_peer_sent_bytes_total") - before.sum("violettally_peer_sent_bytes_total")
+		cpu := after.total("process_cpu_seconds_total") - before.total("process_cpu_seconds_total")
+		calls := after.total("violettally_peer_calls_total") - before.total("violettally_peer_calls_total")
+		bytes := after.total("violettally_peer_sent_bytes_total") - before.total("violettally_peer_sent_bytes_total")
 		n := float64(max(1, done.Load()))
 		lines = append(lines, fmt.Sprintf("| %s | %.0f | %.3f | %.0f | %.2f | %.1f | %.0f | %.0f |", mode, float64(done.Load())/seconds, cpu/seconds/3,
-			float64(done.Load())/max(cpu, 0.001), cpu/n*1000, calls/n, bytes/n, after.sum("process_resident_memory_bytes")/3/1e6))
+			float64(done.Load())/max(cpu, 0.001), cpu/n*1000, calls/n, bytes/n, after.total("process_resident_memory_bytes")/3/1e6))
 	}
 	t.Logf("\n| 3 nodes | requests/s | cores per node | requests per core second | CPU ms per request | peer calls per request | peer bytes per request | resident MB per node |\n|---|---|---|---|---|---|---|---|\n%s", strings.Join(lines, "\n"))
 }
 
-// load keeps callers busy for a while.
-func (f *fleet) load(mode string, callers int, d time.Duration, done *atomic.Int64) {
+// generateLoad keeps callers busy for a while.
+func (f *fleet) generateLoad(mode string, callers int, d time.Duration, done *atomic.Int64) {
 	if mode == "idle" {
 		time.Sleep(d)
 		return
@@ -141,7 +141,7 @@
 				if mode == "proof" {
 					path, body = "/v1/services/records/proofs", "{}"
 				}
-				request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.nodes[n%len(f.nodes)].caller+path, strings.NewReader(body))
+				request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.nodes[n%len(f.nodes)].clientAddr+path, strings.NewReader(body))
 				must.NoError(f.t, err)
 				request.Header.Set("Authorization", "Bearer "+accountKey)
 				switch mode {
@@ -167,15 +167,15 @@
 	group.Wait()
 }
 
-// scrape is the sum of all nodes' metrics by name, labels left out.
-type scrape map[string]float64
+// metricTotals is the sum of all nodes' metrics by name, labels left out.
+type metricTotals map[string]float64
 
-func (s scrape) sum(name string) float64 { return s[name] }
+func (s metricTotals) total(name string) float64 { return s[name] }
 
-func (f *fleet) scrapeAll() scrape {
-	all := make(scrape)
+func (f *fleet) scrapeMetrics() metricTotals {
+	all := make(metricTotals)
 	for _, n := range f.nodes {
-		for _, line := range strings.Split(string(f.get(n.operator, "/metrics")), "\n") {
+		for _, line := range strings.Split(string(f.get(n.operatorAddr, "/metrics")), "\n") {
 			if strings.HasPrefix(line, "#") || line == "" {
 				continue
 			}
@@ -186,7 +186,7 @@
 			name, _, _ := strings.Cut(line[:at], "{")
 			value, _ := strconv.ParseFloat(line[at+1:], 64)
 			all[name] += value
-			if call := label(line, "call"); call != "" {
+			if call := labelValue(line, "call"); call != "" {
 				all[name+"/"+call] += value
 			}
 		}
@@ -194,7 +194,7 @@
 	return all
 }
 
-func label(line, name string) string {
+func labelValue(line, name string) string {
 	_, rest, ok := strings.Cut(line, name+`="`)
 	if !ok {
 		return ""
@@ -207,28 +207,28 @@
 func measureTokens(t *testing.T) {
 	var lines []string
 	for _, tokens := range []int{64, 256, 1024} {
-		f := newFleet(t, shape{halls: 3, perHall: 1, engines: 3, plain: 1, engineArgs: []string{"--token-ms", "1", "--prefill-ms", "0", "--slots", "512", "--tokens", fmt.Sprint(tokens)}})
+		f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 1, engines: 3, plainServices: 1, engineArgs: []string{"--token-ms", "1", "--prefill-ms", "0", "--slots", "512", "--tokens", fmt.Sprint(tokens)}})
 		const callers, rounds = 48, 4
-		before := f.scrapeAll()
-		m := newMeasured()
+		before := f.scrapeMetrics()
+		m := newLatencies()
 		var mu sync.Mutex
 		var group sync.WaitGroup
 		for i := range callers {
 			group.Go(func() {
 				for range rounds {
-					own := newMeasured()
-					own.streamOnce(t, f.nodes[i%3].caller, accountKey, "brief")
+					own := newLatencies()
+					own.timeStream(t, f.nodes[i%3].clientAddr, accountKey, "brief")
 					mu.Lock()
-					m.first.Merge(own.first)
-					m.whole.Merge(own.whole)
+					m.firstEvent.Merge(own.firstEvent)
+					m.total.Merge(own.total)
 					mu.Unlock()
 				}
 			})
 		}
 		group.Wait()
-		cpu := f.scrapeAll().sum("process_cpu_seconds_total") - before.sum("process_cpu_seconds_total")
+		cpu := f.scrapeMetrics().total("process_cpu_seconds_total") - before.total("process_cpu_seconds_total")
 		lines = append(lines, fmt.Sprintf("| %d | %.2f | %.1f |", tokens, cpu/(callers*rounds)*1000, cpu/(callers*rounds*float64(tokens))*1e6))
-		f.end()
+		f.killAll()
 	}
 	t.Logf("\n| tokens in an answer | CPU ms per request | CPU us per token |\n|---|---|---|\n%s", strings.Join(lines, "\n"))
 }
@@ -236,14 +236,14 @@
 // measureApply times from the start of an apply until every node has the
 // revision in force, half the nodes without a watch of their own.
 func measureApply(t *testing.T) {
-	f := newFleet(t, shape{halls: 3, perHall: 4, engines: 1, plain: 1})
+	f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 4, engines: 1, plainServices: 1})
 	var times []float64
 	for i := range 20 {
-		file := f.write(f.declaration(func(c *config.Config) { c.Accounts[0].Limits.Burst = i }))
+		file := f.writeConfig(f.newConfig(func(c *config.Config) { c.Accounts[0].Limits.Burst = i }))
 		start := time.Now()
-		code, out := f.operator(f.nodes[i%len(f.nodes)], "apply", file)
+		code, out := f.runOperatorCommand(f.nodes[i%len(f.nodes)], "apply", file)
 		must.Eq(t, 0, code, must.Sprint(out))
-		for !f.revisionEverywhere(i+2, f.nodes...) {
+		for !f.revisionInForce(i+2, f.nodes...) {
 			time.Sleep(time.Millisecond)
 		}
 		times = append(times, time.Since(start).Seconds()*1000)
@@ -257,18 +257,18 @@
 func measureNodes(t *testing.T) {
 	var lines []string
 	for _, perHall := range []int{1, 2, 4, 8, 12} {
-		f := newFleet(t, shape{halls: 3, perHall: perHall, engines: 2, plain: 1})
+		f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: perHall, engines: 2, plainServices: 1})
 		time.Sleep(3 * time.Second)
-		before := f.scrapeAll()
+		before := f.scrapeMetrics()
 		const seconds = 10
 		time.Sleep(seconds * time.Second)
-		after := f.scrapeAll()
+		after := f.scrapeMetrics()
 		nodes := float64(3 * perHall)
-		each := func(name string) float64 { return (after.sum(name) - before.sum(name)) / nodes / seconds }
+		each := func(name string) float64 { return (after.total(name) - before.total(name)) / nodes / seconds }
 		lines = append(lines, fmt.Sprintf("| %.0f | %.2f%% | %.1f | %.1f | %.0f | %.2f | %.1f |", nodes, 100*each("process_cpu_seconds_total"),
 			each("violettally_peer_calls_total"), each("violettally_peer_calls_total/probe"), each("violettally_peer_sent_bytes_total"),
-			(after.sum("violettally_platform_calls_total")-before.sum("violettally_platform_calls_total"))/seconds, after.sum("process_resident_memory_bytes")/nodes/1e6))
-		f.end()
+			(after.total("violettally_platform_calls_total")-before.total("violettally_platform_calls_total"))/seconds, after.total("process_resident_memory_bytes")/nodes/1e6))
+		f.killAll()
 	}
 	t.Logf("\n| nodes | core per node | peer calls/s per node | of them probes | peer bytes/s per node | platform calls/s, all nodes | resident MB per node |\n|---|---|---|---|---|---|---|\n%s", strings.Join(lines, "\n"))
 }
@@ -278,21 +278,21 @@
 func measureServers(t *testing.T) {
 	var lines []string
 	for _, servers := range []int{2, 10, 20} {
-		f := newFleet(t, shape{halls: 3, perHall: 1, engines: servers, plain: 1})
+		f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 1, engines: servers, plainServices: 1})
 		time.Sleep(3 * time.Second)
-		before := f.scrapeAll()
+		before := f.scrapeMetrics()
 		const seconds = 10
 		time.Sleep(seconds * time.Second)
-		after := f.scrapeAll()
-		each := func(name string) float64 { return (after.sum(name) - before.sum(name)) / 3 / seconds }
+		after := f.scrapeMetrics()
+		each := func(name string) float64 { return (after.total(name) - before.total(name)) / 3 / seconds }
 		lines = append(lines, fmt.Sprintf("| %d | %.2f%% | %.1f |", servers+1, 100*each("process_cpu_seconds_total"), each("violettally_load_reports_total")))
-		f.end()
+		f.killAll()
 	}
 	t.Logf("\n| backend servers | core per node | load reports/s per node |\n|---|---|---|\n%s", strings.Join(lines, "\n"))
 }
 
-// end kills the fleet's nodes before the test's end, to make room.
-func (f *fleet) end() {
+// killAll kills the fleet's nodes before the test's end, to make room.
+func (f *fleet) killAll() {
 	for _, n := range f.nodes {
 		n.kill()
 	}
@@ -306,8 +306,8 @@
 	var lines []string
 	for i, fault := range faults {
 		w := runFault(t, fault, uint64(i))
-		lines = append(lines, fmt.Sprintf("| %s | %s |", fault.name, w.row()))
-		w.f.end()
+		lines = append(lines, fmt.Sprintf("| %s | %s |", fault.name, w.tableRow()))
+		w.f.killAll()
 	}
 	t.Logf("\n| fault | requests | answered at once | answered after retries | refused, not run | unknown | whole p50 ms | p95 | longest |\n|---|---|---|---|---|---|---|---|---|\n%s", strings.Join(lines, "\n"))
 }
@@ -315,26 +315,26 @@
 // measureOutage takes the platform away for two minutes, and kills a node and
 // gives it back in the middle.
 func measureOutage(t *testing.T) {
-	f := newFleet(t, faultShape)
+	f := newFleet(t, faultSpec)
 	w := startWorkload(f, 5)
-	w.flow()
-	before := f.scrapeAll()
-	f.fault(f.kv, standin.Fault{Down: true})
+	w.waitForResponses()
+	before := f.scrapeMetrics()
+	f.setFault(f.kvAddr, standin.Fault{Down: true})
 	time.Sleep(time.Minute)
-	middle := f.scrapeAll()
+	middle := f.scrapeMetrics()
 	f.nodes[2].kill()
 	time.Sleep(30 * time.Second)
-	f.restart(f.nodes[2])
+	f.restartNode(f.nodes[2])
 	time.Sleep(30 * time.Second)
-	f.fault(f.kv, standin.Fault{})
+	f.setFault(f.kvAddr, standin.Fault{})
 	f.waitReady(f.nodes...)
-	w.flow()
+	w.waitForResponses()
 	w.stop()
 	w.check(t)
-	t.Logf("\n| fault | requests | answered at once | answered after retries | refused, not run | unknown | whole p50 ms | p95 | longest |\n|---|---|---|---|---|---|---|---|---|\n| platform down for 120 s, a node dead from 60 to 90 | %s |", w.row())
+	t.Logf("\n| fault | requests | answered at once | answered after retries | refused, not run | unknown | whole p50 ms | p95 | longest |\n|---|---|---|---|---|---|---|---|---|\n| platform down for 120 s, a node dead from 60 to 90 | %s |", w.tableRow())
 	t.Logf("%s", w.summary())
-	t.Logf("claims and bills remembered per node: %.0f before, %.0f after 60 s; resident %.1f and %.1f MB", before.sum("violettally_claims")/6, middle.sum("violettally_claims")/6, before.sum("process_resident_memory_bytes")/6e6, middle.sum("process_resident_memory_bytes")/6e6)
-	f.end()
+	t.Logf("claims and bills remembered per node: %.0f before, %.0f after 60 s; resident %.1f and %.1f MB", before.total("violettally_claims")/6, middle.total("violettally_claims")/6, before.total("process_resident_memory_bytes")/6e6, middle.total("process_resident_memory_bytes")/6e6)
+	f.killAll()
 }
 
 // measureCalls breaks the calls between nodes down by kind, over rates and over
@@ -343,53 +343,53 @@
 	kinds := []string{"probe", "claim", "advance", "release", "lookup", "attach", "limit"}
 	var lines []string
 	add := func(name string, f *fleet, run func(done *atomic.Int64)) {
-		before := f.scrapeAll()
+		before := f.scrapeMetrics()
 		var done atomic.Int64
 		start := time.Now()
 		run(&done)
-		after := f.scrapeAll()
+		after := f.scrapeMetrics()
 		seconds := time.Since(start).Seconds()
 		line := fmt.Sprintf("| %s | %.0f |", name, float64(done.Load())/seconds)
 		for _, kind := range kinds {
-			calls := after.sum("violettally_peer_calls_total/"+kind) - before.sum("violettally_peer_calls_total/"+kind)
-			bytes := after.sum("violettally_peer_sent_bytes_total/"+kind) - before.sum("violettally_peer_sent_bytes_total/"+kind)
+			calls := after.total("violettally_peer_calls_total/"+kind) - before.total("violettally_peer_calls_total/"+kind)
+			bytes := after.total("violettally_peer_sent_bytes_total/"+kind) - before.total("violettally_peer_sent_bytes_total/"+kind)
 			line += fmt.Sprintf(" %.1f / %.0f |", calls/seconds, bytes/seconds)
 		}
-		cpu := after.sum("process_cpu_seconds_total") - before.sum("process_cpu_seconds_total")
+		cpu := after.total("process_cpu_seconds_total") - before.total("process_cpu_seconds_total")
 		lines = append(lines, line+fmt.Sprintf(" %.1f |", 100*cpu/seconds))
 	}
-	f := newFleet(t, shape{halls: 3, perHall: 2, engines: 2, plain: 1, engineArgs: []string{"--token-ms", "0", "--prefill-ms", "0", "--slots", "512"}})
+	f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 2, engines: 2, plainServices: 1, engineArgs: []string{"--token-ms", "0", "--prefill-ms", "0", "--slots", "512"}})
 	for _, mode := range []string{"idle", "minted id", "given id", "proof"} {
 		for _, callers := range []int{2, 8} {
 			if mode == "idle" && callers > 2 {
 				continue
 			}
-			add(fmt.Sprintf("%s, %d callers", mode, callers), f, func(done *atomic.Int64) { f.load(mode, callers, 4*time.Second, done) })
+			add(fmt.Sprintf("%s, %d callers", mode, callers), f, func(done *atomic.Int64) { f.generateLoad(mode, callers, 4*time.Second, done) })
 		}
 	}
-	f.end()
+	f.killAll()
 	for _, accounts := range []int{1, 10, 40} {
-		f := newFleet(t, shape{halls: 3, perHall: 2, engines: 2, plain: 1, engineArgs: []string{"--token-ms", "0", "--prefill-ms", "0"}, declare: func(c *config.Config) {
+		f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 2, engines: 2, plainServices: 1, engineArgs: []string{"--token-ms", "0", "--prefill-ms", "0"}, editConfig: func(c *config.Config) {
 			for i := range accounts {
 				c.Accounts = append(c.Accounts, config.Account{Name: fmt.Sprint("limited-", i), Keys: []string{config.Digest(fmt.Sprint("limited-", i))}, Models: []string{"brief"}, Limits: config.Limits{RequestsPerSecond: 1000}})
 			}
 		}})
-		f.demand(accounts, 3*time.Second)
-		add(fmt.Sprintf("%d accounts with limits, 5 requests/s each", accounts), f, func(done *atomic.Int64) { done.Add(f.demand(accounts, 5*time.Second)) })
-		f.end()
+		f.generateAccountLoad(accounts, 3*time.Second)
+		add(fmt.Sprintf("%d accounts with limits, 5 requests/s each", accounts), f, func(done *atomic.Int64) { done.Add(f.generateAccountLoad(accounts, 5*time.Second)) })
+		f.killAll()
 	}
 	t.Logf("\n| 6 nodes, all of them together, per second | requests | %s | %% of a core |\n|---|---|%s---|\n%s", strings.Join(kinds, " calls / bytes | ")+" calls / bytes", strings.Repeat("---|", len(kinds)), strings.Join(lines, "\n"))
 }
 
-// demand sends five requests a second for each account, to all nodes in turn.
-func (f *fleet) demand(accounts int, d time.Duration) int64 {
+// generateAccountLoad sends five requests a second for each account, to all nodes in turn.
+func (f *fleet) generateAccountLoad(accounts int, d time.Duration) int64 {
 	var done atomic.Int64
 	var group sync.WaitGroup
 	for i := range accounts {
 		group.Go(func() {
 			for n, start := 0, time.Now(); time.Since(start) < d; n++ {
 				r := f.chat(f.nodes[n%len(f.nodes)], "brief", "x", "Authorization", fmt.Sprint("Bearer limited-", i))
-				if r.whole() {
+				if r.complete() {
 					done.Add(1)
 				}
 				time.Sleep(200 * time.Millisecond)
@@ -400,27 +400,27 @@
 	return done.Load()
 }
 
-// row sums up a workload for a table.
-func (w *workload) row() string {
+// tableRow sums up a workload for a table.
+func (w *workload) tableRow() string {
 	once, again, refused, unknown, total := 0, 0, 0, 0, 0
 	h := hdrhistogram.New(1, 120_000_000, 3)
-	for _, e := range w.events {
+	for _, e := range w.requests {
 		if e.kind == kindForbidden {
 			continue
 		}
 		total++
 		switch {
-		case e.answered && (len(e.tries) == 1 || e.kind == kindPatient):
+		case e.completed && (len(e.attempts) == 1 || e.kind == kindAsync):
 			once++
-		case e.answered:
+		case e.completed:
 			again++
 		case e.unknown:
 			unknown++
 		default:
 			refused++
 		}
-		if e.answered && e.kind != kindPatient {
-			_ = h.RecordValue(e.took.Microseconds())
+		if e.completed && e.kind != kindAsync {
+			_ = h.RecordValue(e.duration.Microseconds())
 		}
 	}
 	ms := func(us int64) float64 { return float64(us) / 1000 }
--- a/e2e/path_test.go
+++ b/e2e/path_test.go
@@ -12,10 +12,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestPath follows requests of each kind through three nodes, from the
+// TestRequestPath follows requests of each kind through three nodes, from the
 // addresses that callers ask for to the decision record and the ledger.
-func TestPath(t *testing.T) {
-	f := newFleet(t, usual)
+func TestRequestPath(t *testing.T) {
+	f := newFleet(t, defaultSpec)
 
 	t.Run("addresses", func(t *testing.T) {
 		r := f.call(context.Background(), f.nodes[0], http.MethodGet, "/v1/addresses?data_hall=hall-2", "")
@@ -28,12 +28,12 @@
 		}
 		must.NoError(t, json.Unmarshal([]byte(r.body), &in))
 		must.Len(t, 3, in.Addresses)
-		must.Eq(t, f.nodes[2].caller, in.Addresses[0].Address)
+		must.Eq(t, f.nodes[2].clientAddr, in.Addresses[0].Address)
 		must.Positive(t, in.TTL)
 	})
 
 	t.Run("official client", func(t *testing.T) {
-		client := openai.NewClient(option.WithBaseURL("http://"+f.nodes[1].caller+"/v1"), option.WithAPIKey(accountKey), option.WithMaxRetries(0))
+		client := openai.NewClient(option.WithBaseURL("http://"+f.nodes[1].clientAddr+"/v1"), option.WithAPIKey(accountKey), option.WithMaxRetries(0))
 		params := openai.ChatCompletionNewParams{
 			Model:    "brief",
 			Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage("Route for 14 drops")},
@@ -68,26 +68,26 @@
 		for _, n := range f.nodes {
 			f.waitFor("the answer at "+n.vm, func() bool {
 				got := f.call(context.Background(), n, http.MethodGet, "/v1/requests/digest-1", "")
-				return got.whole() && strings.Contains(got.body, "chat.completion")
+				return got.complete() && strings.Contains(got.body, "chat.completion")
 			})
 		}
 	})
 
 	t.Run("a call that may not be repeated is answered again, not run again", func(t *testing.T) {
-		first := f.proof(f.nodes[0], "proof-1")
-		must.True(t, first.whole(), must.Sprint(first.body))
+		first := f.postProof(f.nodes[0], "proof-1")
+		must.True(t, first.complete(), must.Sprint(first.body))
 		for _, n := range f.nodes {
-			must.Eq(t, first.body, f.proof(n, "proof-1").body)
+			must.Eq(t, first.body, f.postProof(n, "proof-1").body)
 		}
-		must.Len(t, 1, f.ran(f.plain)["proof-1"])
+		must.Len(t, 1, f.runsByRequestID(f.plainAddrs)["proof-1"])
 	})
 
 	t.Run("a running request is cancelled from another node", func(t *testing.T) {
-		f.behave(f.engines[0], map[string]any{"token_ms": 200})
-		f.behave(f.engines[1], map[string]any{"token_ms": 200})
-		defer f.behave(f.engines[0], map[string]any{"token_ms": 1})
-		defer f.behave(f.engines[1], map[string]any{"token_ms": 1})
-		done := make(chan reply, 1)
+		f.setBehaviour(f.engineAddrs[0], map[string]any{"token_ms": 200})
+		f.setBehaviour(f.engineAddrs[1], map[string]any{"token_ms": 200})
+		defer f.setBehaviour(f.engineAddrs[0], map[string]any{"token_ms": 1})
+		defer f.setBehaviour(f.engineAddrs[1], map[string]any{"token_ms": 1})
+		done := make(chan clientResponse, 1)
 		go func() { done <- f.chat(f.nodes[0], "brief", "long", "Idempotency-Key", "cancel-1") }()
 		f.waitFor("the cancel", func() bool {
 			return strings.Contains(f.call(context.Background(), f.nodes[2], http.MethodDelete, "/v1/requests/cancel-1", "").body, `"stopped":true`)
@@ -97,13 +97,13 @@
 
 	t.Run("explain finds the record at another node", func(t *testing.T) {
 		r := f.chat(f.nodes[0], "auto", "explain me")
-		code, out := f.operator(f.nodes[2], "explain", r.header.Get("X-Request-Id"), "--account", "desk")
+		code, out := f.runOperatorCommand(f.nodes[2], "explain", r.header.Get("X-Request-Id"), "--account", "desk")
 		must.Eq(t, 0, code, must.Sprint(out))
 		must.StrContains(t, out, "small@v1 by roll-out stage")
 		must.StrContains(t, out, "outcome: answered")
 	})
 
 	t.Run("the ledger has what was answered", func(t *testing.T) {
-		f.waitFor("bills", func() bool { return f.billed(f.nodes[0])["desk/brief@v1"].Requests >= 2 })
+		f.waitFor("bills", func() bool { return f.ledgerTotals(f.nodes[0])["desk/brief@v1"].Requests >= 2 })
 	})
 }
