--- a/e2e/errors_test.go
+++ b/e2e/errors_test.go
@@ -27,8 +27,8 @@
 	"github.com/violettally/violettally/internal/standin"
 )
 
-// TestInvalidInput sends each kind of bad input to the callers' door: a clear
-// error with a stable code, and nothing runs.
+// TestInvalidInput sends each kind of invalid request to a node's client listener: the
+// response is an error with a stable code, and nothing runs.
 func TestInvalidInput(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, defaultSpec)
@@ -41,31 +41,31 @@
 	}{
 		{"no key", "GET", "/v1/models", "", []string{"Authorization", ""}, 401, "unauthorized"},
 		{"wrong key", "GET", "/v1/models", "", []string{"Authorization", "Bearer no"}, 401, "unauthorized"},
-		{"operator's key", "GET", "/v1/models", "", []string{"Authorization", "Bearer " + operatorKey}, 401, "unauthorized"},
+		{"operator key", "GET", "/v1/models", "", []string{"Authorization", "Bearer " + operatorKey}, 401, "unauthorized"},
 		{"no route", "GET", "/v1/none", "", nil, 404, "route_not_found"},
-		{"no JSON", "POST", "/v1/chat/completions", "{", nil, 400, "invalid"},
+		{"malformed JSON", "POST", "/v1/chat/completions", "{", nil, 400, "invalid"},
 		{"no model", "POST", "/v1/chat/completions", `{"messages":[{"role":"user","content":"x"}]}`, nil, 400, "invalid"},
 		{"no messages", "POST", "/v1/chat/completions", `{"model":"brief"}`, nil, 400, "invalid"},
-		{"content of a wrong kind", "POST", "/v1/chat/completions", `{"model":"brief","messages":[{"content":3}]}`, nil, 400, "invalid"},
+		{"content of a wrong type", "POST", "/v1/chat/completions", `{"model":"brief","messages":[{"content":3}]}`, nil, 400, "invalid"},
 		{"unknown model", "POST", "/v1/chat/completions", chatBody("none", "x"), nil, 404, "model_not_found"},
 		{"model of another account", "POST", "/v1/chat/completions", chatBody("small", "x"), []string{"Authorization", "Bearer " + otherKey}, 404, "model_not_found"},
 		{"version of another account", "POST", "/v1/chat/completions", chatBody("brief@v2", "x"), []string{"Authorization", "Bearer " + otherKey}, 404, "model_not_found"},
 		{"retired version", "POST", "/v1/chat/completions", chatBody("brief@v2", "x"), nil, 410, "version_withdrawn"},
-		{"bad id", "POST", "/v1/chat/completions", good, []string{"Idempotency-Key", "a/b~1"}, 400, "invalid"},
-		{"long id", "POST", "/v1/chat/completions", good, []string{"Idempotency-Key", strings.Repeat("a", 200)}, 400, "invalid"},
-		{"bad session", "POST", "/v1/chat/completions", good, []string{"X-Session-Id", "a b"}, 400, "invalid"},
-		{"bad timeout", "POST", "/v1/chat/completions", good, []string{"X-Timeout-Ms", "soon"}, 400, "invalid"},
+		{"invalid request ID", "POST", "/v1/chat/completions", good, []string{"Idempotency-Key", "a/b~1"}, 400, "invalid"},
+		{"request ID too long", "POST", "/v1/chat/completions", good, []string{"Idempotency-Key", strings.Repeat("a", 200)}, 400, "invalid"},
+		{"invalid session ID", "POST", "/v1/chat/completions", good, []string{"X-Session-Id", "a b"}, 400, "invalid"},
+		{"invalid timeout", "POST", "/v1/chat/completions", good, []string{"X-Timeout-Ms", "soon"}, 400, "invalid"},
 		{"body too large", "POST", "/v1/chat/completions", chatBody("brief", strings.Repeat("x", 2<<20)), nil, 413, "body_too_large"},
 		{"unknown service", "GET", "/v1/services/none/x", "", nil, 404, "service_not_found"},
 		{"service of another account", "GET", "/v1/services/records/x", "", []string{"Authorization", "Bearer " + otherKey}, 404, "service_not_found"},
 		{"undeclared call", "DELETE", "/v1/services/records/x", "", nil, 404, "call_not_declared"},
-		{"no key for a call that may not be repeated", "POST", "/v1/services/records/proofs", "{}", nil, 400, "key_missing"},
+		{"no idempotency key for a non-idempotent call", "POST", "/v1/services/records/proofs", "{}", nil, 400, "key_missing"},
 		{"unknown request", "GET", "/v1/requests/none", "", nil, 404, "request_not_found"},
 		{"request of another account", "GET", "/v1/requests/mine", "", []string{"Authorization", "Bearer " + otherKey}, 404, "request_not_found"},
-		{"id of another request", "POST", "/v1/chat/completions", chatBody("brief", "other"), []string{"Idempotency-Key", "mine"}, 422, "id_reused"},
+		{"ID of another request", "POST", "/v1/chat/completions", chatBody("brief", "other"), []string{"Idempotency-Key", "mine"}, 422, "id_reused"},
 	}
 	must.True(t, f.chat(f.nodes[1], "brief", "mine", "Idempotency-Key", "mine").complete())
-	ran := len(f.runsByRequestID(f.engineAddrs))
+	runsBefore := len(f.runsByRequestID(f.engineAddrs))
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			r := f.call(context.Background(), f.nodes[0], tt.method, tt.path, tt.body, tt.headers...)
@@ -74,24 +74,24 @@
 			must.Eq(t, tt.code, r.code, must.Sprint(r.body))
 		})
 	}
-	must.Eq(t, ran, len(f.runsByRequestID(f.engineAddrs)), must.Sprint("bad input must not run"))
+	must.Eq(t, runsBefore, len(f.runsByRequestID(f.engineAddrs)), must.Sprint("an invalid request must not run"))
 	must.Eq(t, 0, len(f.runsByRequestID(f.plainAddrs)))
 	metrics := string(f.get(f.nodes[0].operatorAddr, "/metrics"))
 	must.StrContains(t, metrics, `reason="model_not_found"`)
 }
 
-// TestInvalidEngineResponses lets engines answer what no caller may be given.
+// TestInvalidEngineResponses checks what clients get when an engine's response is
+// malformed, too large, a redirect, an error or truncated.
 func TestInvalidEngineResponses(t *testing.T) {
 	t.Parallel()
-	// Nodes ask for the load whenever they like, so the answer is changed under
-	// requests.
-	var answer atomic.Pointer[http.HandlerFunc]
+	// The handler is atomic, as nodes poll the load while a test case replaces it.
+	var handler atomic.Pointer[http.HandlerFunc]
 	engine := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/load" {
 			_, _ = w.Write([]byte("{}"))
 			return
 		}
-		(*answer.Load())(w, r)
+		(*handler.Load())(w, r)
 	}), ReadHeaderTimeout: time.Second}
 	listener, err := net.Listen("tcp", freeAddress(t))
 	must.NoError(t, err)
@@ -100,31 +100,31 @@
 	f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 1, plainServices: 1})
 	f.engineAddrs = []string{listener.Addr().String()}
 	f.apply(f.newConfig(nil))
-	f.waitFor("the engine everywhere", func() bool { return f.revisionInForce(2, f.nodes...) })
+	f.waitFor("the engine in the configuration of all nodes", func() bool { return f.revisionInForce(2, f.nodes...) })
 	tests := []struct {
 		name, model string
 		stream      bool
-		answer      http.HandlerFunc
+		handler     http.HandlerFunc
 		status      int
 		code, ran   string
 	}{
-		{"no JSON", "brief", false, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("<html>")) }, 502, "server_failed", "unknown"},
+		{"not JSON", "brief", false, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("<html>")) }, 502, "server_failed", "unknown"},
 		{"too large", "brief", false, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, 3<<20)) }, 502, "answer_too_large", "yes"},
-		{"a redirect", "brief", false, func(w http.ResponseWriter, r *http.Request) {
+		{"redirect", "brief", false, func(w http.ResponseWriter, r *http.Request) {
 			http.Redirect(w, r, "/elsewhere", http.StatusTemporaryRedirect)
 		}, 307, "", ""},
-		{"its own error", "brief", false, func(w http.ResponseWriter, _ *http.Request) {
+		{"error of the engine", "brief", false, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "application/json")
 			w.WriteHeader(400)
 			_, _ = w.Write([]byte(`{"error":{"code":"context_length_exceeded"}}`))
 		}, 400, "context_length_exceeded", ""},
-		{"a stream without its end", "brief", true, func(w http.ResponseWriter, _ *http.Request) {
+		{"truncated stream", "brief", true, func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = w.Write([]byte("data: {\"choices\":[{\"delta\":{\"content\":\"a\"}}]}\n\n"))
 		}, 200, "", ""},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			answer.Store(&tt.answer)
+			handler.Store(&tt.handler)
 			body := `{"model":"brief","stream":false,"messages":[{"role":"user","content":"x"}]}`
 			if tt.stream {
 				body = strings.Replace(body, "false", "true", 1)
@@ -146,7 +146,7 @@
 						break
 					}
 				}
-				must.StrNotContains(t, data.String(), "[DONE]", must.Sprint("a cut stream must not look whole"))
+				must.StrNotContains(t, data.String(), "[DONE]", must.Sprint("a truncated stream must not look complete"))
 				must.StrContains(t, data.String(), "server_failed")
 			} else {
 				_ = json.NewDecoder(response.Body).Decode(&got)
@@ -158,8 +158,8 @@
 	}
 }
 
-// TestLostResponses lets a plain service run calls and lose its answers: what may
-// not be repeated is not, and nobody is told that it did not run.
+// TestLostResponses makes a plain service run calls and drop its responses: a
+// non-idempotent call is not repeated, and no client is told that it did not run.
 func TestLostResponses(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, defaultSpec)
@@ -176,39 +176,39 @@
 	must.Len(t, 1, f.runsByRequestID(f.plainAddrs)["lost-1"])
 	f.setFault(f.plainAddrs[0], standin.Fault{Down: true})
 	for _, n := range f.nodes {
-		must.NotEq(t, "no", f.postProof(n, "lost-2").ran, must.Sprint("a broken connection does not say that nothing ran"))
+		must.NotEq(t, "no", f.postProof(n, "lost-2").ran, must.Sprint("a broken connection does not prove that nothing ran"))
 	}
 }
 
-// TestNotRunOnlyForUnusedID refuses ids for causes found before their claim: 'not
-// run' is said of an id that has not run, and not of one that has.
+// TestNotRunOnlyForUnusedID makes a node refuse requests before it claims their IDs:
+// "not run" is reported for an ID that has not run, and never for one that has.
 func TestNotRunOnlyForUnusedID(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, defaultSpec)
 	must.True(t, f.postProof(f.nodes[0], "ran-before").complete())
 	f.apply(f.newConfig(func(c *config.Config) { c.Accounts[0].Models = []string{"small"} }))
-	f.waitFor("the change", func() bool { return f.revisionInForce(2, f.nodes...) })
+	f.waitFor("the change on all nodes", func() bool { return f.revisionInForce(2, f.nodes...) })
 	must.Eq(t, "no", f.chat(f.nodes[1], "brief", "x", "Idempotency-Key", "new").ran)
 	must.Eq(t, "unknown", f.chat(f.nodes[1], "brief", "x", "Idempotency-Key", "ran-before").ran)
-	old := "01850000-0000-7000-8000-000000000001"
-	must.Eq(t, "outcome_unknown", f.postProof(f.nodes[2], old).code, must.Sprint("an id from 2022"))
-	must.MapNotContainsKey(t, f.runsByRequestID(f.plainAddrs), old)
+	oldID := "01850000-0000-7000-8000-000000000001"
+	must.Eq(t, "outcome_unknown", f.postProof(f.nodes[2], oldID).code, must.Sprint("a UUIDv7 from 2022"))
+	must.MapNotContainsKey(t, f.runsByRequestID(f.plainAddrs), oldID)
 }
 
-// TestInvalidSettings starts nodes with settings that cannot work: every fault is
-// named, and the process ends.
+// TestInvalidSettings starts nodes with invalid settings: the process names every
+// fault and exits with code 2.
 func TestInvalidSettings(t *testing.T) {
 	t.Parallel()
 	tests := []struct{ name, settings, env, want string }{
-		{"all faults at once", `{
+		{"several faults", `{
   "name": "a",
   "caller": {"listen": "localhost:80"},
   "operator": {"listen": "127.0.0.1:1"},
   "peer": {"listen": "10.0.0.1:1"},
   "platform": {"key_value": ["x"], "vm_list": "http://127.0.0.1:1"}
 }`, "", "4 faults"},
-		{"a typing error", `{"nmae": "a"}`, "", `s.json:1:2: /nmae: unknown field "nmae"`},
-		{"a bad override", `{"name": "a", "data_hall": "h", "caller": {"listen": "127.0.0.1:1"}, "operator": {"listen": "127.0.0.1:2"}, "peer": {"listen": "127.0.0.1:3"}, "platform": {"key_value": ["http://127.0.0.1:4"], "vm_list": "http://127.0.0.1:5"}}`,
+		{"unknown field", `{"nmae": "a"}`, "", `s.json:1:2: /nmae: unknown field "nmae"`},
+		{"invalid environment variable", `{"name": "a", "data_hall": "h", "caller": {"listen": "127.0.0.1:1"}, "operator": {"listen": "127.0.0.1:2"}, "peer": {"listen": "127.0.0.1:3"}, "platform": {"key_value": ["http://127.0.0.1:4"], "vm_list": "http://127.0.0.1:5"}}`,
 			"VIOLETTALLY_CALLER_LISTEN=nowhere", `/caller/listen: want IP:PORT, found "nowhere"`},
 	}
 	for _, tt := range tests {
@@ -225,7 +225,7 @@
 	}
 }
 
-// testCA makes an authority and a certificate for each node.
+// testCA is a certificate authority that issues the certificates of the nodes.
 type testCA struct {
 	t    *testing.T
 	dir  string
@@ -233,6 +233,7 @@
 	key  *ecdsa.PrivateKey
 }
 
+// newTestCA creates an authority and writes its certificate to authority.pem.
 func newTestCA(t *testing.T) *testCA {
 	c := &testCA{t: t, dir: t.TempDir()}
 	var err error
@@ -245,34 +246,37 @@
 	return c
 }
 
-func (c *testCA) writePEM(name, kind string, der []byte) string {
+// writePEM writes a PEM file and returns its path.
+func (c *testCA) writePEM(name, pemType string, der []byte) string {
 	file := filepath.Join(c.dir, name)
-	must.NoError(c.t, os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: kind, Bytes: der}), 0o600))
+	must.NoError(c.t, os.WriteFile(file, pem.EncodeToMemory(&pem.Block{Type: pemType, Bytes: der}), 0o600))
 	return file
 }
 
+// issue writes a certificate of the authority for a node on 127.0.0.1 and its key, and
+// returns the paths of both and of the authority's certificate.
 func (c *testCA) issue(name string) (certificate, key, authority string) {
-	own, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
+	nodeKey, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	must.NoError(c.t, err)
 	template := &x509.Certificate{SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: name}, NotAfter: time.Now().Add(time.Hour), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth, x509.ExtKeyUsageServerAuth}}
-	der, err := x509.CreateCertificate(rand.Reader, template, c.cert, &own.PublicKey, c.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, c.cert, &nodeKey.PublicKey, c.key)
 	must.NoError(c.t, err)
-	keyDER, err := x509.MarshalECPrivateKey(own)
+	keyDER, err := x509.MarshalECPrivateKey(nodeKey)
 	must.NoError(c.t, err)
 	return c.writePEM(name+".pem", "CERTIFICATE", der), c.writePEM(name+".key", "EC PRIVATE KEY", keyDER), filepath.Join(c.dir, "authority.pem")
 }
 
-// TestPeerMutualTLS runs the path with mutual TLS between nodes, and turns
-// away who has no certificate of the authority.
+// TestPeerMutualTLS sends requests through nodes that use mutual TLS between them, and
+// checks that a node rejects a connection without a certificate of the authority.
 func TestPeerMutualTLS(t *testing.T) {
 	t.Parallel()
-	s := defaultSpec
-	s.issueCertificate = newTestCA(t).issue
-	f := newFleet(t, s)
+	spec := defaultSpec
+	spec.issueCertificate = newTestCA(t).issue
+	f := newFleet(t, spec)
 	must.True(t, f.postProof(f.nodes[0], "tls-1").complete())
 	must.Eq(t, f.postProof(f.nodes[0], "tls-1").body, f.postProof(f.nodes[1], "tls-1").body)
-	stranger, _, _ := newTestCA(t).issue("stranger")
-	must.FileExists(t, stranger)
+	foreignCert, _, _ := newTestCA(t).issue("stranger")
+	must.FileExists(t, foreignCert)
 	conn, err := tls.Dial("tcp", f.nodes[0].peerAddr, &tls.Config{InsecureSkipVerify: true, MinVersion: tls.VersionTLS13})
 	if err == nil {
 		_, err = conn.Read(make([]byte, 1))
--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -15,7 +15,7 @@
 
 var (
 	seedFlag  = flag.Uint64("seed", 0, "seed of one randomised fault run; 0 runs the fixed seeds")
-	stepsFlag = flag.Int("steps", 4, "faults in a randomised run")
+	stepsFlag = flag.Int("steps", 4, "steps of a randomised run, each of one or two faults")
 )
 
 var faultSpec = fleetSpec{
@@ -25,8 +25,8 @@
 	editConfig: startRollout,
 }
 
-// startRollout has a roll-out under way, whose stages move on while the workload
-// runs, so that a session that is not pinned would change its version.
+// startRollout configures a rollout whose stages advance while the workload runs, so
+// that a session that is not pinned to its version would change it.
 func startRollout(c *config.Config) {
 	c.Models[1].Versions[1].State = config.VersionRollingOut
 	c.Models[1].Rollout = &config.Rollout{
@@ -36,10 +36,11 @@
 	}
 }
 
-// faultDuration is how long a fault lasts while the workload goes on.
+// faultDuration is how long a fault lasts; the workload runs meanwhile.
 const faultDuration = 1500 * time.Millisecond
 
-// fault is one thing that goes wrong while callers go on, and its end.
+// fault is a fault that is injected while clients send requests. The function
+// inject starts it and returns once it is over.
 type fault struct {
 	name   string
 	inject func(w *workload, rng *rand.Rand)
@@ -50,7 +51,8 @@
 	return w.f.nodes[rng.IntN(len(w.f.nodes))]
 }
 
-// replaceNodes gives a VM that has ended a new process, and waits for it.
+// replaceNodes starts a new process on the VM of each node and waits until all are
+// ready.
 func replaceNodes(w *workload, nodes ...*node) {
 	for _, n := range nodes {
 		w.f.restartNode(n)
@@ -58,8 +60,9 @@
 	w.f.waitReady(nodes...)
 }
 
-// faults are the single faults; the randomised run draws from them, two at
-// once too.
+// faults are the faults of TestFaults, one each; TestRandomFaults draws from them.
+// The names decide which of them may be injected together: see affectsNodes and
+// affectsPlatform.
 var faults = []fault{
 	{"kill a node", func(w *workload, rng *rand.Rand) {
 		n := randomNode(w, rng)
@@ -67,7 +70,7 @@
 		n.kill()
 		runFor(faultDuration)
 		replaceNodes(w, n)
-		w.note("%s is back with an empty memory", n.vm)
+		w.note("%s is ready, with empty memory", n.vm)
 	}},
 	{"freeze a node", func(w *workload, rng *rand.Rand) {
 		n := randomNode(w, rng)
@@ -78,17 +81,17 @@
 		w.note("thaw %s", n.vm)
 		w.f.waitReady(n)
 	}},
-	{"cut a node off inward", func(w *workload, rng *rand.Rand) {
+	{"block peer connections to a node", func(w *workload, rng *rand.Rand) {
 		n := randomNode(w, rng)
-		w.note("peers do not reach %s", n.vm)
+		w.note("peers cannot reach %s", n.vm)
 		n.peerProxy.Set(faultproxy.Reset)
 		runFor(2 * faultDuration)
 		n.peerProxy.Set(faultproxy.Pass)
-		w.note("peers reach %s", n.vm)
+		w.note("peers can reach %s again", n.vm)
 	}},
 	{"cut a data hall off from the platform", func(w *workload, rng *rand.Rand) {
 		hall := randomNode(w, rng).hall
-		w.note("%s does not reach the platform", hall)
+		w.note("%s cannot reach the platform", hall)
 		for _, n := range w.f.nodes {
 			if n.hall == hall {
 				n.platformProxy.Set(faultproxy.Reset)
@@ -98,7 +101,7 @@
 		for _, n := range w.f.nodes {
 			n.platformProxy.Set(faultproxy.Pass)
 		}
-		w.note("%s reaches the platform", hall)
+		w.note("%s can reach the platform again", hall)
 	}},
 	{"platform down", func(w *workload, _ *rand.Rand) {
 		w.note("platform down")
@@ -112,21 +115,21 @@
 		w.f.setFault(w.f.kvAddr, standin.Fault{SlowMillis: 400})
 		runFor(2 * faultDuration)
 		w.f.setFault(w.f.kvAddr, standin.Fault{})
-		w.note("platform fast")
+		w.note("platform no longer slow")
 	}},
-	{"platform loses answers", func(w *workload, _ *rand.Rand) {
-		w.note("platform loses answers after the write")
+	{"platform loses responses", func(w *workload, _ *rand.Rand) {
+		w.note("platform drops responses after the write")
 		w.f.setFault(w.f.kvAddr, standin.Fault{LoseAnswers: true})
 		runFor(2 * faultDuration)
 		w.f.setFault(w.f.kvAddr, standin.Fault{})
-		w.note("platform answers")
+		w.note("platform sends responses again")
 	}},
 	{"rating service down", func(w *workload, _ *rand.Rand) {
-		w.note("rating down")
+		w.note("rating service down")
 		w.f.setFault(w.f.ratingAddr, standin.Fault{Down: true})
 		runFor(faultDuration)
 		w.f.setFault(w.f.ratingAddr, standin.Fault{})
-		w.note("rating up")
+		w.note("rating service up")
 	}},
 	{"an engine breaks its streams", func(w *workload, rng *rand.Rand) {
 		engine := w.f.engineAddrs[rng.IntN(len(w.f.engineAddrs))]
@@ -134,41 +137,41 @@
 		w.f.setBehaviour(engine, map[string]any{"die_after": 5})
 		runFor(faultDuration)
 		w.f.setBehaviour(engine, map[string]any{"die_after": 0})
-		w.note("engine %s is whole", engine)
+		w.note("engine %s no longer breaks streams", engine)
 	}},
 	{"an engine fails", func(w *workload, rng *rand.Rand) {
 		engine := w.f.engineAddrs[rng.IntN(len(w.f.engineAddrs))]
-		w.note("engine %s answers 500", engine)
+		w.note("engine %s responds with status 500", engine)
 		w.f.setBehaviour(engine, map[string]any{"fail_share": 1})
 		runFor(faultDuration)
 		w.f.setBehaviour(engine, map[string]any{"fail_share": 0})
-		w.note("engine %s is well", engine)
+		w.note("engine %s no longer fails", engine)
 	}},
-	{"planned stop of a node", func(w *workload, rng *rand.Rand) {
+	{"graceful shutdown of a node", func(w *workload, rng *rand.Rand) {
 		n := randomNode(w, rng)
-		w.note("stop %s", n.vm)
+		w.note("shut down %s", n.vm)
 		n.shutdown()
 		replaceNodes(w, n)
-		w.note("%s is back", n.vm)
+		w.note("%s is ready", n.vm)
 	}},
 	{"a data hall is lost and replaced", func(w *workload, rng *rand.Rand) {
 		hall := randomNode(w, rng).hall
-		w.note("kill all of %s", hall)
-		var lost []*node
+		w.note("kill all nodes of %s", hall)
+		var killed []*node
 		for _, n := range w.f.nodes {
 			if n.hall == hall {
 				n.kill()
-				lost = append(lost, n)
+				killed = append(killed, n)
 			}
 		}
 		runFor(faultDuration)
-		replaceNodes(w, lost...)
-		w.note("%s is back", hall)
+		replaceNodes(w, killed...)
+		w.note("nodes of %s are ready", hall)
 	}},
 }
 
-// TestFaults runs the workload under each single fault and checks all ten
-// points from the outside.
+// TestFaults runs the workload under each single fault and checks the guarantees
+// (see workload.check).
 func TestFaults(t *testing.T) {
 	for i, fault := range faults {
 		t.Run(strings.ReplaceAll(fault.name, " ", "_"), func(t *testing.T) {
@@ -178,20 +181,20 @@
 	}
 }
 
-// runFault runs the workload under one fault and checks it.
-func runFault(t *testing.T, what fault, seed uint64) *workload {
+// runFault runs the workload, injects one fault and checks the guarantees.
+func runFault(t *testing.T, injected fault, seed uint64) *workload {
 	f := newFleet(t, faultSpec)
 	w := startWorkload(f, seed)
 	w.waitForResponses()
-	what.inject(w, rand.New(rand.NewPCG(seed, 0)))
+	injected.inject(w, rand.New(rand.NewPCG(seed, 0)))
 	w.waitForResponses()
 	w.stop()
 	w.check(t)
 	return w
 }
 
-// TestRandomFaults draws faults by a seed, some two at once. The run is
-// repeated by `go test ./e2e -run TestRandomFaults -seed N -steps M`.
+// TestRandomFaults injects faults drawn by a seed, some of them two at once. A run is
+// repeated with `go test ./e2e -run TestRandomFaults -seed N -steps M`.
 func TestRandomFaults(t *testing.T) {
 	seeds := []uint64{1, 2, 3}
 	if *seedFlag != 0 {
@@ -216,7 +219,8 @@
 	}
 }
 
-// injectRandomFaults injects one fault, or two at once if they do not act on the same part.
+// injectRandomFaults injects one fault, or two at once unless both affect nodes or
+// both affect the platform.
 func (w *workload) injectRandomFaults(rng *rand.Rand) {
 	first := faults[rng.IntN(len(faults))]
 	second := faults[rng.IntN(len(faults))]
--- a/e2e/guarantees_test.go
+++ b/e2e/guarantees_test.go
@@ -15,11 +15,11 @@
 	"github.com/violettally/violettally/internal/standin"
 )
 
-// TestRollingRestartBreaksNoRequest replaces every VM in turn while callers go on.
-// None of them may see more than a refusal that says when to come back: no
-// connection is refused or cut, and no request is left in doubt. Requests take
-// longer than addresses are valid, so some are under way when the node would
-// be done otherwise.
+// TestRollingRestartBreaksNoRequest shuts down and restarts every node in turn under
+// load. Clients may see at most a refusal that says when to retry: no connection is
+// refused or broken, and no request ends with an unknown outcome. Requests take longer
+// than the address TTL, so that some are still running when the drain would otherwise
+// be over.
 func TestRollingRestartBreaksNoRequest(t *testing.T) {
 	t.Parallel()
 	slow := []string{"--token-ms", "120", "--tokens", fmt.Sprint(responseTokens)}
@@ -27,7 +27,7 @@
 	w := startWorkload(f, 7)
 	w.waitForResponses()
 	for _, n := range f.nodes {
-		w.note("stop %s", n.vm)
+		w.note("shut down %s", n.vm)
 		n.shutdown()
 		replaceNodes(w, n)
 		w.waitForResponses()
@@ -36,11 +36,11 @@
 	w.check(t)
 	for _, e := range w.requests {
 		if !e.completed && e.kind != kindForbidden {
-			t.Errorf("%s (%s) was not answered: %q", e.id, e.kind, e.attempts)
+			t.Errorf("%s (%s) did not complete: %q", e.id, e.kind, e.attempts)
 		}
-		for _, try := range e.attempts {
-			if strings.Contains(try, "http://") || strings.Contains(try, "unknown") {
-				t.Errorf("%s (%s) was cut: %q", e.id, e.kind, e.attempts)
+		for _, attempt := range e.attempts {
+			if strings.Contains(attempt, "http://") || strings.Contains(attempt, "unknown") {
+				t.Errorf("%s (%s): broken connection or unknown outcome: %q", e.id, e.kind, e.attempts)
 			}
 		}
 	}
@@ -49,9 +49,9 @@
 	}
 }
 
-// TestWithdrawnVersion withdraws a version under load, with one node frozen over the
-// change and the platform down after it: once the withdrawal is in force, no
-// work starts on the version.
+// TestWithdrawnVersion withdraws a version under load. One node is frozen during the
+// change, and the platform goes down after it: once the withdrawal is in force on all
+// nodes, no request starts on the version.
 func TestWithdrawnVersion(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, faultSpec)
@@ -63,24 +63,25 @@
 		c.Models[1].Versions[1].State = config.VersionInService
 	}))
 	f.setFault(f.kvAddr, standin.Fault{Down: true})
-	f.waitFor("the withdrawal everywhere", func() bool { return f.revisionInForce(2, f.nodes[:5]...) })
+	f.waitFor("the withdrawal on the other nodes", func() bool { return f.revisionInForce(2, f.nodes[:5]...) })
 	inForce := time.Now()
 	f.nodes[5].thaw()
-	f.waitFor("the withdrawal at the node that was frozen", func() bool { return f.revisionInForce(2, f.nodes[5]) })
-	late := time.Now()
+	f.waitFor("the withdrawal on the node that was frozen", func() bool { return f.revisionInForce(2, f.nodes[5]) })
+	cutoff := time.Now()
 	w.waitForResponses()
 	f.setFault(f.kvAddr, standin.Fault{})
 	w.stop()
 	for id, runs := range f.runsByRequestID(f.engineAddrs) {
 		for _, run := range runs {
-			if run.Model == "brief@v1" && run.Started.After(late) {
+			if run.Model == "brief@v1" && run.Started.After(cutoff) {
 				t.Errorf("%s started on the withdrawn version %s after the withdrawal", id, run.Started.Sub(inForce))
 			}
 		}
 	}
 }
 
-// revisionInForce reports whether nodes have a revision in force.
+// revisionInForce reports whether all given nodes have a configuration revision in
+// force.
 func (f *fleet) revisionInForce(revision int, nodes ...*node) bool {
 	for _, n := range nodes {
 		if !strings.Contains(string(f.get(n.operatorAddr, "/metrics")), fmt.Sprintf("violettally_config_revision{otel_scope_name=\"violettally\",otel_scope_schema_url=\"\",otel_scope_version=\"\"} %d\n", revision)) {
@@ -90,8 +91,8 @@
 	return true
 }
 
-// TestDrainingBackendServer takes a backend server out by the VM list: a few seconds
-// later it gets no new work.
+// TestDrainingBackendServer marks a backend server as leaving on the VM list: after 2 s
+// it gets no new requests.
 func TestDrainingBackendServer(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, faultSpec)
@@ -99,21 +100,22 @@
 	w.waitForResponses()
 	f.setVMState("e0", "leaving")
 	runFor(2 * time.Second)
-	late := time.Now()
+	cutoff := time.Now()
 	w.waitForResponses()
 	w.stop()
 	w.check(t)
 	for id, runs := range f.runsByRequestID(f.engineAddrs[:1]) {
 		for _, run := range runs {
-			if run.Started.After(late) {
-				t.Errorf("%s started on a server that has left", id)
+			if run.Started.After(cutoff) {
+				t.Errorf("%s started on a draining backend server", id)
 			}
 		}
 	}
 }
 
-// TestConcurrentApply lets operators apply at once, with an expected revision,
-// and with the platform losing answers.
+// TestConcurrentApply applies configurations concurrently with an expected revision:
+// one succeeds. It then retries an apply whose outcome is unknown, as the platform
+// dropped the response, under the same change ID.
 func TestConcurrentApply(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, defaultSpec)
@@ -127,14 +129,14 @@
 			outs <- out
 		}()
 	}
-	count := make(map[int]int)
+	exitCodes := make(map[int]int)
 	for range f.nodes {
-		count[<-codes]++
+		exitCodes[<-codes]++
 		if out := <-outs; strings.Contains(out, "nothing was applied") {
 			must.StrContains(t, out, "revision 2 by ops")
 		}
 	}
-	must.Eq(t, map[int]int{0: 1, 3: 2}, count)
+	must.Eq(t, map[int]int{0: 1, 3: 2}, exitCodes)
 
 	f.setFault(f.kvAddr, standin.Fault{LoseAnswers: true})
 	code, out := f.runOperatorCommand(f.nodes[0], "apply", f.writeConfig(f.newConfig(nil)), "--change", "change-1")
@@ -143,11 +145,11 @@
 	code, out = f.runOperatorCommand(f.nodes[1], "apply", f.writeConfig(f.newConfig(nil)), "--change", "change-1")
 	must.Eq(t, 0, code, must.Sprint(out))
 	must.StrContains(t, out, "revision 3 in force")
-	f.waitFor("the change everywhere", func() bool { return f.revisionInForce(3, f.nodes...) })
+	f.waitFor("the change on all nodes", func() bool { return f.revisionInForce(3, f.nodes...) })
 }
 
-// TestNodeStartDuringOutage starts a node while the platform is down: it takes
-// configuration and view from its peers.
+// TestNodeStartDuringOutage starts a node while the platform is down: the node gets
+// configuration and membership view from its peers.
 func TestNodeStartDuringOutage(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, defaultSpec)
@@ -160,8 +162,8 @@
 	f.waitReady(n)
 }
 
-// TestAsyncRequestSurvivesNode kills the node that took patient work: another
-// finishes it, and it is billed once.
+// TestAsyncRequestSurvivesNode kills the node that accepted an async request: another
+// node completes it, and it is billed once.
 func TestAsyncRequestSurvivesNode(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 1, engines: 1, plainServices: 1, engineArgs: []string{"--token-ms", "150", "--tokens", "16"}})
@@ -170,7 +172,7 @@
 	f.waitFor("the run to start", func() bool { return len(f.runsByRequestID(f.engineAddrs)["slow"]) == 1 })
 	f.nodes[0].kill()
 	f.setVMState(f.nodes[0].vm, "")
-	f.waitFor("the answer at another node", func() bool {
+	f.waitFor("the response on another node", func() bool {
 		r = f.call(t.Context(), f.nodes[1], "GET", "/v1/requests/slow", "")
 		return r.complete()
 	})
@@ -178,8 +180,8 @@
 	f.waitFor("the bill", func() bool { return f.ledgerTotals(f.nodes[1])["desk/brief@v1"].Requests == 1 })
 }
 
-// TestIsolatedNodeRefuses cuts a node off from platform and peers: it must not
-// start work that may have been withdrawn, and says so.
+// TestIsolatedNodeRefuses cuts a node off from platform and peers: it refuses requests
+// with cut_off, as their version may have been withdrawn.
 func TestIsolatedNodeRefuses(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, defaultSpec)
@@ -193,11 +195,12 @@
 	for _, other := range f.nodes {
 		other.peerProxy.Set(faultproxy.Pass)
 	}
-	f.waitFor("an answer", func() bool { return f.chat(n, "brief", "x").complete() })
+	f.waitFor("a response", func() bool { return f.chat(n, "brief", "x").complete() })
 }
 
-// TestRolloutStopsBadVersion rolls out a bad version: it is stopped after few answers,
-// also when the node that drives the roll-out is killed.
+// TestRolloutStopsBadVersion rolls out a version of poor quality: the rollout stops
+// after few responses, also when the node that drives it is killed, and the version
+// gets no further requests.
 func TestRolloutStopsBadVersion(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, defaultSpec)
@@ -228,7 +231,7 @@
 		_ = json.Unmarshal([]byte(out), &progress)
 		return progress["brief"].Verdict == "stopped"
 	})
-	t.Logf("%d answers by the bad version, of %d", bad, n)
+	t.Logf("%d of %d responses came from the bad version", bad, n)
 	must.Positive(t, bad)
 	for i := range 20 {
 		r := f.chat(f.nodes[1], "brief", fmt.Sprint("after ", i))
@@ -236,16 +239,16 @@
 	}
 }
 
-// TestSessionKeepsVersion moves a roll-out from its first stage to its last:
-// sessions keep the version that they began with, on every node, also after a
-// node was killed; new ones get the new version.
+// TestSessionKeepsVersion advances a rollout from its first stage to its last: sessions
+// keep the version that they began with on every node, also after a node is killed.
+// New sessions get the new version.
 func TestSessionKeepsVersion(t *testing.T) {
 	t.Parallel()
-	s := defaultSpec
-	s.editConfig = startRollout
-	f := newFleet(t, s)
+	spec := defaultSpec
+	spec.editConfig = startRollout
+	f := newFleet(t, spec)
 	f.waitFor("the first stage", func() bool { return f.rolloutStage(f.nodes[1]) == 0 })
-	session := func(n *node, name string) string {
+	versionInSession := func(n *node, name string) string {
 		r := f.chat(n, "brief", "in session "+name, "X-Session-Id", name)
 		must.True(t, r.complete(), must.Sprint(r.body))
 		return r.header.Get("X-Model-Version")
@@ -253,7 +256,7 @@
 	versions := make(map[string]string)
 	for i := range 30 {
 		name := fmt.Sprintf("s%d", i)
-		versions[name] = session(f.nodes[i%3], name)
+		versions[name] = versionInSession(f.nodes[i%3], name)
 	}
 	f.waitFor("the last stage", func() bool {
 		for i := range 10 {
@@ -263,18 +266,18 @@
 	})
 	f.nodes[0].kill()
 	f.setVMState(f.nodes[0].vm, "")
-	kept := make(map[string]int)
+	sessionsByVersion := make(map[string]int)
 	for name, version := range versions {
 		for _, n := range f.nodes[1:] {
-			must.Eq(t, version, session(n, name), must.Sprint("session "+name))
+			must.Eq(t, version, versionInSession(n, name), must.Sprint("session "+name))
 		}
-		kept[version]++
+		sessionsByVersion[version]++
 	}
-	must.Positive(t, kept["brief@v1"])
-	must.Eq(t, "brief@v2", session(f.nodes[2], "new"))
+	must.Positive(t, sessionsByVersion["brief@v1"])
+	must.Eq(t, "brief@v2", versionInSession(f.nodes[2], "new"))
 }
 
-// rolloutStage returns the stage of the roll-out that a node knows; -1 for none.
+// rolloutStage returns the rollout stage that a node reports; -1 without a rollout.
 func (f *fleet) rolloutStage(n *node) int {
 	_, out := f.runOperatorCommand(n, "show", "rollouts")
 	var progress map[string]struct{ Stage int }
@@ -285,9 +288,8 @@
 	return -1
 }
 
-// TestRestartedClaimHolder kills a node in the middle of a call that may not be
-// repeated and starts it again at once: the new process knows nothing of the
-// call, and that must not pass for "did not run".
+// TestRestartedClaimHolder kills a node during a non-idempotent call and restarts it at
+// once. The new process has no record of the call, and must not report it as not run.
 func TestRestartedClaimHolder(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 1, plainServices: 1, engines: 1, plainArgs: []string{"--delay-ms", "1500"}})
@@ -299,7 +301,7 @@
 		f.restartNode(f.nodes[0])
 		f.waitFor("the new process", func() bool { return f.get(f.nodes[0].operatorAddr, "/health") != nil })
 		var r clientResponse
-		f.waitFor("a final word", func() bool {
+		f.waitFor("a final outcome", func() bool {
 			r = f.postProof(f.nodes[1], id)
 			return r.code != "holder_unreachable" && r.code != "claim_unreachable" && r.code != "claim_busy"
 		})
@@ -309,53 +311,54 @@
 	}
 }
 
-// loadOrders lists what an engine was told to load and unload.
+// loadOrders returns the load and unload orders that an engine received.
 func (f *fleet) loadOrders(engine string) []standin.Order {
 	var in struct{ Orders []standin.Order }
 	must.NoError(f.t, json.Unmarshal(f.get(engine, "/ran"), &in))
 	return in.Orders
 }
 
-// TestLoadOrders rolls a version out to engines that do not hold it: one with
-// room is told to load it and gets its work, others get none. When the version
-// is withdrawn under another driver, the order to unload has a later token.
+// TestLoadOrders rolls out a version that no engine has loaded: an engine with room is
+// ordered to load it and gets its requests, and a full engine gets neither. When the
+// version is withdrawn under a new lease holder, the order to unload carries a higher
+// fencing token.
 func TestLoadOrders(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 1, engines: 3, plainServices: 1, engineArgs: []string{"--token-ms", "1", "--fencing"}})
-	held := [][]string{{"brief@v1", "small@v1"}, {"brief@v1"}, {"small@v1"}}
-	for i, models := range held {
+	loaded := [][]string{{"brief@v1", "small@v1"}, {"brief@v1"}, {"small@v1"}}
+	for i, models := range loaded {
 		f.setBehaviour(f.engineAddrs[i], map[string]any{"loaded": models})
 	}
 	f.apply(f.newConfig(startRollout))
-	var first int64
+	var loadToken int64
 	f.waitFor("the order to load", func() bool {
 		for _, engine := range f.engineAddrs[1:] {
 			for _, order := range f.loadOrders(engine) {
 				if order.Action == "load" && order.Model == "brief@v2" {
-					first = order.Token
+					loadToken = order.Token
 				}
 			}
 		}
-		return first > 0
+		return loadToken > 0
 	})
-	f.waitFor("an answer by the new version", func() bool {
+	f.waitFor("a response from the new version", func() bool {
 		r := f.chat(f.nodes[1], "brief", fmt.Sprint(time.Now()))
 		must.True(t, r.complete(), must.Sprint(r.body))
 		return r.header.Get("X-Model-Version") == "brief@v2"
 	})
-	must.SliceEmpty(t, f.loadOrders(f.engineAddrs[0]), must.Sprint("a full engine is left alone"))
+	must.SliceEmpty(t, f.loadOrders(f.engineAddrs[0]), must.Sprint("a full engine gets no orders"))
 	for _, runs := range f.runsByRequestID(f.engineAddrs[:1]) {
 		for _, run := range runs {
 			must.NotEq(t, "brief@v2", run.Model)
 		}
 	}
-	f.restartDriver(first)
+	f.restartDriver(loadToken)
 	f.apply(f.newConfig(func(c *config.Config) { c.Models[1].Versions[1].State = config.VersionWithdrawn }))
 	f.waitFor("the order to unload", func() bool {
 		for _, engine := range f.engineAddrs[1:] {
 			for _, order := range f.loadOrders(engine) {
 				if order.Action == "unload" && order.Model == "brief@v2" {
-					must.Greater(t, first, order.Token)
+					must.Greater(t, loadToken, order.Token)
 					return true
 				}
 			}
@@ -364,8 +367,8 @@
 	})
 }
 
-// restartDriver kills the node that holds the driver's lease and starts it
-// again.
+// restartDriver kills and restarts the node that acquired the driver lease with the
+// given fencing token.
 func (f *fleet) restartDriver(token int64) {
 	f.t.Helper()
 	for _, n := range f.nodes {
--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -1,7 +1,7 @@
-// Package e2e_test proves the promises from the outside, with real processes:
-// nodes of the shipped binary, and stand-ins for all that surrounds them.
-// Faults are signals to processes the test started (kill, freeze), cuts in TCP
-// proxies, and misbehaviour that the stand-ins are told.
+// Package e2e_test checks the system's guarantees from the outside, with real
+// processes: nodes of the shipped binary, and stand-ins for the services around
+// them. Faults are signals to processes that the test started (SIGKILL, SIGSTOP),
+// connections reset by TCP proxies, and misbehaviour configured in the stand-ins.
 package e2e_test
 
 import (
@@ -56,30 +56,30 @@
 	operatorKey = "operator-key"
 	accountKey  = "account-key"
 	otherKey    = "other-key"
-	// waitTimeout bounds every wait for a condition; nothing is judged by time.
+	// waitTimeout bounds every wait for a condition; no test asserts how long one takes.
 	waitTimeout = 40 * time.Second
 )
 
-// Ports are handed out from below the range that outgoing connections use, and
-// none twice, or a process could find its port taken.
+// Ports are allocated in turn from below the ephemeral range, so that neither an
+// outgoing connection nor another process takes one before it is bound.
 const (
 	firstPort = 20_000
 	lastPort  = 32_000
 )
 
 var (
-	// listenHost is this run's own address: of two runs at once on one address, six
-	// beside each other in the worst case, a node found its port "already in
-	// use" between freeAddress and its start in 2 of 33.
+	// listenHost is the loopback address of this test run. Runs in parallel that share
+	// an address take each other's ports between freeAddress and the start of a node:
+	// with up to six runs in parallel, 2 of 33 failed with "already in use".
 	listenHost string
 	nextPort   atomic.Int32
-	// forkMu keeps a process that is being started from holding a listener of
-	// freeAddress open between its fork and its exec.
+	// forkMu keeps a process that is being started from inheriting a listener of
+	// isFree, which would stay open between fork and exec.
 	forkMu sync.Mutex
 )
 
-// loopbackAddress returns the address of 127.0.0.0/8 for a run of the tests. The ranges
-// of the other packages' fleets end below it.
+// loopbackAddress returns the address in 127.0.0.0/8 of a test run, by its process
+// ID. The ranges that the tests of other packages use end below it.
 func loopbackAddress(pid int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 200+pid%50, pid/50%250, pid/12_500%250+1)
 }
@@ -109,7 +109,7 @@
 	return true
 }
 
-// process is one process that the test started.
+// process is a child process started by the test.
 type process struct {
 	t       testing.TB
 	name    string
@@ -159,19 +159,19 @@
 func (p *process) freeze() { p.signal(syscall.SIGSTOP) }
 func (p *process) thaw()   { p.signal(syscall.SIGCONT) }
 
-// shutdown asks the process to end and waits until it has.
+// shutdown sends SIGTERM and waits until the process has exited.
 func (p *process) shutdown() {
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
 	case <-time.After(waitTimeout):
-		p.t.Fatalf("%s did not stop", p.name)
+		p.t.Fatalf("%s did not exit after SIGTERM", p.name)
 	}
 }
 
-// maxLogBytes is how much of a process's log a failed test prints, in bytes: some 20 s of
-// requests. A bill that is missing shows at the end of a run, and its request may be
-// any of those before; with the last 4 kB its line was gone.
+// maxLogBytes is how much of a process's log a failed test prints: about 20 s of
+// requests. A missing bill is found at the end of a run, and its request may be any
+// earlier one: the last 4 kB did not reach back to it.
 const maxLogBytes = 400_000
 
 func (p *process) printLog() {
@@ -179,8 +179,9 @@
 	p.t.Logf("log of %s:\n%s", p.name, data[max(0, len(data)-maxLogBytes):])
 }
 
-// node is one node of the system with the addresses that the test uses. The
-// node tells its peers the address of a proxy, so that the test can cut it.
+// node is a node under test and the addresses at which the test reaches it. It
+// advertises the address of peerProxy to its peers and reaches the key-value service
+// through platformProxy, so that the test can cut either connection.
 type node struct {
 	*process
 	vm, hall                 string
@@ -190,7 +191,7 @@
 	peerAddr                 string
 }
 
-// fleet is one deployment.
+// fleet is a deployment under test: nodes, backend servers and platform services.
 type fleet struct {
 	t           testing.TB
 	dir         string
@@ -202,27 +203,29 @@
 	backends    []*process
 	nodes       []*node
 	mu          sync.Mutex
-	vmStates    map[string]string
+	// vmStates is the published VM list: state by VM name.
+	vmStates map[string]string
 }
 
-// fleetSpec is what a fleet consists of.
+// fleetSpec describes the fleet that newFleet starts.
 type fleetSpec struct {
 	halls         int
 	nodesPerHall  int
 	engines       int
 	plainServices int
-	// engineArgs go to every engine stand-in.
+	// engineArgs and plainArgs are extra arguments of each engine and plain stand-in.
 	engineArgs []string
 	plainArgs  []string
-	// tls lets the peers speak mutual TLS.
+	// issueCertificate, if set, makes the nodes use mutual TLS between them.
 	issueCertificate func(name string) (certificate, key, authority string)
-	// editConfig changes the first configuration.
+	// editConfig, if set, changes the first configuration.
 	editConfig func(*config.Config)
 }
 
 var defaultSpec = fleetSpec{halls: 3, nodesPerHall: 1, engines: 2, plainServices: 1, engineArgs: []string{"--token-ms", "1"}}
 
-// newFleet starts stand-ins and nodes and applies the first configuration.
+// newFleet starts stand-ins and nodes, applies the first configuration and waits
+// until all nodes are ready.
 func newFleet(t testing.TB, s fleetSpec) *fleet {
 	t.Helper()
 	f := &fleet{t: t, dir: t.TempDir(), vmStates: make(map[string]string)}
@@ -252,7 +255,7 @@
 			f.startNode(fmt.Sprintf("n%d%c", hall, 'a'+i), fmt.Sprintf("hall-%d", hall), s)
 		}
 	}
-	f.waitFor("a node's operator door", func() bool { return f.get(f.nodes[0].operatorAddr, "/health") != nil })
+	f.waitFor("the operator listener of a node", func() bool { return f.get(f.nodes[0].operatorAddr, "/health") != nil })
 	f.apply(f.newConfig(s.editConfig))
 	f.waitReady(f.nodes...)
 	return f
@@ -271,11 +274,11 @@
 		"bootstrap_key": config.Digest(operatorKey),
 		"times":         map[string]any{"probe_ms": 200, "address_ttl_ms": 500, "fold_ms": 500, "vm_list_ms": 300, "lease_ms": 4000, "answer_life_ms": 60000, "request_ms": 30000},
 	}
-	door := map[string]any{"listen": n.peerAddr, "advertise": n.peerProxy.Address()}
+	peerSettings := map[string]any{"listen": n.peerAddr, "advertise": n.peerProxy.Address()}
 	if s.issueCertificate != nil {
-		door["certificate"], door["key"], door["authority"] = asAny(s.issueCertificate(vm))
+		peerSettings["certificate"], peerSettings["key"], peerSettings["authority"] = asAny(s.issueCertificate(vm))
 	}
-	values["peer"] = door
+	values["peer"] = peerSettings
 	n.settingsFile = filepath.Join(f.dir, vm+".json")
 	data, err := json.Marshal(values)
 	must.NoError(f.t, err)
@@ -291,13 +294,13 @@
 
 func asAny(a, b, c string) (any, any, any) { return a, b, c }
 
-// restartNode starts a new process on the VM of a node that has ended.
+// restartNode starts a new process on the VM of a node whose process has exited.
 func (f *fleet) restartNode(n *node) {
 	f.t.Helper()
 	n.process = startProcess(f.t, n.vm, "violettally", "serve", "--settings", n.settingsFile)
 }
 
-// setVMState changes a VM's state on the list; "" takes it off.
+// setVMState sets the state of a VM on the VM list; "" removes the VM.
 func (f *fleet) setVMState(name, state string) {
 	f.mu.Lock()
 	if state == "" {
@@ -309,6 +312,7 @@
 	must.NoError(f.t, f.putVMList())
 }
 
+// putVMList publishes vmStates at the VM list stand-in.
 func (f *fleet) putVMList() error {
 	f.mu.Lock()
 	list := []standin.VM{}
@@ -325,13 +329,13 @@
 	return f.post(f.vmListAddr, "/vms", map[string]any{"vms": list})
 }
 
-// setFault tells a stand-in how to misbehave.
+// setFault sets the fault of a stand-in; the zero Fault clears it.
 func (f *fleet) setFault(address string, fault standin.Fault) {
 	f.t.Helper()
 	must.NoError(f.t, f.post(address, "/fault", fault))
 }
 
-// setBehaviour changes an engine's behaviour; fields that are not given stay.
+// setBehaviour changes the given fields of an engine's behaviour.
 func (f *fleet) setBehaviour(address string, fields map[string]any) {
 	f.t.Helper()
 	must.NoError(f.t, f.post(address, "/behave", fields))
@@ -350,12 +354,13 @@
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("%s%s answered %d", address, path, response.StatusCode)
+		return fmt.Errorf("POST %s%s: status %d", address, path, response.StatusCode)
 	}
 	return nil
 }
 
-// get returns a body whatever the status, nil if nobody answers.
+// get returns the body of a response whatever its status, ended by a newline; nil if
+// there is no response.
 func (f *fleet) get(address, path string) []byte {
 	response, err := httpClient.Get("http://" + address + path)
 	if err != nil {
@@ -372,7 +377,7 @@
 	deadline := time.Now().Add(waitTimeout)
 	for !holds() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("waited in vain for %s", what)
+			f.t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -381,11 +386,11 @@
 func (f *fleet) waitReady(nodes ...*node) {
 	f.t.Helper()
 	for _, n := range nodes {
-		f.waitFor(n.vm+" to be ready", func() bool { return strings.HasPrefix(string(f.get(n.operatorAddr, "/ready")), "ready") })
+		f.waitFor("readiness of "+n.vm, func() bool { return strings.HasPrefix(string(f.get(n.operatorAddr, "/ready")), "ready") })
 	}
 }
 
-// runsByRequestID lists what the backend servers did, by request id.
+// runsByRequestID returns what the backend servers ran, by request ID.
 func (f *fleet) runsByRequestID(addresses []string) map[string][]standin.Run {
 	f.t.Helper()
 	all := make(map[string][]standin.Run)
@@ -399,7 +404,8 @@
 	return all
 }
 
-// runOperatorCommand runs an operator's command and returns its exit code and output.
+// runOperatorCommand runs a subcommand of the binary against a node, with the
+// operator's key, and returns its exit code and output.
 func (f *fleet) runOperatorCommand(n *node, args ...string) (int, string) {
 	f.t.Helper()
 	cmd := exec.Command(filepath.Join(binDir, "violettally"), append(args, "--node", "http://"+n.operatorAddr, "--key", operatorKey)...)
@@ -411,7 +417,7 @@
 	return 0, string(out)
 }
 
-// apply puts a declaration in force by way of the first node.
+// apply applies a configuration through the first node.
 func (f *fleet) apply(c *config.Config) {
 	f.t.Helper()
 	code, out := f.runOperatorCommand(f.nodes[0], "apply", f.writeConfig(c))
@@ -427,8 +433,8 @@
 	return file
 }
 
-// newConfig is the usual configuration, changed by change.
-func (f *fleet) newConfig(change func(*config.Config)) *config.Config {
+// newConfig returns the default configuration of the fleet, changed by edit if set.
+func (f *fleet) newConfig(edit func(*config.Config)) *config.Config {
 	c := &config.Config{
 		Operators: []config.Operator{{Name: "ops", Keys: []string{config.Digest(operatorKey)}}},
 		Accounts: []config.Account{
@@ -455,13 +461,14 @@
 	for i, address := range f.plainAddrs {
 		c.Pools[1].Servers = append(c.Pools[1].Servers, config.Server{Name: fmt.Sprintf("p%d", i), URL: "http://" + address, DataHall: "hall-0", Slots: 64})
 	}
-	if change != nil {
-		change(c)
+	if edit != nil {
+		edit(c)
 	}
 	return c
 }
 
-// clientResponse is what a caller got.
+// clientResponse is a response as its client received it, or err. The fields code
+// and ran are those of an error body.
 type clientResponse struct {
 	status int
 	header http.Header
@@ -471,12 +478,13 @@
 	ran    string
 }
 
-// complete reports whether a caller has a whole answer.
+// complete reports whether the response is a success that arrived in full.
 func (r clientResponse) complete() bool {
 	return r.err == nil && r.status == http.StatusOK && r.code == ""
 }
 
-// call sends one request as a caller does.
+// call sends one request to a node with the key of the first client account. The
+// headers are names and values in turn.
 func (f *fleet) call(ctx context.Context, n *node, method, path, body string, headers ...string) clientResponse {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+n.clientAddr+path, strings.NewReader(body))
 	must.NoError(f.t, err)
@@ -492,11 +500,11 @@
 	defer response.Body.Close()
 	data, err := io.ReadAll(response.Body)
 	r := clientResponse{status: response.StatusCode, header: response.Header, body: string(data), err: err}
-	var refusal struct {
+	var errorBody struct {
 		Error struct{ Code, Ran string }
 	}
-	if json.Unmarshal(data, &refusal) == nil {
-		r.code, r.ran = refusal.Error.Code, refusal.Error.Ran
+	if json.Unmarshal(data, &errorBody) == nil {
+		r.code, r.ran = errorBody.Error.Code, errorBody.Error.Ran
 	}
 	return r
 }
@@ -505,17 +513,17 @@
 	return fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":%q}]}`, model, prompt)
 }
 
-// chat sends a chat completion and returns the reply.
+// chat sends a chat completion request.
 func (f *fleet) chat(n *node, model, prompt string, headers ...string) clientResponse {
 	return f.call(context.Background(), n, http.MethodPost, "/v1/chat/completions", chatBody(model, prompt), headers...)
 }
 
-// postProof sends a call that may not be repeated.
+// postProof sends a non-idempotent call to the plain service.
 func (f *fleet) postProof(n *node, id string) clientResponse {
 	return f.call(context.Background(), n, http.MethodPost, "/v1/services/records/proofs", `{"drop":"`+id+`"}`, "Idempotency-Key", id)
 }
 
-// ledgerTotals returns the ledger's totals, as any node shows them.
+// ledgerTotals returns the ledger's totals as the node reports them; nil if it cannot.
 func (f *fleet) ledgerTotals(n *node) map[string]struct{ Requests, Cost int64 } {
 	code, out := f.runOperatorCommand(n, "show", "ledger")
 	if code != 0 {
@@ -528,7 +536,7 @@
 	return in.Totals
 }
 
-// newProxy opens a proxy before a target until the test ends.
+// newProxy starts a proxy to a target that is closed when the test ends.
 func newProxy(t testing.TB, target string) *faultproxy.Proxy {
 	t.Helper()
 	p, err := faultproxy.Listen("127.0.0.1:0", target)
--- a/e2e/measure_test.go
+++ b/e2e/measure_test.go
@@ -21,8 +21,8 @@
 	"github.com/violettally/violettally/internal/standin"
 )
 
-// The measurements of docs/MEASUREMENTS.md. They judge nothing, so they run
-// only by command:
+// measureFlag enables the measurements of docs/MEASUREMENTS.md. They report figures
+// and set no limits on them, so they run only on request:
 //
 //	go test ./e2e -run TestMeasure/path -measure -v
 var measureFlag = flag.Bool("measure", false, "run the measurements")
@@ -42,7 +42,8 @@
 	t.Run("outage", measureOutage)
 }
 
-// latencies is one kind of call with its times in microseconds.
+// latencies holds the times of one kind of call in microseconds: to the first event
+// and to the end of the response.
 type latencies struct {
 	firstEvent, total *hdrhistogram.Histogram
 }
@@ -52,7 +53,7 @@
 	return latencies{firstEvent: histogram(), total: histogram()}
 }
 
-// timeStream times the first event and the whole of one streamed answer.
+// timeStream sends one streaming request and records its times.
 func (m latencies) timeStream(t testing.TB, address, key, model string) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"messages":[{"role":"user","content":"Route for 14 drops"}]}`, model)
 	request, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/chat/completions", strings.NewReader(body))
@@ -74,31 +75,33 @@
 	_ = m.total.RecordValue(time.Since(start).Microseconds())
 }
 
+// tableRow formats p50, p95 and p99 of both times in milliseconds.
 func (m latencies) tableRow(name string) string {
-	q := func(h *hdrhistogram.Histogram, p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
+	quantileMillis := func(h *hdrhistogram.Histogram, p float64) float64 { return float64(h.ValueAtQuantile(p)) / 1000 }
 	return fmt.Sprintf("| %s | %.2f | %.2f | %.2f | %.2f | %.2f | %.2f |", name,
-		q(m.firstEvent, 50), q(m.firstEvent, 95), q(m.firstEvent, 99), q(m.total, 50), q(m.total, 95), q(m.total, 99))
+		quantileMillis(m.firstEvent, 50), quantileMillis(m.firstEvent, 95), quantileMillis(m.firstEvent, 99),
+		quantileMillis(m.total, 50), quantileMillis(m.total, 95), quantileMillis(m.total, 99))
 }
 
-// measurePath compares a call through a node with one straight to the engine,
-// by turns in one run.
+// measurePath compares a call through a node with one directly to the engine. The two
+// alternate within one run.
 func measurePath(t *testing.T) {
 	f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 2, engines: 1, plainServices: 1, engineArgs: []string{"--token-ms", "2", "--tokens", "32", "--slots", "64"}})
-	direct, minted := newLatencies(), newLatencies()
+	direct, viaNode := newLatencies(), newLatencies()
 	const rounds = 400
 	for i := range rounds + 20 {
 		if i == 20 {
-			direct, minted = newLatencies(), newLatencies()
+			direct, viaNode = newLatencies(), newLatencies()
 		}
 		direct.timeStream(t, f.engineAddrs[0], "", "brief@v1")
-		minted.timeStream(t, f.nodes[i%6].clientAddr, accountKey, "brief")
+		viaNode.timeStream(t, f.nodes[i%6].clientAddr, accountKey, "brief")
 	}
-	t.Logf("\n| %d streams each, by turns | first p50 ms | p95 | p99 | whole p50 | p95 | p99 |\n|---|---|---|---|---|---|---|\n%s\n%s",
-		rounds, direct.tableRow("engine, directly"), minted.tableRow("through a node"))
+	t.Logf("\n| %d streams each, alternating | first event p50 ms | p95 | p99 | total p50 | p95 | p99 |\n|---|---|---|---|---|---|---|\n%s\n%s",
+		rounds, direct.tableRow("direct to the engine"), viaNode.tableRow("through a node"))
 }
 
-// measureRate finds the requests that a node answers per second of its
-// processor time, the memory it takes, and the calls that a request costs.
+// measureRate measures the requests that a node serves per second of CPU time, its
+// memory, and the peer calls per request.
 func measureRate(t *testing.T) {
 	f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 1, engines: 3, plainServices: 1, engineArgs: []string{"--token-ms", "0", "--prefill-ms", "0", "--slots", "512"}})
 	f.apply(f.newConfig(func(c *config.Config) {
@@ -107,7 +110,7 @@
 		}
 	}))
 	var lines []string
-	for _, mode := range []string{"idle", "minted id", "given id", "session", "proof"} {
+	for _, mode := range []string{"idle", "generated id", "given id", "session", "proof"} {
 		before := f.scrapeMetrics()
 		var done atomic.Int64
 		start := time.Now()
@@ -124,17 +127,18 @@
 	t.Logf("\n| 3 nodes | requests/s | cores per node | requests per core second | CPU ms per request | peer calls per request | peer bytes per request | resident MB per node |\n|---|---|---|---|---|---|---|---|\n%s", strings.Join(lines, "\n"))
 }
 
-// generateLoad keeps callers busy for a while.
-func (f *fleet) generateLoad(mode string, callers int, d time.Duration, done *atomic.Int64) {
+// generateLoad runs clients for a while that send requests without a pause, to all
+// nodes in turn. It adds the successful ones to done.
+func (f *fleet) generateLoad(mode string, clients int, d time.Duration, done *atomic.Int64) {
 	if mode == "idle" {
 		time.Sleep(d)
 		return
 	}
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: clients}}
 	ctx, cancel := context.WithTimeout(context.Background(), d)
 	defer cancel()
 	var group sync.WaitGroup
-	for i := range callers {
+	for i := range clients {
 		group.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
 				path, body := "/v1/chat/completions", chatBody("brief", "Route for 14 drops")
@@ -167,11 +171,13 @@
 	group.Wait()
 }
 
-// metricTotals is the sum of all nodes' metrics by name, labels left out.
+// metricTotals holds the metrics of all nodes, summed over nodes and labels, by name.
+// Metrics with a call label are also summed by name and call, under "name/call".
 type metricTotals map[string]float64
 
 func (s metricTotals) total(name string) float64 { return s[name] }
 
+// scrapeMetrics reads the metrics of every node.
 func (f *fleet) scrapeMetrics() metricTotals {
 	all := make(metricTotals)
 	for _, n := range f.nodes {
@@ -179,12 +185,12 @@
 			if strings.HasPrefix(line, "#") || line == "" {
 				continue
 			}
-			at := strings.LastIndexByte(line, ' ')
-			if at < 0 {
+			valueSep := strings.LastIndexByte(line, ' ')
+			if valueSep < 0 {
 				continue
 			}
-			name, _, _ := strings.Cut(line[:at], "{")
-			value, _ := strconv.ParseFloat(line[at+1:], 64)
+			name, _, _ := strings.Cut(line[:valueSep], "{")
+			value, _ := strconv.ParseFloat(line[valueSep+1:], 64)
 			all[name] += value
 			if call := labelValue(line, "call"); call != "" {
 				all[name+"/"+call] += value
@@ -194,6 +200,7 @@
 	return all
 }
 
+// labelValue returns the value of a label in a metric's line; "" if it has none.
 func labelValue(line, name string) string {
 	_, rest, ok := strings.Cut(line, name+`="`)
 	if !ok {
@@ -203,38 +210,38 @@
 	return value
 }
 
-// measureTokens finds the processor time of a streamed token.
+// measureTokens measures the CPU time per streamed token.
 func measureTokens(t *testing.T) {
 	var lines []string
 	for _, tokens := range []int{64, 256, 1024} {
 		f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 1, engines: 3, plainServices: 1, engineArgs: []string{"--token-ms", "1", "--prefill-ms", "0", "--slots", "512", "--tokens", fmt.Sprint(tokens)}})
-		const callers, rounds = 48, 4
+		const clients, rounds = 48, 4
 		before := f.scrapeMetrics()
 		m := newLatencies()
 		var mu sync.Mutex
 		var group sync.WaitGroup
-		for i := range callers {
+		for i := range clients {
 			group.Go(func() {
 				for range rounds {
-					own := newLatencies()
-					own.timeStream(t, f.nodes[i%3].clientAddr, accountKey, "brief")
+					sample := newLatencies()
+					sample.timeStream(t, f.nodes[i%3].clientAddr, accountKey, "brief")
 					mu.Lock()
-					m.firstEvent.Merge(own.firstEvent)
-					m.total.Merge(own.total)
+					m.firstEvent.Merge(sample.firstEvent)
+					m.total.Merge(sample.total)
 					mu.Unlock()
 				}
 			})
 		}
 		group.Wait()
 		cpu := f.scrapeMetrics().total("process_cpu_seconds_total") - before.total("process_cpu_seconds_total")
-		lines = append(lines, fmt.Sprintf("| %d | %.2f | %.1f |", tokens, cpu/(callers*rounds)*1000, cpu/(callers*rounds*float64(tokens))*1e6))
+		lines = append(lines, fmt.Sprintf("| %d | %.2f | %.1f |", tokens, cpu/(clients*rounds)*1000, cpu/(clients*rounds*float64(tokens))*1e6))
 		f.killAll()
 	}
-	t.Logf("\n| tokens in an answer | CPU ms per request | CPU us per token |\n|---|---|---|\n%s", strings.Join(lines, "\n"))
+	t.Logf("\n| tokens in a response | CPU ms per request | CPU us per token |\n|---|---|---|\n%s", strings.Join(lines, "\n"))
 }
 
-// measureApply times from the start of an apply until every node has the
-// revision in force, half the nodes without a watch of their own.
+// measureApply measures the time from the start of an apply until every node has the
+// revision in force. Half of the nodes have no watch of their own.
 func measureApply(t *testing.T) {
 	f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 4, engines: 1, plainServices: 1})
 	var times []float64
@@ -249,10 +256,10 @@
 		times = append(times, time.Since(start).Seconds()*1000)
 	}
 	sort.Float64s(times)
-	t.Logf("12 nodes, 20 applies: command to in force everywhere, p50 %.0f ms, p95 %.0f ms, most %.0f ms (with the polling of 12 nodes)", times[10], times[18], times[19])
+	t.Logf("12 nodes, 20 applies: from the command until in force on every node, p50 %.0f ms, p95 %.0f ms, max %.0f ms (including the polling of 12 nodes)", times[10], times[18], times[19])
 }
 
-// measureNodes finds what an idle node spends for control, over the size of
+// measureNodes measures the cost of the control plane to an idle node, by the size of
 // the fleet.
 func measureNodes(t *testing.T) {
 	var lines []string
@@ -264,17 +271,17 @@
 		time.Sleep(seconds * time.Second)
 		after := f.scrapeMetrics()
 		nodes := float64(3 * perHall)
-		each := func(name string) float64 { return (after.total(name) - before.total(name)) / nodes / seconds }
-		lines = append(lines, fmt.Sprintf("| %.0f | %.2f%% | %.1f | %.1f | %.0f | %.2f | %.1f |", nodes, 100*each("process_cpu_seconds_total"),
-			each("violettally_peer_calls_total"), each("violettally_peer_calls_total/probe"), each("violettally_peer_sent_bytes_total"),
+		perNode := func(name string) float64 { return (after.total(name) - before.total(name)) / nodes / seconds }
+		lines = append(lines, fmt.Sprintf("| %.0f | %.2f%% | %.1f | %.1f | %.0f | %.2f | %.1f |", nodes, 100*perNode("process_cpu_seconds_total"),
+			perNode("violettally_peer_calls_total"), perNode("violettally_peer_calls_total/probe"), perNode("violettally_peer_sent_bytes_total"),
 			(after.total("violettally_platform_calls_total")-before.total("violettally_platform_calls_total"))/seconds, after.total("process_resident_memory_bytes")/nodes/1e6))
 		f.killAll()
 	}
-	t.Logf("\n| nodes | core per node | peer calls/s per node | of them probes | peer bytes/s per node | platform calls/s, all nodes | resident MB per node |\n|---|---|---|---|---|---|---|\n%s", strings.Join(lines, "\n"))
+	t.Logf("\n| nodes | core per node | peer calls/s per node | of these, probes | peer bytes/s per node | platform calls/s, all nodes | resident MB per node |\n|---|---|---|---|---|---|---|\n%s", strings.Join(lines, "\n"))
 }
 
-// measureServers finds what following the load of backend servers costs an
-// idle node.
+// measureServers measures what it costs an idle node to track the load of backend
+// servers.
 func measureServers(t *testing.T) {
 	var lines []string
 	for _, servers := range []int{2, 10, 20} {
@@ -284,14 +291,15 @@
 		const seconds = 10
 		time.Sleep(seconds * time.Second)
 		after := f.scrapeMetrics()
-		each := func(name string) float64 { return (after.total(name) - before.total(name)) / 3 / seconds }
-		lines = append(lines, fmt.Sprintf("| %d | %.2f%% | %.1f |", servers+1, 100*each("process_cpu_seconds_total"), each("violettally_load_reports_total")))
+		perNode := func(name string) float64 { return (after.total(name) - before.total(name)) / 3 / seconds }
+		lines = append(lines, fmt.Sprintf("| %d | %.2f%% | %.1f |", servers+1, 100*perNode("process_cpu_seconds_total"), perNode("violettally_load_reports_total")))
 		f.killAll()
 	}
 	t.Logf("\n| backend servers | core per node | load reports/s per node |\n|---|---|---|\n%s", strings.Join(lines, "\n"))
 }
 
-// killAll kills the fleet's nodes before the test's end, to make room.
+// killAll kills the nodes and backend servers before the end of the test, to free the
+// machine for the next fleet.
 func (f *fleet) killAll() {
 	for _, n := range f.nodes {
 		n.kill()
@@ -301,7 +309,7 @@
 	}
 }
 
-// measureFaults tells what callers see around each single fault.
+// measureFaults reports what clients see around each single fault.
 func measureFaults(t *testing.T) {
 	var lines []string
 	for i, fault := range faults {
@@ -309,11 +317,11 @@
 		lines = append(lines, fmt.Sprintf("| %s | %s |", fault.name, w.tableRow()))
 		w.f.killAll()
 	}
-	t.Logf("\n| fault | requests | answered at once | answered after retries | refused, not run | unknown | whole p50 ms | p95 | longest |\n|---|---|---|---|---|---|---|---|---|\n%s", strings.Join(lines, "\n"))
+	t.Logf("\n| fault | requests | completed at first attempt | completed after retries | refused, not run | unknown | total p50 ms | p95 | max |\n|---|---|---|---|---|---|---|---|---|\n%s", strings.Join(lines, "\n"))
 }
 
-// measureOutage takes the platform away for two minutes, and kills a node and
-// gives it back in the middle.
+// measureOutage takes the platform down for two minutes. A node is killed after 60 s
+// and restarted after 90 s.
 func measureOutage(t *testing.T) {
 	f := newFleet(t, faultSpec)
 	w := startWorkload(f, 5)
@@ -331,14 +339,14 @@
 	w.waitForResponses()
 	w.stop()
 	w.check(t)
-	t.Logf("\n| fault | requests | answered at once | answered after retries | refused, not run | unknown | whole p50 ms | p95 | longest |\n|---|---|---|---|---|---|---|---|---|\n| platform down for 120 s, a node dead from 60 to 90 | %s |", w.tableRow())
+	t.Logf("\n| fault | requests | completed at first attempt | completed after retries | refused, not run | unknown | total p50 ms | p95 | max |\n|---|---|---|---|---|---|---|---|---|\n| platform down for 120 s, a node down from 60 to 90 s | %s |", w.tableRow())
 	t.Logf("%s", w.summary())
-	t.Logf("claims and bills remembered per node: %.0f before, %.0f after 60 s; resident %.1f and %.1f MB", before.total("violettally_claims")/6, middle.total("violettally_claims")/6, before.total("process_resident_memory_bytes")/6e6, middle.total("process_resident_memory_bytes")/6e6)
+	t.Logf("claims and bills held per node: %.0f before, %.0f after 60 s; resident %.1f and %.1f MB", before.total("violettally_claims")/6, middle.total("violettally_claims")/6, before.total("process_resident_memory_bytes")/6e6, middle.total("process_resident_memory_bytes")/6e6)
 	f.killAll()
 }
 
-// measureCalls breaks the calls between nodes down by kind, over rates and over
-// the number of accounts that have limits and demand.
+// measureCalls breaks the calls between nodes down by kind, for different request
+// rates and numbers of accounts that have limits and send requests.
 func measureCalls(t *testing.T) {
 	kinds := []string{"probe", "claim", "advance", "release", "lookup", "attach", "limit"}
 	var lines []string
@@ -359,12 +367,12 @@
 		lines = append(lines, line+fmt.Sprintf(" %.1f |", 100*cpu/seconds))
 	}
 	f := newFleet(t, fleetSpec{halls: 3, nodesPerHall: 2, engines: 2, plainServices: 1, engineArgs: []string{"--token-ms", "0", "--prefill-ms", "0", "--slots", "512"}})
-	for _, mode := range []string{"idle", "minted id", "given id", "proof"} {
-		for _, callers := range []int{2, 8} {
-			if mode == "idle" && callers > 2 {
+	for _, mode := range []string{"idle", "generated id", "given id", "proof"} {
+		for _, clients := range []int{2, 8} {
+			if mode == "idle" && clients > 2 {
 				continue
 			}
-			add(fmt.Sprintf("%s, %d callers", mode, callers), f, func(done *atomic.Int64) { f.generateLoad(mode, callers, 4*time.Second, done) })
+			add(fmt.Sprintf("%s, %d clients", mode, clients), f, func(done *atomic.Int64) { f.generateLoad(mode, clients, 4*time.Second, done) })
 		}
 	}
 	f.killAll()
@@ -378,10 +386,11 @@
 		add(fmt.Sprintf("%d accounts with limits, 5 requests/s each", accounts), f, func(done *atomic.Int64) { done.Add(f.generateAccountLoad(accounts, 5*time.Second)) })
 		f.killAll()
 	}
-	t.Logf("\n| 6 nodes, all of them together, per second | requests | %s | %% of a core |\n|---|---|%s---|\n%s", strings.Join(kinds, " calls / bytes | ")+" calls / bytes", strings.Repeat("---|", len(kinds)), strings.Join(lines, "\n"))
+	t.Logf("\n| 6 nodes in total, per second | requests | %s | %% of a core |\n|---|---|%s---|\n%s", strings.Join(kinds, " calls / bytes | ")+" calls / bytes", strings.Repeat("---|", len(kinds)), strings.Join(lines, "\n"))
 }
 
-// generateAccountLoad sends five requests a second for each account, to all nodes in turn.
+// generateAccountLoad sends up to five requests per second for each account, to all
+// nodes in turn, and returns how many completed.
 func (f *fleet) generateAccountLoad(accounts int, d time.Duration) int64 {
 	var done atomic.Int64
 	var group sync.WaitGroup
@@ -400,9 +409,9 @@
 	return done.Load()
 }
 
-// tableRow sums up a workload for a table.
+// tableRow sums up a workload for the tables of measureFaults and measureOutage.
 func (w *workload) tableRow() string {
-	once, again, refused, unknown, total := 0, 0, 0, 0, 0
+	firstAttempt, afterRetries, refused, unknown, total := 0, 0, 0, 0, 0
 	h := hdrhistogram.New(1, 120_000_000, 3)
 	for _, e := range w.requests {
 		if e.kind == kindForbidden {
@@ -411,9 +420,9 @@
 		total++
 		switch {
 		case e.completed && (len(e.attempts) == 1 || e.kind == kindAsync):
-			once++
+			firstAttempt++
 		case e.completed:
-			again++
+			afterRetries++
 		case e.unknown:
 			unknown++
 		default:
@@ -424,5 +433,5 @@
 		}
 	}
 	ms := func(us int64) float64 { return float64(us) / 1000 }
-	return fmt.Sprintf("%d | %d | %d | %d | %d | %.0f | %.0f | %.0f", total, once, again, refused, unknown, ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(95)), ms(h.Max()))
+	return fmt.Sprintf("%d | %d | %d | %d | %d | %.0f | %.0f | %.0f", total, firstAttempt, afterRetries, refused, unknown, ms(h.ValueAtQuantile(50)), ms(h.ValueAtQuantile(95)), ms(h.Max()))
 }
--- a/e2e/race_on_test.go
+++ b/e2e/race_on_test.go
@@ -2,6 +2,6 @@
 
 package e2e_test
 
-// buildFlags let the processes under test look for data races where the tests
-// do.
+// buildFlags enable the race detector in the processes under test when the tests run
+// with it.
 var buildFlags = []string{"build", "-race"}
--- a/e2e/workload_test.go
+++ b/e2e/workload_test.go
@@ -16,7 +16,7 @@
 	"github.com/violettally/violettally/internal/standin"
 )
 
-// requestKind of a request in the workload.
+// requestKind is the kind of a request in the workload.
 type requestKind int
 
 const (
@@ -30,10 +30,10 @@
 )
 
 func (k requestKind) String() string {
-	return [...]string{"chat", "stream", "session", "proof", "patient", "forbidden"}[k]
+	return [...]string{"chat", "stream", "session", "non-idempotent", "async", "forbidden"}[k]
 }
 
-// requestRecord is one request of the workload with all that its caller saw.
+// requestRecord is one request of the workload and what its client saw of it.
 type requestRecord struct {
 	id       string
 	kind     requestKind
@@ -41,25 +41,27 @@
 	prompt   string
 	start    time.Time
 	duration time.Duration
+	// attempts holds status, code and ran of each attempt, or its error.
 	attempts []string
-	// completed holds the whole answer's version, text and body.
+	// completed is set once the client has a complete response; version, text and
+	// body are those of that response.
 	completed bool
 	version   string
 	text      string
 	body      string
-	// notRun is set if the caller was told so last, and did not try again.
+	// notRun is set if the last attempt was refused as not run and the client gave up.
 	notRun bool
-	// unknown is set if the caller was told that nobody knows.
+	// unknown is set if the client was told that the outcome is unknown.
 	unknown bool
 }
 
-// workload is a few callers who do what users do: they ask for addresses,
-// keep them for their time to live, and try again under the same id.
+// workload is a group of clients that behave as clients should: they fetch node
+// addresses, cache them for their TTL, and retry with the same request ID.
 type workload struct {
 	f       *fleet
 	cancel  context.CancelFunc
 	clients sync.WaitGroup
-	// completed counts the requests that have been answered.
+	// completed counts the requests with a complete response.
 	completed atomic.Int64
 
 	mu       sync.Mutex
@@ -67,7 +69,7 @@
 	notes    []note
 }
 
-// note is something that the fault schedule did.
+// note is a step of the fault schedule, as the history shows it.
 type note struct {
 	at   time.Time
 	text string
@@ -82,7 +84,7 @@
 	responseTokens = 16
 )
 
-// startWorkload runs callers until stop. The seed decides what they ask for.
+// startWorkload runs clients until stop. The seed determines their requests.
 func startWorkload(f *fleet, seed uint64) *workload {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &workload{f: f, cancel: cancel}
@@ -93,7 +95,7 @@
 	return w
 }
 
-// stop lets every caller end the request that it is at.
+// stop waits until every client has finished its current request.
 func (w *workload) stop() {
 	w.cancel()
 	w.clients.Wait()
@@ -105,10 +107,10 @@
 	w.notes = append(w.notes, note{time.Now(), fmt.Sprintf(format, args...)})
 }
 
-func (w *workload) run(ctx context.Context, caller int, rng *rand.Rand) {
-	known := &addressCache{f: w.f, rng: rng}
+func (w *workload) run(ctx context.Context, client int, rng *rand.Rand) {
+	addresses := &addressCache{f: w.f, rng: rng}
 	for n := 0; ctx.Err() == nil; n++ {
-		e := &requestRecord{id: fmt.Sprintf("c%d-%d", caller, n), kind: requestKind(rng.IntN(int(kindCount))), start: time.Now()}
+		e := &requestRecord{id: fmt.Sprintf("c%d-%d", client, n), kind: requestKind(rng.IntN(int(kindCount))), start: time.Now()}
 		e.prompt = "prompt of " + e.id
 		if e.kind == kindSession {
 			e.session = fmt.Sprintf("s%d", rng.IntN(sessionCount))
@@ -116,7 +118,7 @@
 		w.mu.Lock()
 		w.requests = append(w.requests, e)
 		w.mu.Unlock()
-		w.sendWithRetries(e, known, rng.IntN(2) == 0)
+		w.sendWithRetries(e, addresses, rng.IntN(2) == 0)
 		e.duration = time.Since(e.start)
 		if e.completed {
 			w.completed.Add(1)
@@ -125,7 +127,7 @@
 	}
 }
 
-// addressCache is what a caller knows of the nodes' addresses.
+// addressCache holds the node addresses that a client knows.
 type addressCache struct {
 	f         *fleet
 	rng       *rand.Rand
@@ -133,8 +135,8 @@
 	expiresAt time.Time
 }
 
-// randomNode returns a node to call, asking any node that answers for addresses
-// when the last ones are too old.
+// randomNode returns a node to send a request to. It refreshes expired addresses from
+// the first node that responds.
 func (b *addressCache) randomNode() *node {
 	if time.Now().After(b.expiresAt) {
 		b.refresh()
@@ -167,11 +169,11 @@
 	}
 }
 
-// sendWithRetries tries a request until its caller has an answer or gives up. A caller
-// that is not stubborn takes the first "not run" for its last word.
-func (w *workload) sendWithRetries(e *requestRecord, known *addressCache, stubborn bool) {
+// sendWithRetries sends a request until there is a complete response or the client
+// gives up. A client without retryNotRun gives up at the first "not run".
+func (w *workload) sendWithRetries(e *requestRecord, addresses *addressCache, retryNotRun bool) {
 	for range maxAttempts {
-		r := w.attempt(e, known.randomNode())
+		r := w.attempt(e, addresses.randomNode())
 		e.attempts = append(e.attempts, fmt.Sprintf("%d %s %s", r.status, r.code, r.ran))
 		e.notRun, e.unknown = false, false
 		switch {
@@ -185,7 +187,7 @@
 		case r.code == "outcome_unknown":
 			e.unknown = true
 			return
-		case r.ran == "no" && (!stubborn || e.kind == kindForbidden):
+		case r.ran == "no" && (!retryNotRun || e.kind == kindForbidden):
 			e.notRun = true
 			return
 		}
@@ -193,7 +195,7 @@
 	}
 }
 
-// attemptTimeout bounds one try; a frozen node does not answer.
+// attemptTimeout bounds one attempt, as a frozen node does not respond.
 const attemptTimeout = 5 * time.Second
 
 func (w *workload) attempt(e *requestRecord, n *node) clientResponse {
@@ -220,7 +222,8 @@
 	}
 }
 
-// completionText reads the text of a completion; "" if it is not whole.
+// completionText returns the text of a completion; "" if the body is not a complete
+// one.
 func completionText(body string, streamed bool) string {
 	if !streamed {
 		var in struct {
@@ -232,14 +235,14 @@
 		return in.Choices[0].Message.Content
 	}
 	var text strings.Builder
-	whole := false
+	done := false
 	for _, line := range strings.Split(body, "\n") {
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
 			continue
 		}
 		if data == "[DONE]" {
-			whole = true
+			done = true
 			continue
 		}
 		var in struct {
@@ -249,14 +252,14 @@
 			text.WriteString(in.Choices[0].Delta.Content)
 		}
 	}
-	if !whole {
+	if !done {
 		return ""
 	}
 	return text.String()
 }
 
-// check judges the ten points by what callers got, backend servers ran, and
-// the ledger has.
+// check verifies the guarantees by the responses to clients, the runs of the backend
+// servers and the bills in the ledger.
 func (w *workload) check(t testing.TB) {
 	t.Helper()
 	plainRuns, engineRuns := w.f.runsByRequestID(w.f.plainAddrs), w.f.runsByRequestID(w.f.engineAddrs)
@@ -271,48 +274,50 @@
 	}
 }
 
-// checkAnswer: a caller gets the whole answer to its own request.
+// checkResponse verifies that a client gets the complete response to its own request.
 func (w *workload) checkResponse(t testing.TB, e *requestRecord) {
 	switch {
 	case !e.completed:
 	case e.kind == kindForbidden:
-		t.Errorf("%s: an account was answered by a model it may not use", e.id)
+		t.Errorf("%s: got a response of a model that the account may not use", e.id)
 	case e.kind == kindNonIdempotent:
 		if !strings.Contains(e.body, `"echo":"`+e.prompt+`"`) {
-			t.Errorf("%s: the answer is another's: %s", e.id, e.body)
+			t.Errorf("%s: got the response to another request: %s", e.id, e.body)
 		}
 	case e.text != standin.AnswerText(e.version, e.prompt, responseTokens):
-		t.Errorf("%s: the answer is not whole or another's: %q by %s", e.id, e.text, e.version)
+		t.Errorf("%s: response is incomplete or that to another request: %q by %s", e.id, e.text, e.version)
 	}
 }
 
-// checkRuns: "not run" is true, and what may not be repeated ran once at most.
+// checkRuns verifies that a request reported as "not run" has not run, and that a
+// non-idempotent one ran at most once, and exactly once if it has a response.
 func (w *workload) checkRuns(t testing.TB, e *requestRecord, plain, engine []standin.Run) {
 	runs := len(plain) + len(engine)
 	if e.notRun && runs > 0 {
-		t.Errorf("%s (%s): ran although its caller was told 'not run' at last: %q", e.id, e.kind, e.attempts)
+		t.Errorf("%s (%s): ran although its last attempt was refused as not run: %q", e.id, e.kind, e.attempts)
 	}
 	if e.kind == kindNonIdempotent && len(plain) > 1 {
 		t.Errorf("%s: ran %d times", e.id, len(plain))
 	}
 	if e.kind == kindNonIdempotent && e.completed && len(plain) != 1 {
-		t.Errorf("%s: answered, and ran %d times", e.id, len(plain))
+		t.Errorf("%s: has a response, but ran %d times", e.id, len(plain))
 	}
 	if e.kind == kindForbidden && runs > 0 {
 		t.Errorf("%s: ran on a model that the account may not use", e.id)
 	}
 }
 
-func allNotRun(tries []string) bool {
-	for _, try := range tries {
-		if !strings.HasSuffix(try, " no") {
+// allNotRun reports whether every attempt was refused as not run.
+func allNotRun(attempts []string) bool {
+	for _, attempt := range attempts {
+		if !strings.HasSuffix(attempt, " no") {
 			return false
 		}
 	}
 	return true
 }
 
-// checkSessions: a session keeps its version.
+// checkSessions verifies that a session keeps its model version.
 func (w *workload) checkSessions(t testing.TB) {
 	versions := make(map[string]string)
 	for _, e := range w.requests {
@@ -320,77 +325,79 @@
 			continue
 		}
 		if before, ok := versions[e.session]; ok && before != e.version {
-			t.Errorf("session %s was on %s and then on %s", e.session, before, e.version)
+			t.Errorf("session %s changed from %s to %s", e.session, before, e.version)
 		}
 		versions[e.session] = e.version
 	}
 }
 
-// checkBills: each request is billed exactly once. Requests whose callers do
-// not know their fate may have been billed or not.
+// checkBills verifies that each completed request is billed exactly once. A request
+// whose client does not know the outcome may have been billed or not.
 func (w *workload) checkBills(t testing.TB) {
-	answered, open := 0, 0
+	completed, undecided := 0, 0
 	for _, e := range w.requests {
 		switch {
 		case e.kind == kindNonIdempotent || e.kind == kindForbidden:
 		case e.completed:
-			answered++
+			completed++
 		case !allNotRun(e.attempts):
-			open++
+			undecided++
 		}
 	}
 	billed := w.billedRequests()
-	for deadline := time.Now().Add(waitTimeout); billed < answered && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(waitTimeout); billed < completed && time.Now().Before(deadline); {
 		runFor(100 * time.Millisecond)
 		billed = w.billedRequests()
 	}
-	if billed < answered || billed > answered+open {
-		t.Errorf("%d requests were answered, of %d more nobody knows, and %d were billed", answered, open, billed)
+	if billed < completed || billed > completed+undecided {
+		t.Errorf("%d requests completed, the outcome of %d more is unknown, and %d were billed", completed, undecided, billed)
 		_, out := w.f.runOperatorCommand(w.f.nodes[0], "show", "ledger")
 		t.Log(out)
 	}
 }
 
+// billedRequests returns the number of billed requests that the first responding node
+// reports; 0 if none responds.
 func (w *workload) billedRequests() int {
 	sum := 0
 	for _, n := range w.f.nodes {
 		if w.f.get(n.operatorAddr, "/health") == nil {
 			continue
 		}
-		for _, line := range w.f.ledgerTotals(n) {
-			sum += int(line.Requests)
+		for _, total := range w.f.ledgerTotals(n) {
+			sum += int(total.Requests)
 		}
 		return sum
 	}
 	return 0
 }
 
-// summary counts what callers got, for the history and the measurements.
+// summary counts the responses to clients, for the history and the measurements.
 func (w *workload) summary() string {
-	answered, refused := 0, make(map[string]int)
+	completed, failed := 0, make(map[string]int)
 	for _, e := range w.requests {
 		if e.completed {
-			answered++
+			completed++
 		}
-		for _, try := range e.attempts {
-			if !strings.HasPrefix(try, "200") && !strings.HasPrefix(try, "202") {
-				refused[try]++
+		for _, attempt := range e.attempts {
+			if !strings.HasPrefix(attempt, "200") && !strings.HasPrefix(attempt, "202") {
+				failed[attempt]++
 			}
 		}
 	}
 	var reasons []string
-	for reason, n := range refused {
+	for reason, n := range failed {
 		reasons = append(reasons, fmt.Sprintf("%d× %s", n, reason))
 	}
 	sort.Strings(reasons)
-	return fmt.Sprintf("%d requests, %d answered; tries that failed: %s", len(w.requests), answered, strings.Join(reasons, "; "))
+	return fmt.Sprintf("%d requests, %d completed; failed attempts: %s", len(w.requests), completed, strings.Join(reasons, "; "))
 }
 
-// maxHistoryLines is how many events a failed run prints.
+// maxHistoryLines is how many lines of the history a failed run prints.
 const maxHistoryLines = 60
 
-// printHistory writes the history: what the schedule did, and the requests that were
-// not answered at the first try.
+// printHistory logs the steps of the fault schedule and the requests that did not
+// complete at the first attempt.
 func (w *workload) printHistory(t testing.TB) {
 	t.Log(w.summary())
 	var lines []string
@@ -399,7 +406,7 @@
 	}
 	for _, e := range w.requests {
 		if len(e.attempts) > 1 || !e.completed {
-			lines = append(lines, fmt.Sprintf("%s  %s %s answered=%t notRun=%t unknown=%t tries=%q", e.start.Format("15:04:05.000"), e.id, e.kind, e.completed, e.notRun, e.unknown, e.attempts))
+			lines = append(lines, fmt.Sprintf("%s  %s %s completed=%t notRun=%t unknown=%t attempts=%q", e.start.Format("15:04:05.000"), e.id, e.kind, e.completed, e.notRun, e.unknown, e.attempts))
 		}
 	}
 	sort.Strings(lines)
@@ -408,13 +415,13 @@
 	}
 }
 
-// runFor lets the workload go on for a while under the present fault. It is not
-// synchronisation: whatever happens in that time has to be right.
+// runFor lets the workload run for a while under the current fault. It does not
+// synchronise anything: the checks must hold whatever happens in that time.
 func runFor(d time.Duration) { time.Sleep(d) }
 
-// waitForResponses waits until callers are being answered again.
+// waitForResponses waits until clients get responses again.
 func (w *workload) waitForResponses() {
 	w.f.t.Helper()
 	before := w.completed.Load()
-	w.f.waitFor("answers to flow", func() bool { return w.completed.Load() >= before+2*clientCount })
+	w.f.waitFor("responses to clients", func() bool { return w.completed.Load() >= before+2*clientCount })
 }
