--- a/e2e/faults_test.go
+++ b/e2e/faults_test.go
@@ -15,19 +15,19 @@
 
 var (
 	seedFlag  = flag.Uint64("seed", 0, "seed of one randomised fault run; 0 runs the fixed seeds")
-	stepsFlag = flag.Int("steps", 4, "faults in a randomised run")
+	stepsFlag = flag.Int("steps", 4, "steps of a randomised run, each of one or two faults")
 )
 
-var faultShape = shape{
-	halls: 3, perHall: 2, engines: 2, plain: 1,
-	engineArgs: []string{"--token-ms", "1", "--tokens", fmt.Sprint(answerSize), "--fencing"},
+var faultSpec = fleetSpec{
+	halls: 3, nodesPerHall: 2, engines: 2, plainServices: 1,
+	engineArgs: []string{"--token-ms", "1", "--tokens", fmt.Sprint(responseTokens), "--fencing"},
 	plainArgs:  []string{"--delay-ms", "5"},
-	declare:    rollingOut,
+	editConfig: startRollout,
 }
 
-// rollingOut has a roll-out under way, whose stages move on while the workload
-// runs, so that a session that is not pinned would change its version.
-func rollingOut(c *config.Config) {
+// startRollout configures a rollout whose stages advance while the workload runs, so
+// that a session that is not pinned to its version would change it.
+func startRollout(c *config.Config) {
 	c.Models[1].Versions[1].State = config.VersionRollingOut
 	c.Models[1].Rollout = &config.Rollout{
 		Version: "v2",
@@ -36,139 +36,142 @@
 	}
 }
 
-// faultTime is how long a fault lasts while the workload goes on.
-const faultTime = 1500 * time.Millisecond
+// faultDuration is how long a fault lasts; the workload runs meanwhile.
+const faultDuration = 1500 * time.Millisecond
 
-// fault is one thing that goes wrong while callers go on, and its end.
+// fault is a fault that is injected while clients send requests. The function
+// inject starts it and returns once it is over.
 type fault struct {
 	name   string
-	inject func(w *workload, random *rand.Rand)
+	inject func(w *workload, rng *rand.Rand)
 }
 
-// pick returns a random node.
-func pick(w *workload, random *rand.Rand) *entry {
-	return w.f.nodes[random.IntN(len(w.f.nodes))]
+// randomNode returns a random node.
+func randomNode(w *workload, rng *rand.Rand) *node {
+	return w.f.nodes[rng.IntN(len(w.f.nodes))]
 }
 
-// replace gives a VM that has ended a new process, and waits for it.
-func replace(w *workload, nodes ...*entry) {
+// replaceNodes starts a new process on the VM of each node and waits until all are
+// ready.
+func replaceNodes(w *workload, nodes ...*node) {
 	for _, n := range nodes {
-		w.f.restart(n)
+		w.f.restartNode(n)
 	}
 	w.f.waitReady(nodes...)
 }
 
-// faults are the single faults; the randomised run draws from them, two at
-// once too.
+// faults are the faults of TestFaults, one each; TestRandomFaults draws from them.
+// The names decide which of them may be injected together: see affectsNodes and
+// affectsPlatform.
 var faults = []fault{
-	{"kill a node", func(w *workload, random *rand.Rand) {
-		n := pick(w, random)
+	{"kill a node", func(w *workload, rng *rand.Rand) {
+		n := randomNode(w, rng)
 		w.note("kill %s", n.vm)
 		n.kill()
-		hold(faultTime)
-		replace(w, n)
-		w.note("%s is back with an empty memory", n.vm)
+		runFor(faultDuration)
+		replaceNodes(w, n)
+		w.note("%s is ready, with empty memory", n.vm)
 	}},
-	{"freeze a node", func(w *workload, random *rand.Rand) {
-		n := pick(w, random)
+	{"freeze a node", func(w *workload, rng *rand.Rand) {
+		n := randomNode(w, rng)
 		w.note("freeze %s", n.vm)
 		n.freeze()
-		hold(2 * faultTime)
+		runFor(2 * faultDuration)
 		n.thaw()
 		w.note("thaw %s", n.vm)
 		w.f.waitReady(n)
 	}},
-	{"cut a node off inward", func(w *workload, random *rand.Rand) {
-		n := pick(w, random)
-		w.note("peers do not reach %s", n.vm)
+	{"block peer connections to a node", func(w *workload, rng *rand.Rand) {
+		n := randomNode(w, rng)
+		w.note("peers cannot reach %s", n.vm)
 		n.peerProxy.Set(faultproxy.Reset)
-		hold(2 * faultTime)
+		runFor(2 * faultDuration)
 		n.peerProxy.Set(faultproxy.Pass)
-		w.note("peers reach %s", n.vm)
+		w.note("peers can reach %s again", n.vm)
 	}},
-	{"cut a data hall off from the platform", func(w *workload, random *rand.Rand) {
-		hall := pick(w, random).hall
-		w.note("%s does not reach the platform", hall)
+	{"cut a data hall off from the platform", func(w *workload, rng *rand.Rand) {
+		hall := randomNode(w, rng).hall
+		w.note("%s cannot reach the platform", hall)
 		for _, n := range w.f.nodes {
 			if n.hall == hall {
 				n.platformProxy.Set(faultproxy.Reset)
 			}
 		}
-		hold(2 * faultTime)
+		runFor(2 * faultDuration)
 		for _, n := range w.f.nodes {
 			n.platformProxy.Set(faultproxy.Pass)
 		}
-		w.note("%s reaches the platform", hall)
+		w.note("%s can reach the platform again", hall)
 	}},
 	{"platform down", func(w *workload, _ *rand.Rand) {
 		w.note("platform down")
-		w.f.fault(w.f.kv, standin.Fault{Down: true})
-		hold(2 * faultTime)
-		w.f.fault(w.f.kv, standin.Fault{})
+		w.f.setFault(w.f.kvAddr, standin.Fault{Down: true})
+		runFor(2 * faultDuration)
+		w.f.setFault(w.f.kvAddr, standin.Fault{})
 		w.note("platform up")
 	}},
 	{"platform slow", func(w *workload, _ *rand.Rand) {
 		w.note("platform slow")
-		w.f.fault(w.f.kv, standin.Fault{SlowMillis: 400})
-		hold(2 * faultTime)
-		w.f.fault(w.f.kv, standin.Fault{})
-		w.note("platform fast")
+		w.f.setFault(w.f.kvAddr, standin.Fault{SlowMillis: 400})
+		runFor(2 * faultDuration)
+		w.f.setFault(w.f.kvAddr, standin.Fault{})
+		w.note("platform no longer slow")
 	}},
-	{"platform loses answers", func(w *workload, _ *rand.Rand) {
-		w.note("platform loses answers after the write")
-		w.f.fault(w.f.kv, standin.Fault{DropResponses: true})
-		hold(2 * faultTime)
-		w.f.fault(w.f.kv, standin.Fault{})
-		w.note("platform answers")
+	{"platform loses responses", func(w *workload, _ *rand.Rand) {
+		w.note("platform drops responses after the write")
+		w.f.setFault(w.f.kvAddr, standin.Fault{DropResponses: true})
+		runFor(2 * faultDuration)
+		w.f.setFault(w.f.kvAddr, standin.Fault{})
+		w.note("platform sends responses again")
 	}},
 	{"rating service down", func(w *workload, _ *rand.Rand) {
-		w.note("rating down")
-		w.f.fault(w.f.rating, standin.Fault{Down: true})
-		hold(faultTime)
-		w.f.fault(w.f.rating, standin.Fault{})
-		w.note("rating up")
+		w.note("rating service down")
+		w.f.setFault(w.f.ratingAddr, standin.Fault{Down: true})
+		runFor(faultDuration)
+		w.f.setFault(w.f.ratingAddr, standin.Fault{})
+		w.note("rating service up")
 	}},
-	{"an engine breaks its streams", func(w *workload, random *rand.Rand) {
-		engine := w.f.engines[random.IntN(len(w.f.engines))]
+	{"an engine breaks its streams", func(w *workload, rng *rand.Rand) {
+		engine := w.f.engineAddrs[rng.IntN(len(w.f.engineAddrs))]
 		w.note("engine %s breaks streams after 5 tokens", engine)
-		w.f.behave(engine, map[string]any{"die_after": 5})
-		hold(faultTime)
-		w.f.behave(engine, map[string]any{"die_after": 0})
-		w.note("engine %s is whole", engine)
+		w.f.setBehaviour(engine, map[string]any{"die_after": 5})
+		runFor(faultDuration)
+		w.f.setBehaviour(engine, map[string]any{"die_after": 0})
+		w.note("engine %s no longer breaks streams", engine)
 	}},
-	{"an engine fails", func(w *workload, random *rand.Rand) {
-		engine := w.f.engines[random.IntN(len(w.f.engines))]
-		w.note("engine %s answers 500", engine)
-		w.f.behave(engine, map[string]any{"fail_share": 1})
-		hold(faultTime)
-		w.f.behave(engine, map[string]any{"fail_share": 0})
-		w.note("engine %s is well", engine)
+	{"an engine fails", func(w *workload, rng *rand.Rand) {
+		engine := w.f.engineAddrs[rng.IntN(len(w.f.engineAddrs))]
+		w.note("engine %s responds with status 500", engine)
+		w.f.setBehaviour(engine, map[string]any{"fail_share": 1})
+		runFor(faultDuration)
+		w.f.setBehaviour(engine, map[string]any{"fail_share": 0})
+		w.note("engine %s no longer fails", engine)
 	}},
-	{"planned stop of a node", func(w *workload, random *rand.Rand) {
-		n := pick(w, random)
-		w.note("stop %s", n.vm)
-		n.stop()
-		replace(w, n)
-		w.note("%s is back", n.vm)
+	{"graceful shutdown of a node", func(w *workload, rng *rand.Rand) {
+		n := randomNode(w, rng)
+		w.note("shut down %s", n.vm)
+		n.shutdown()
+		replaceNodes(w, n)
+		w.note("%s is ready", n.vm)
 	}},
-	{"a data hall is lost and replaced", func(w *workload, random *rand.Rand) {
-		hall := pick(w, random).hall
-		w.note("kill all of %s", hall)
-		var lost []*entry
+	{"a data hall is lost and replaced", func(w *workload, rng *rand.Rand) {
+		hall := randomNode(w, rng).hall
+		w.note("kill all nodes of %s", hall)
+		var killed []*node
 		for _, n := range w.f.nodes {
 			if n.hall == hall {
 				n.kill()
-				lost = append(lost, n)
+				killed = append(killed, n)
 			}
 		}
-		hold(faultTime)
-		replace(w, lost...)
-		w.note("%s is back", hall)
+		runFor(faultDuration)
+		replaceNodes(w, killed...)
+		w.note("nodes of %s are ready", hall)
 	}},
 }
 
-// TestFaults runs the workload under each single fault and checks all ten
-// points from the outside.
+// TestFaults runs the workload under each single fault and checks the guarantees
+// (see workload.check).
 func TestFaults(t *testing.T) {
 	for i, fault := range faults {
 		t.Run(strings.ReplaceAll(fault.name, " ", "_"), func(t *testing.T) {
@@ -178,20 +181,20 @@
 	}
 }
 
-// runFault runs the workload under one fault and checks it.
-func runFault(t *testing.T, what fault, seed uint64) *workload {
-	f := newFleet(t, faultShape)
+// runFault runs the workload, injects one fault and checks the guarantees.
+func runFault(t *testing.T, injected fault, seed uint64) *workload {
+	f := newFleet(t, faultSpec)
 	w := startWorkload(f, seed)
-	w.flow()
-	what.inject(w, rand.New(rand.NewPCG(seed, 0)))
-	w.flow()
+	w.waitForResponses()
+	injected.inject(w, rand.New(rand.NewPCG(seed, 0)))
+	w.waitForResponses()
 	w.stop()
 	w.check(t)
 	return w
 }
 
-// TestRandomFaults draws faults by a seed, some two at once. The run is
-// repeated by `go test ./e2e -run TestRandomFaults -seed N -steps M`.
+// TestRandomFaults injects faults drawn by a seed, some of them two at once. A run is
+// repeated with `go test ./e2e -run TestRandomFaults -seed N -steps M`.
 func TestRandomFaults(t *testing.T) {
 	seeds := []uint64{1, 2, 3}
 	if *seedFlag != 0 {
@@ -201,13 +204,13 @@
 		t.Run(fmt.Sprintf("seed_%d", seed), func(t *testing.T) {
 			t.Parallel()
 			t.Logf("seed %d, %d steps", seed, *stepsFlag)
-			random := rand.New(rand.NewPCG(seed, 99))
-			f := newFleet(t, faultShape)
+			rng := rand.New(rand.NewPCG(seed, 99))
+			f := newFleet(t, faultSpec)
 			w := startWorkload(f, seed)
-			w.flow()
+			w.waitForResponses()
 			for range *stepsFlag {
-				w.step(random)
-				w.flow()
+				w.injectRandomFaults(rng)
+				w.waitForResponses()
 			}
 			w.stop()
 			w.check(t)
@@ -216,12 +219,13 @@
 	}
 }
 
-// step injects one fault, or two at once if they do not act on the same part.
-func (w *workload) step(random *rand.Rand) {
-	first := faults[random.IntN(len(faults))]
-	second := faults[random.IntN(len(faults))]
-	seedA, seedB := random.Uint64(), random.Uint64()
-	if random.IntN(2) == 0 || onNodes(first) && onNodes(second) || onPlatform(first) && onPlatform(second) {
+// injectRandomFaults injects one fault, or two at once unless both affect nodes or
+// both affect the platform.
+func (w *workload) injectRandomFaults(rng *rand.Rand) {
+	first := faults[rng.IntN(len(faults))]
+	second := faults[rng.IntN(len(faults))]
+	seedA, seedB := rng.Uint64(), rng.Uint64()
+	if rng.IntN(2) == 0 || affectsNodes(first) && affectsNodes(second) || affectsPlatform(first) && affectsPlatform(second) {
 		first.inject(w, rand.New(rand.NewPCG(seedA, 0)))
 		return
 	}
@@ -234,8 +238,8 @@
 	<-done
 }
 
-func onNodes(f fault) bool {
+func affectsNodes(f fault) bool {
 	return strings.Contains(f.name, "node") || strings.Contains(f.name, "data hall is")
 }
 
-func onPlatform(f fault) bool { return strings.Contains(f.name, "platform") }
+func affectsPlatform(f fault) bool { return strings.Contains(f.name, "platform") }
