--- a/billing/billing.go
+++ b/billing/billing.go
@@ -56,8 +56,8 @@
 	Billed(b ledger.Bill)
 }
 
-// Config holds the dependencies and settings of a Biller.
-type Config struct {
+// Options holds the dependencies and settings of a Biller.
+type Options struct {
 	Self     claim.Holder
 	Claims   Claims
 	Statuses Statuses
@@ -75,12 +75,12 @@
 // Biller claims bills and commits those that it wins to this node's journal. It
 // is safe for concurrent use.
 type Biller struct {
-	Config
+	Options
 	retries sync.WaitGroup
 }
 
 // New returns a biller.
-func New(config Config) *Biller { return &Biller{Config: config} }
+func New(config Options) *Biller { return &Biller{Options: config} }
 
 // Wait blocks until no bill is being retried in the background.
 func (b *Biller) Wait() { b.retries.Wait() }
--- a/billing/fleet_test.go
+++ b/billing/fleet_test.go
@@ -147,7 +147,7 @@
 	p.replica = claim.NewReplica(id, p, p, p.timers, claim.WithFolded(p.tracker.CanDiscard))
 	p.claimer = claim.NewClaimer(p, p)
 	p.journal = ledger.New(id, store{p}, p.tracker, p.timers, func() time.Duration { return foldInterval })
-	p.biller = billing.New(billing.Config{
+	p.biller = billing.New(billing.Options{
 		Self:             claim.Holder{ID: id, Peer: id},
 		Claims:           claims{p.claimer, p},
 		Statuses:         p.tracker,
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -141,8 +141,8 @@
 	Answered(model, version string, firstToken, total time.Duration)
 }
 
-// Parts holds the dependencies of a [Dispatcher].
-type Parts struct {
+// Options holds the dependencies of a [Dispatcher].
+type Options struct {
 	Self   claim.Holder
 	Config func() *config.Snapshot
 	// ReceivesUpdates reports whether this node can still learn of changes of the
@@ -172,15 +172,15 @@
 
 // Dispatcher handles requests. It is safe for concurrent use.
 type Dispatcher struct {
-	Parts
+	Options
 	runs     sync.WaitGroup
 	draining chan struct{}
 	once     sync.Once
 }
 
 // New returns a dispatcher.
-func New(parts Parts) *Dispatcher {
-	return &Dispatcher{Parts: parts, draining: make(chan struct{})}
+func New(parts Options) *Dispatcher {
+	return &Dispatcher{Options: parts, draining: make(chan struct{})}
 }
 
 const (
--- a/dispatch/refusal_test.go
+++ b/dispatch/refusal_test.go
@@ -51,7 +51,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				d := dispatch.New(dispatch.Parts{
+				d := dispatch.New(dispatch.Options{
 					Config: config.Empty, Claims: &tt.claims, Records: decision.New("n"), Counters: noCounters{},
 				})
 				start := time.Now()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -49,8 +49,8 @@
 var (
 	namespace = errs.Namespace("gateway")
 
-	// Start is the type of errors that keep the gateway from starting or running.
-	Start = namespace.NewType("start")
+	// StartFailed is the type of errors that keep the gateway from starting or running.
+	StartFailed = namespace.NewType("start")
 	// InvalidEntry is the type of errors of a stored gateway entry that cannot be
 	// decoded or has no usable address.
 	InvalidEntry = namespace.NewType("entry")
@@ -112,7 +112,7 @@
 func New(s *settings.Gateway) (*Gateway, error) {
 	instruments, err := metrics.New()
 	if err != nil {
-		return nil, errs.Wrap(Start, "new", err, "metrics")
+		return nil, errs.Wrap(StartFailed, "new", err, "metrics")
 	}
 	g := &Gateway{
 		settings: s,
@@ -143,7 +143,7 @@
 	g.subscribe()
 	g.initRelay()
 	if err := g.registerGauges(); err != nil {
-		return nil, errs.Wrap(Start, "new", err, "metrics")
+		return nil, errs.Wrap(StartFailed, "new", err, "metrics")
 	}
 	return g, nil
 }
@@ -172,7 +172,7 @@
 // initRelay creates the relay, which handles requests.
 func (g *Gateway) initRelay() {
 	g.decisions = decision.New(g.self.ID)
-	g.relay = relay.New(relay.Parts{
+	g.relay = relay.New(relay.Options{
 		Ready:     g.mirror.Synced(),
 		Catalog:   g.Catalog,
 		Servers:   g.registry,
@@ -234,7 +234,7 @@
 		g.drain()
 		return nil
 	case err := <-failed:
-		return errs.Wrap(Start, "run", err, "listener stopped serving")
+		return errs.Wrap(StartFailed, "run", err, "listener stopped serving")
 	}
 }
 
--- a/gateway/listeners.go
+++ b/gateway/listeners.go
@@ -60,7 +60,7 @@
 func listen(address string) (net.Listener, error) {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errs.Wrap(Start, "listen", err, "address %s", address)
+		return nil, errs.Wrap(StartFailed, "listen", err, "address %s", address)
 	}
 	return l, nil
 }
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -20,9 +20,9 @@
 // Refuses reports whether a request is refused.
 func (s relaySuspects) Refuses(digest uint64) bool { return s.g.detector.Refuses(digest) }
 
-// AllowTest reports whether this gateway is to send a refused request to a server now, to
+// AllowProbe reports whether this gateway is to send a refused request to a server now, to
 // test whether it still crashes servers.
-func (s relaySuspects) AllowTest(ctx context.Context, digest uint64) bool {
+func (s relaySuspects) AllowProbe(ctx context.Context, digest uint64) bool {
 	return s.g.verdictSyncer.Probe(ctx, digest)
 }
 
--- a/node/node.go
+++ b/node/node.go
@@ -69,30 +69,30 @@
 	self     view.Member
 	holder   claim.Holder
 
-	timers    *timer.Service
-	metrics   *metrics.Metrics
-	store     *etcd.Client
-	vms       *vmlist.List
-	client    *peer.Client
-	spreader  *spread.Replicator
-	prober    *member.Prober
-	keeper    *view.Manager
-	replica   *claim.Replica
-	claimer   *claim.Claimer
-	journal   *ledger.Journal
-	closer    *ledger.Closer
-	answers   *answer.Store
-	decisions *decision.Log
-	limiter   *limit.Limiter
-	grantor   *limit.Grantor
-	picker    *rollout.Picker
-	driver    *rollout.Driver
-	leases    *lease.Holder
-	placer    *placement.Planner
-	backends  *backends
-	bills     *billing.Tracker
-	biller    *billing.Biller
-	dispatch  *dispatch.Dispatcher
+	timers      *timer.Service
+	metrics     *metrics.Metrics
+	store       *etcd.Client
+	vms         *vmlist.List
+	client      *peer.Client
+	replicator  *spread.Replicator
+	prober      *member.Prober
+	viewManager *view.Manager
+	replica     *claim.Replica
+	claimer     *claim.Claimer
+	journal     *ledger.Journal
+	closer      *ledger.Closer
+	answers     *answer.Store
+	decisions   *decision.Log
+	limiter     *limit.Limiter
+	grantor     *limit.Grantor
+	picker      *rollout.Picker
+	driver      *rollout.Driver
+	leases      *lease.Holder
+	placer      *placement.Planner
+	backends    *backends
+	billTracker *billing.Tracker
+	biller      *billing.Biller
+	dispatch    *dispatch.Dispatcher
 
 	callers   *callers.Server
 	operators *operators.Server
@@ -146,34 +146,34 @@
 	n.client = client
 	n.store = etcd.New(s.Platform.KeyValue, s.Platform.Prefix, etcd.WithCallCounter(n.metrics.PlatformCall))
 	n.vms = vmlist.New(s.Platform.VMList, n.timers, settings.Millis(s.Times.VMListIntervalMillis))
-	n.spreader = spread.New(n.store, client, n.timers)
+	n.replicator = spread.New(n.store, client, n.timers)
 	n.prober = member.New(n.self, client, n.timers,
 		member.WithInterval(settings.Millis(s.Times.ProbeIntervalMillis)),
 		member.WithPayload(n.fillHeartbeat),
 		member.WithObserver(n.observeHeartbeat),
 		member.WithCounter(n.metrics.MemberStatus),
 	)
-	n.spreader.SetMembers(seededMembers{n.prober, n.vms})
-	n.keeper = view.NewManager(spread.View, n.self, n.spreader, n.prober, n.vms, n.timers)
-	n.spreader.Subscribe(spread.View, n.keeper.Apply)
-	n.spreader.Subscribe(spread.Config, n.applyConfig)
-	n.keeper.Subscribe(n.prober.SetView)
+	n.replicator.SetMembers(seededMembers{n.prober, n.vms})
+	n.viewManager = view.NewManager(spread.View, n.self, n.replicator, n.prober, n.vms, n.timers)
+	n.replicator.Subscribe(spread.View, n.viewManager.Apply)
+	n.replicator.Subscribe(spread.Config, n.applyConfig)
+	n.viewManager.Subscribe(n.prober.SetView)
 }
 
 // initClaims creates the replicated claims and what builds on them: billing,
 // stored responses and the peer server.
 func (n *Node) initClaims() {
 	s := n.settings
-	n.bills = billing.NewTracker(n.self, viewMembers{n.keeper, n.prober}, n.client, n.store, n.timers)
-	n.replica = claim.NewReplica(n.self.ID, n.keeper, n.client, n.timers, claim.WithFolded(n.bills.CanDiscard))
-	n.claimer = claim.NewClaimer(n.keeper, n.client, claim.WithVerdictCounter(n.metrics.ClaimVerdict))
-	n.keeper.Subscribe(n.replica.SetView)
-	n.journal = ledger.New(n.self.ID, n.store, n.bills, n.timers, n.foldInterval)
-	n.closer = ledger.NewCloser(n.store, n.bills, n.bills.OwnerInView, n.isFirstInRegion, n.timers)
-	n.biller = billing.New(billing.Config{
+	n.billTracker = billing.NewTracker(n.self, viewMembers{n.viewManager, n.prober}, n.client, n.store, n.timers)
+	n.replica = claim.NewReplica(n.self.ID, n.viewManager, n.client, n.timers, claim.WithFolded(n.billTracker.CanDiscard))
+	n.claimer = claim.NewClaimer(n.viewManager, n.client, claim.WithVerdictCounter(n.metrics.ClaimVerdict))
+	n.viewManager.Subscribe(n.replica.SetView)
+	n.journal = ledger.New(n.self.ID, n.store, n.billTracker, n.timers, n.foldInterval)
+	n.closer = ledger.NewCloser(n.store, n.billTracker, n.billTracker.OwnerInView, n.isFirstInRegion, n.timers)
+	n.biller = billing.New(billing.Options{
 		Self:             n.holder,
 		Claims:           n.claimer,
-		Statuses:         n.bills,
+		Statuses:         n.billTracker,
 		Journal:          n.journal,
 		Counters:         n.metrics,
 		Timers:           n.timers,
@@ -181,7 +181,7 @@
 		Region:           n.accountRegion,
 		RecoveredBillTTL: 2 * settings.Millis(s.Times.ResponseTTLMillis),
 	})
-	n.bills.Attach(n.journal, n.replica, n.biller)
+	n.billTracker.Attach(n.journal, n.replica, n.biller)
 	n.answers = answer.NewStore(n.timers, settings.Millis(s.Times.ResponseTTLMillis), s.Bounds.ResponseMemoryBytes)
 	n.client.SetLocal(n.self.ID, n.self.Peer, peerNode{n}, n.replica)
 	n.peers = peer.NewServer(peerNode{n}, n.replica, n.client)
@@ -194,12 +194,12 @@
 	n.decisions = decision.New(n.self.ID)
 	n.limiter = limit.New(grantors{n}, n.timers)
 	n.grantor = limit.NewGrantor(n.accountLimit, n.timers)
-	n.keeper.Subscribe(func(v *view.View) { n.grantor.SetEpoch(v.Epoch(), n.ownsAccountLimit) })
+	n.viewManager.Subscribe(func(v *view.View) { n.grantor.SetEpoch(v.Epoch(), n.ownsAccountLimit) })
 	n.picker = rollout.NewPicker()
-	n.spreader.Subscribe(spread.Rollouts, n.applyRollouts)
+	n.replicator.Subscribe(spread.Rollouts, n.applyRollouts)
 	n.leases = lease.New(driverLeaseName, n.self.ID, n.store, n.timers, settings.Millis(s.Times.LeaseTTLMillis),
 		lease.WithEligibility(n.isDriverCandidate))
-	n.driver = rollout.NewDriver(spread.Rollouts, n.spreader, collector{n}, n.leases, func() []config.Model { return n.Config().Models() }, n.timers)
+	n.driver = rollout.NewDriver(spread.Rollouts, n.replicator, collector{n}, n.leases, func() []config.Model { return n.Config().Models() }, n.timers)
 	engines := engine.New(engine.WithMaxResponseBytes(s.Bounds.ResponseBytes))
 	chooser := route.New(n.self.ID,
 		route.WithLeaving(n.vms.Leaving),
@@ -208,10 +208,10 @@
 	)
 	n.backends = newBackends(n, engines, chooser)
 	n.placer = placement.New(n.backends, n.leases, n.Config, n.versionShare, n.timers)
-	n.dispatch = dispatch.New(dispatch.Parts{
+	n.dispatch = dispatch.New(dispatch.Options{
 		Self:            n.holder,
 		Config:          n.Config,
-		ReceivesUpdates: n.spreader.ReceivesUpdates,
+		ReceivesUpdates: n.replicator.ReceivesUpdates,
 		Claims:          n.claimer,
 		Holders:         holders{n},
 		Responses:       n.answers,
@@ -262,7 +262,7 @@
 		read       func() float64
 	}{
 		{"violettally_config_revision", "Revision of the configuration in force.", func() float64 { return float64(n.Config().Revision()) }},
-		{"violettally_view_epoch", "Epoch of the view in force.", func() float64 { return float64(n.keeper.Current().Epoch()) }},
+		{"violettally_view_epoch", "Epoch of the view in force.", func() float64 { return float64(n.viewManager.Current().Epoch()) }},
 		{"violettally_members_answering", "Members that answer, without this one.", func() float64 { return float64(len(n.prober.Alive())) }},
 		{"violettally_claims", "Claims that this node remembers.", func() float64 { entries, _ := n.replica.Usage(); return float64(entries) }},
 		{"violettally_claim_bytes", "Bytes of the claims that this node remembers.", func() float64 { _, bytes := n.replica.Usage(); return float64(bytes) }},
@@ -373,7 +373,7 @@
 	}
 	var tasks sync.WaitGroup
 	for _, run := range []func(context.Context){
-		n.vms.Run, n.spreader.Run, n.prober.Run, n.keeper.Run, n.replica.Run, n.journal.Run, n.closer.Run, n.bills.Run,
+		n.vms.Run, n.replicator.Run, n.prober.Run, n.viewManager.Run, n.replica.Run, n.journal.Run, n.closer.Run, n.billTracker.Run,
 		n.answers.Run, n.limiter.Run, n.leases.Run, n.driver.Run, n.placer.Run, n.backends.Run, n.takeOverOrphans,
 		func(ctx context.Context) { stall.Watch(ctx, n.timers, stall.Log) },
 	} {
@@ -414,7 +414,7 @@
 	if err := n.journal.Fold(finalCtx); err != nil {
 		slog.Warn("folding the bills failed; another node will fold them", "error", err)
 	}
-	n.keeper.Leave(finalCtx)
+	n.viewManager.Leave(finalCtx)
 	n.pause(handoverTime)
 	slog.Info("node drained")
 }
@@ -446,6 +446,6 @@
 // foldInterval returns the interval at which this node folds its bills. It grows
 // with the number of members.
 func (n *Node) foldInterval() time.Duration {
-	members := time.Duration(len(n.keeper.Current().Members()))
+	members := time.Duration(len(n.viewManager.Current().Members()))
 	return max(settings.Millis(n.settings.Times.FoldMillis), members*time.Second/fleetFoldsPerSecond)
 }
--- a/node/operators.go
+++ b/node/operators.go
@@ -24,11 +24,11 @@
 		return "leaving"
 	case n.Config().Revision() == 0:
 		return "no configuration is in force"
-	case !n.keeper.Current().Has(n.self.ID):
+	case !n.viewManager.Current().Has(n.self.ID):
 		return "not in the view"
 	case !n.replica.Synced():
 		return "claims are being taken over"
-	case !n.spreader.ReceivesUpdates():
+	case !n.replicator.ReceivesUpdates():
 		return "cut off from the platform and most of the view"
 	}
 	return ""
@@ -37,7 +37,7 @@
 func (o operatorNode) Config() *config.Snapshot { return o.n.Config() }
 
 func (o operatorNode) Apply(ctx context.Context, c control.Change) (control.Result, error) {
-	return control.Apply(ctx, o.n.spreader, spread.Config, c, o.n.timers.Now())
+	return control.Apply(ctx, o.n.replicator, spread.Config, c, o.n.timers.Now())
 }
 
 // Explain looks up a decision record on this node, then on the request's holder if
@@ -68,7 +68,7 @@
 	return found, found.RequestID != ""
 }
 
-func (o operatorNode) View() *view.View { return o.n.keeper.Current() }
+func (o operatorNode) View() *view.View { return o.n.viewManager.Current() }
 
 func (o operatorNode) MemberStatus(id string) string {
 	status, _ := o.n.prober.Status(id)
--- a/node/peers.go
+++ b/node/peers.go
@@ -34,19 +34,19 @@
 func (s seededMembers) Seeds() []string { return s.vms.PeerAddresses() }
 
 func (n *Node) fillHeartbeat(h *member.Heartbeat) {
-	h.Revisions = n.spreader.Revisions()
+	h.Revisions = n.replicator.Revisions()
 	h.Journal, h.Folded = n.journal.Name(), n.journal.DurableSequence()
 }
 
 func (n *Node) observeHeartbeat(h member.Heartbeat) {
-	n.bills.RecordHeartbeat(h.Journal, h.Folded)
-	n.spreader.HandleRevisions(h.Peer, h.Revisions)
+	n.billTracker.RecordHeartbeat(h.Journal, h.Folded)
+	n.replicator.HandleRevisions(h.Peer, h.Revisions)
 }
 
 // viewNodes returns the members of the view, over which the backend servers are
 // distributed, and its epoch.
 func (n *Node) viewNodes() (epoch int64, ids []string) {
-	v := n.keeper.Current()
+	v := n.viewManager.Current()
 	for _, m := range v.Members() {
 		ids = append(ids, m.ID)
 	}
@@ -62,7 +62,7 @@
 const driverCandidates = 3
 
 func (n *Node) isDriverCandidate() bool {
-	return n.prober.RegionRank() < driverCandidates && n.keeper.Current().Has(n.self.ID) && !n.prober.Leaving()
+	return n.prober.RegionRank() < driverCandidates && n.viewManager.Current().Has(n.self.ID) && !n.prober.Leaving()
 }
 
 // addresses returns the client addresses of the available nodes, those in the
@@ -72,7 +72,7 @@
 		dataHall = n.self.DataHall
 	}
 	list := []callers.Address{}
-	for _, m := range n.keeper.Current().Members() {
+	for _, m := range n.viewManager.Current().Members() {
 		if status, _ := n.prober.Status(m.ID); status == member.StatusAlive {
 			list = append(list, callers.Address{Address: m.Caller, DataHall: m.DataHall, Weight: 1})
 		}
@@ -89,11 +89,11 @@
 func (p peerNode) Probe(h member.Heartbeat) member.Heartbeat { return p.n.prober.Receive(h) }
 
 func (p peerNode) NewerDocuments(known map[string]int64) map[string]document.Item {
-	return p.n.spreader.Newer(known)
+	return p.n.replicator.Newer(known)
 }
 
 func (p peerNode) RecordRevisions(address string, revisions map[string]int64) {
-	p.n.spreader.HandleRevisions(address, revisions)
+	p.n.replicator.HandleRevisions(address, revisions)
 }
 
 func (p peerNode) Grant(ask limit.LeaseRequest) limit.Grant { return p.n.grantor.Grant(ask) }
@@ -101,10 +101,10 @@
 func (p peerNode) Counts() (string, rollout.Counts) { return p.n.self.ID, p.n.picker.Counts() }
 
 func (p peerNode) JournalRecords(journal string) billing.JournalRecords {
-	return p.n.bills.LocalRecords(journal)
+	return p.n.billTracker.LocalRecords(journal)
 }
 
-func (p peerNode) StoreCheckpoint(a ledger.Snapshot) { p.n.bills.StoreCheckpoint(a) }
+func (p peerNode) StoreCheckpoint(a ledger.Snapshot) { p.n.billTracker.StoreCheckpoint(a) }
 
 func (p peerNode) FindResponse(attempt string) (*answer.Response, bool) {
 	return p.n.answers.Find(attempt)
@@ -135,10 +135,10 @@
 // grantors implements limit.GrantorClient.
 type grantors struct{ n *Node }
 
-func (g grantors) Members() int { return len(g.n.keeper.Current().Members()) }
+func (g grantors) Members() int { return len(g.n.viewManager.Current().Members()) }
 
 func (g grantors) RequestLease(ctx context.Context, ask limit.LeaseRequest) (limit.Grant, error) {
-	v := g.n.keeper.Current()
+	v := g.n.viewManager.Current()
 	owner, ok := g.n.accountLimitOwner(v, ask.Account)
 	if !ok {
 		return limit.Grant{Refused: true}, nil
@@ -167,7 +167,7 @@
 }
 
 func (n *Node) ownsAccountLimit(account string) bool {
-	owner, ok := n.accountLimitOwner(n.keeper.Current(), account)
+	owner, ok := n.accountLimitOwner(n.viewManager.Current(), account)
 	return ok && owner.ID == n.self.ID
 }
 
@@ -260,7 +260,7 @@
 }
 
 func (n *Node) isFirstLiveReplica(key claim.Key) bool {
-	for _, m := range n.keeper.Current().Replicas(key.Region, key.String()) {
+	for _, m := range n.viewManager.Current().Replicas(key.Region, key.String()) {
 		if m.ID == n.self.ID {
 			return true
 		}
--- a/relay/client_gone_test.go
+++ b/relay/client_gone_test.go
@@ -75,7 +75,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				b := &clientGoneDuring{cancelClient: cancel, respond: tt.respond}
 				target := catalog.Route{Kind: kind, Attempts: 3, Timeout: time.Minute, Objective: time.Second, Models: []string{"small", "large"}}
-				serveUntil(ctx, t, target, relay.Parts{Backends: b}, relay.Request{Body: emptyBody(t), AnyModel: true}, &recorder{})
+				serveUntil(ctx, t, target, relay.Options{Backends: b}, relay.Request{Body: emptyBody(t), AnyModel: true}, &recorder{})
 				must.Eq(t, 1, b.sends)
 				must.Error(t, b.ctx.Err())
 			})
--- a/relay/harness_test.go
+++ b/relay/harness_test.go
@@ -22,12 +22,12 @@
 )
 
 // serve handles one request on a resumable route with a new relay.
-func serve(t *testing.T, target catalog.Route, parts relay.Parts, request relay.Request, w relay.ResponseWriter) {
+func serve(t *testing.T, target catalog.Route, parts relay.Options, request relay.Request, w relay.ResponseWriter) {
 	serveUntil(t.Context(), t, target, parts, request, w)
 }
 
 // serveUntil is serve for a client whose connection lasts until ctx ends.
-func serveUntil(ctx context.Context, t *testing.T, target catalog.Route, parts relay.Parts, request relay.Request, w relay.ResponseWriter) {
+func serveUntil(ctx context.Context, t *testing.T, target catalog.Route, parts relay.Options, request relay.Request, w relay.ResponseWriter) {
 	askUntil(ctx, newRelay(t, target, parts), request, w)
 }
 
@@ -44,7 +44,7 @@
 
 // newRelay returns a relay with a resumable route. The defaults are three servers, no roll-out
 // and unlimited budgets.
-func newRelay(t *testing.T, target catalog.Route, parts relay.Parts) *relay.Relay {
+func newRelay(t *testing.T, target catalog.Route, parts relay.Options) *relay.Relay {
 	target.Name, target.Host, target.Prefix, target.Resumable = "r", "h", "/", true
 	target.Targets = []catalog.Target{{Service: "s", Weight: 1}}
 	c, err := catalog.New(catalog.Document{
@@ -79,7 +79,7 @@
 
 func (noSuspects) Empty() bool                                 { return true }
 func (noSuspects) Refuses(uint64) bool                         { return false }
-func (noSuspects) AllowTest(context.Context, uint64) bool      { return false }
+func (noSuspects) AllowProbe(context.Context, uint64) bool     { return false }
 func (noSuspects) ReportLost(uint64, uint64)                   {}
 func (noSuspects) ReportAbandoned(uint64, uint64)              {}
 func (noSuspects) Ends(uint64) int                             { return 0 }
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -29,7 +29,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				balancer, backends := route.NewBalancer("", func(string) {}), &modelRecorder{}
 				target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Objective: time.Second, Attempts: 3, Models: threeModels}
-				parts := relay.Parts{Balancer: balancer, Budgets: tt.budgets, Reroutes: noReroutes{}, Backends: backends}
+				parts := relay.Options{Balancer: balancer, Budgets: tt.budgets, Reroutes: noReroutes{}, Backends: backends}
 				ask := func() []string {
 					backends.sent = nil
 					serve(t, target, parts, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
@@ -67,7 +67,7 @@
 		target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Objective: time.Second, Attempts: 3, Models: threeModels}
 		_, err := balancer.Choose(route.Task{Servers: threeServers{}.Servers("")[:1], PromptTokens: 1, Initial: route.InitialEstimate{Rate: 5000}})
 		must.NoError(t, err)
-		parts := relay.Parts{Balancer: balancer, Versions: firstServerOnly{}, Reroutes: noReroutes{}, Backends: backends}
+		parts := relay.Options{Balancer: balancer, Versions: firstServerOnly{}, Reroutes: noReroutes{}, Backends: backends}
 		serve(t, target, parts, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
 		must.Eq(t, []string{"small"}, backends.sent)
 	})
--- a/relay/progress_test.go
+++ b/relay/progress_test.go
@@ -39,7 +39,7 @@
 	progress := &progressRecorder{}
 	got := &recorder{}
 	serve(t, catalog.Route{Kind: catalog.KindRepeatable, Attempts: 2, Timeout: time.Second},
-		relay.Parts{Servers: decliningServers{}, Backends: decliningServers{}, Budgets: noRetryBudget{}, Suspects: progress}, relay.Request{Body: emptyBody(t)}, got)
+		relay.Options{Servers: decliningServers{}, Backends: decliningServers{}, Budgets: noRetryBudget{}, Suspects: progress}, relay.Request{Body: emptyBody(t)}, got)
 	must.NotNil(t, got.refusal)
 	must.SliceEmpty(t, progress.servers)
 }
--- a/relay/ready_test.go
+++ b/relay/ready_test.go
@@ -43,7 +43,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				started := make(chan struct{})
-				r := newRelay(t, catalog.Route{Kind: catalog.KindRepeatable, Timeout: time.Minute, Attempts: 1}, relay.Parts{
+				r := newRelay(t, catalog.Route{Kind: catalog.KindRepeatable, Timeout: time.Minute, Attempts: 1}, relay.Options{
 					Backends: instantBackends{},
 					Ready:    started,
 				})
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -16,7 +16,7 @@
 //
 // # Usage
 //
-//	r := relay.New(relay.Parts{Catalog: …, Servers: …, Balancer: …, …})
+//	r := relay.New(relay.Options{Catalog: …, Servers: …, Balancer: …, …})
 //	body, err := relay.NewBody(message.Body, message.ContentLength)
 //	if err != nil {
 //		w.Refuse(relay.NewRefusal(relay.ReasonMalformed, err.Error()))
@@ -219,9 +219,9 @@
 	// Empty reports whether no request is suspected.
 	Empty() bool
 	Refuses(digest uint64) bool
-	// AllowTest reports whether a refused request is to be sent once more, to test whether it
+	// AllowProbe reports whether a refused request is to be sent once more, to test whether it
 	// still makes servers crash.
-	AllowTest(ctx context.Context, digest uint64) bool
+	AllowProbe(ctx context.Context, digest uint64) bool
 	// ReportLost reports that a server ended without responding to the request.
 	ReportLost(digest, server uint64)
 	// ReportAbandoned reports that an attempt was given up while the server may still run the
@@ -235,8 +235,8 @@
 	ReportProgress(server uint64, sent, opened time.Time)
 }
 
-// Parts are the dependencies of a Relay. All are required except Ready.
-type Parts struct {
+// Options are the dependencies of a Relay. All are required except Ready.
+type Options struct {
 	// Ready is closed once this process has loaded its configuration; nil if it has it from the
 	// beginning.
 	Ready <-chan struct{}
@@ -259,7 +259,7 @@
 
 // Relay forwards requests. It is safe for concurrent use.
 type Relay struct {
-	Parts
+	Options
 	durations *durations
 	pending   *pendingAttempts
 	// shutdown is set by Drain; lifetime is canceled by Close.
@@ -270,8 +270,8 @@
 }
 
 // New returns a relay made of the given parts.
-func New(parts Parts) *Relay {
-	r := &Relay{Parts: parts, durations: newDurations(), pending: newPendingAttempts()}
+func New(parts Options) *Relay {
+	r := &Relay{Options: parts, durations: newDurations(), pending: newPendingAttempts()}
 	r.lifetime, r.cancelLifetime = context.WithCancelCause(context.Background())
 	return r
 }
--- a/relay/replacement_test.go
+++ b/relay/replacement_test.go
@@ -91,7 +91,7 @@
 
 // newTrainedRelay returns a relay that has seen such streams. The script is usualStreams
 // afterwards.
-func newTrainedRelay(t *testing.T, b *scriptedBackends, target catalog.Route, parts relay.Parts, seen script) *relay.Relay {
+func newTrainedRelay(t *testing.T, b *scriptedBackends, target catalog.Route, parts relay.Options, seen script) *relay.Relay {
 	target.Kind, target.Timeout, target.Attempts = catalog.KindStream, 20*time.Second, 3
 	parts.Backends = b
 	r := newRelay(t, target, parts)
@@ -117,7 +117,7 @@
 			reroutes := &switchableBudget{}
 			b, servers := &scriptedBackends{}, &listedServers{list: threeServers{}.Servers("")}
 			target := catalog.Route{MaxPause: 800 * time.Millisecond, Objective: 2 * time.Second}
-			r := newTrainedRelay(t, b, target, relay.Parts{Servers: servers, Reroutes: reroutes}, streamsTaking(time.Second))
+			r := newTrainedRelay(t, b, target, relay.Options{Servers: servers, Reroutes: reroutes}, streamsTaking(time.Second))
 			servers.list = servers.list[1:]
 			b.setScript(func(ctx context.Context, _ string, _ int) relay.Response {
 				select {
@@ -146,7 +146,7 @@
 	t.Run("paused stream, little time left", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			reroutes, b := &switchableBudget{}, &scriptedBackends{}
-			r := newTrainedRelay(t, b, catalog.Route{MaxPause: time.Second}, relay.Parts{Reroutes: reroutes}, usualStreams)
+			r := newTrainedRelay(t, b, catalog.Route{MaxPause: time.Second}, relay.Options{Reroutes: reroutes}, usualStreams)
 			reroutes.on.Store(true)
 			b.setScript(func(ctx context.Context, _ string, n int) relay.Response {
 				if n == 1 {
@@ -165,7 +165,7 @@
 		t.Run("server error", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := &scriptedBackends{}
-				r := newTrainedRelay(t, b, catalog.Route{}, relay.Parts{Reroutes: noReroutes{}}, usualStreams)
+				r := newTrainedRelay(t, b, catalog.Route{}, relay.Options{Reroutes: noReroutes{}}, usualStreams)
 				const late = 5800 * time.Millisecond
 				b.setScript(func(ctx context.Context, _ string, n int) relay.Response {
 					if n > 1 {
@@ -190,7 +190,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			b := &slowLargeModel{}
 			target := catalog.Route{Kind: catalog.KindStream, Timeout: 2 * time.Hour, Attempts: 3, Models: threeModels}
-			r := newRelay(t, target, relay.Parts{Backends: b, Reroutes: noReroutes{}})
+			r := newRelay(t, target, relay.Options{Backends: b, Reroutes: noReroutes{}})
 			for _, b.confidence = range []float64{90, 90, 90, 45, 45, 45} {
 				ask(t, r, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
 			}
@@ -237,7 +237,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				b := &scriptedBackends{}
-				r := newTrainedRelay(t, b, catalog.Route{}, relay.Parts{Reroutes: noReroutes{}}, usualStreams)
+				r := newTrainedRelay(t, b, catalog.Route{}, relay.Options{Reroutes: noReroutes{}}, usualStreams)
 				b.setScript(tt.teach)
 				for range 30 {
 					ask(t, r, requestWithPrompt(t), &recorder{})
@@ -252,7 +252,7 @@
 	t.Run("truncated after the first event", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			b := &scriptedBackends{}
-			r := newTrainedRelay(t, b, catalog.Route{}, relay.Parts{Reroutes: noReroutes{}}, usualStreams)
+			r := newTrainedRelay(t, b, catalog.Route{}, relay.Options{Reroutes: noReroutes{}}, usualStreams)
 			// Waiting for the first event took most of the time.
 			b.setScript(func(ctx context.Context, _ string, n int) relay.Response {
 				if n > 1 {
--- a/relay/serve_test.go
+++ b/relay/serve_test.go
@@ -56,7 +56,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			target := catalog.Route{Kind: tt.kind, Timeout: 10 * time.Second, Attempts: 2}
 			got := &recorder{}
-			serve(t, target, relay.Parts{Backends: &responsesInTurn{tt.answers}}, relay.Request{Body: emptyBody(t)}, got)
+			serve(t, target, relay.Options{Backends: &responsesInTurn{tt.answers}}, relay.Request{Body: emptyBody(t)}, got)
 			must.Eq(t, tt.want, got.String())
 			must.Eq(t, tt.broken, got.aborted)
 			must.Eq(t, 200, got.status)
--- a/relay/shutdown_test.go
+++ b/relay/shutdown_test.go
@@ -77,7 +77,7 @@
 func newDrainingRelay(t *testing.T, left time.Duration) *drainingRelay {
 	backend := newTimedBackend()
 	target := catalog.Route{Kind: catalog.KindStream, Timeout: 20 * time.Second, Attempts: 3}
-	s := &drainingRelay{backend, newRelay(t, target, relay.Parts{Backends: backend})}
+	s := &drainingRelay{backend, newRelay(t, target, relay.Options{Backends: backend})}
 	for range trainingRequests {
 		s.ask(t)
 	}
@@ -132,7 +132,7 @@
 	for _, timeout := range []time.Duration{5 * time.Second, 20 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			backend := newTimedBackend()
-			r := newRelay(t, catalog.Route{Kind: catalog.KindStream, Timeout: timeout, Attempts: 3}, relay.Parts{Backends: backend})
+			r := newRelay(t, catalog.Route{Kind: catalog.KindStream, Timeout: timeout, Attempts: 3}, relay.Options{Backends: backend})
 			const left = 8 * time.Second
 			drainWithin(r, left)
 			got := &recorder{}
@@ -207,7 +207,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			backend := &slowLargeModel{}
 			target := catalog.Route{Kind: catalog.KindStream, Timeout: 2 * time.Hour, Attempts: 3, Models: threeModels}
-			r := newRelay(t, target, relay.Parts{Backends: backend, Reroutes: noReroutes{}})
+			r := newRelay(t, target, relay.Options{Backends: backend, Reroutes: noReroutes{}})
 			for _, backend.confidence = range []float64{90, 90, 90, 45, 45, 45} {
 				ask(t, r, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
 			}
@@ -245,7 +245,7 @@
 	for _, timeLeft := range []time.Duration{streamDuration / 2, time.Hour} {
 		synctest.Test(t, func(t *testing.T) {
 			b := &scriptedBackends{}
-			r := newTrainedRelay(t, b, catalog.Route{}, relay.Parts{}, usualStreams)
+			r := newTrainedRelay(t, b, catalog.Route{}, relay.Options{}, usualStreams)
 			b.setScript(streamsTaking(time.Second))
 			const left = 2 * streamDuration
 			now := time.Now()
--- a/relay/stale_choice_test.go
+++ b/relay/stale_choice_test.go
@@ -40,7 +40,7 @@
 				tt.before(l)
 			}
 			got := &recorder{}
-			serve(t, catalog.Route{Kind: catalog.KindOnce, Attempts: 1, Timeout: time.Second}, relay.Parts{Servers: l, StoreView: l, Backends: l, Budgets: noRetryBudget{}},
+			serve(t, catalog.Route{Kind: catalog.KindOnce, Attempts: 1, Timeout: time.Second}, relay.Options{Servers: l, StoreView: l, Backends: l, Budgets: noRetryBudget{}},
 				relay.Request{Body: emptyBody(t)}, got)
 			must.Eq(t, 200, got.status, must.Sprint(got.refusal))
 			must.Eq(t, tt.sent, l.sent)
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -34,7 +34,7 @@
 // takeTest reports whether this refused request is to be sent to one server as a test whether
 // servers still crash. It returns true at most once per request.
 func (x *exchange) takeTest(ctx context.Context) bool {
-	if x.testSent || !x.relay.Suspects.AllowTest(ctx, x.contentDigest()) {
+	if x.testSent || !x.relay.Suspects.AllowProbe(ctx, x.contentDigest()) {
 		return false
 	}
 	x.testSent = true
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -74,7 +74,7 @@
 func (s sharedSuspects) ReportProgress(server uint64, sent, opened time.Time) {
 	s.Detector.ServerResponded(server, time.Since(sent), time.Since(opened))
 }
-func (s sharedSuspects) AllowTest(context.Context, uint64) bool { return false }
+func (s sharedSuspects) AllowProbe(context.Context, uint64) bool { return false }
 
 // TestPoisonRequest checks that a request that crashes every server, sent again and again
 // through different nodes, crashes at most three of them, while other requests are served. Its
@@ -92,7 +92,7 @@
 				target := catalog.Route{Kind: catalog.KindRepeatable, Timeout: 10 * time.Second, Attempts: 2}
 				var nodes []*relay.Relay
 				for range 4 {
-					nodes = append(nodes, newRelay(t, target, relay.Parts{Servers: servers, Backends: servers, Suspects: list}))
+					nodes = append(nodes, newRelay(t, target, relay.Options{Servers: servers, Backends: servers, Suspects: list}))
 				}
 				send := func(node *relay.Relay, text string) *recorder {
 					body, err := relay.NewBody(strings.NewReader(text), int64(len(text)))
@@ -124,7 +124,7 @@
 	tests int
 }
 
-func (o *suspectsAllowingTest) AllowTest(context.Context, uint64) bool {
+func (o *suspectsAllowingTest) AllowProbe(context.Context, uint64) bool {
 	o.tests--
 	return o.tests >= 0
 }
@@ -148,7 +148,7 @@
 				defer timers.Close()
 				servers, list := newCrashingServers(6), &suspectsAllowingTest{sharedSuspects: sharedSuspects{suspect.New(timers)}, tests: 1}
 				target := catalog.Route{Kind: catalog.KindRepeatable, Timeout: 10 * time.Second, Attempts: 3}
-				node := newRelay(t, target, relay.Parts{Servers: servers, Backends: servers, Suspects: list})
+				node := newRelay(t, target, relay.Options{Servers: servers, Backends: servers, Suspects: list})
 				list.ApplyStored(suspect.Digest("/", []byte(tt.text), int64(len(tt.text))), 0)
 				body, err := relay.NewBody(strings.NewReader(tt.text), int64(len(tt.text)))
 				must.NoError(t, err)
--- a/relay/watchdog_test.go
+++ b/relay/watchdog_test.go
@@ -141,7 +141,7 @@
 	target := catalog.Route{Kind: catalog.KindStream, Timeout: time.Hour, Attempts: 3, Objective: 2 * time.Second, MaxPause: time.Second}
 	body, err := relay.NewBody(sent, -1)
 	must.NoError(t, err)
-	serve(t, target, relay.Parts{Servers: servers, Backends: backends}, relay.Request{Body: body}, w)
+	serve(t, target, relay.Options{Servers: servers, Backends: backends}, relay.Request{Body: body}, w)
 }
 
 // TestLateServerReplaced checks that a repeatable request is rerouted from a late server in
@@ -171,7 +171,7 @@
 				target := catalog.Route{Kind: tt.kind, Timeout: timeout, Attempts: 3, Objective: objective, MaxPause: time.Second}
 				got := &recorder{}
 				start := time.Now()
-				serve(t, target, relay.Parts{Backends: &tt.backends, Reroutes: tt.reroutes}, relay.Request{Body: emptyBody(t)}, got)
+				serve(t, target, relay.Options{Backends: &tt.backends, Reroutes: tt.reroutes}, relay.Request{Body: emptyBody(t)}, got)
 				must.Eq(t, tt.want, got.String())
 				must.Eq(t, tt.sends, len(tt.backends.sent))
 				must.Less(t, tt.within, time.Since(start))
