--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -132,7 +132,7 @@
 		peer.WithKnownValues(func(key string) (mirror.Item, bool) { return g.mirror.Get(key) }))
 	g.registry = registry.New(g.timers)
 	g.runners = platform.NewBackendClient()
-	g.balancer = route.NewBalancer(s.DataHall, instruments.BreakerOpened, route.WithAnnouncer(func(s share.Record, prefillMillis float64) { g.exchange.Publish(s, prefillMillis) }))
+	g.balancer = route.NewBalancer(s.DataHall, instruments.BreakerOpened, route.WithPublisher(func(s share.Record, prefillMillis float64) { g.exchange.Publish(s, prefillMillis) }))
 	g.membership = newMembership(g)
 	g.detector = suspect.New(g.timers)
 	g.exchange = share.NewExchange(g.self, g, g.client, g.timers, g.handleRecord)
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -26,9 +26,9 @@
 	return s.g.verdictSyncer.Probe(ctx, digest)
 }
 
-// Ends returns the number of servers at which a request was lost and that are not known
+// LossCount returns the number of servers at which a request was lost and that are not known
 // to be still running.
-func (s relaySuspects) Ends(digest uint64) int { return s.g.detector.Ends(digest) }
+func (s relaySuspects) LossCount(digest uint64) int { return s.g.detector.LossCount(digest) }
 
 // ReportLost records that a server did not respond to a request, and tells the other gateways,
 // since the client may send its retry to one of them.
@@ -41,7 +41,7 @@
 		return
 	}
 	g.metrics.SuspectEvent(suspect.EventLost)
-	if !g.exchange.PublishLoss(server, digest, g.detector.Ends(digest) > 1) {
+	if !g.exchange.PublishLoss(server, digest, g.detector.LossCount(digest) > 1) {
 		g.metrics.SuspectEvent(suspect.EventNotPublished)
 	}
 	g.handleFinding(digest, finding, true)
@@ -67,7 +67,7 @@
 // ReportAnswered clears a request that a server has responded to, and tells the other gateways
 // if there was evidence against it.
 func (s relaySuspects) ReportAnswered(digest uint64) {
-	ends := s.g.detector.Ends(digest)
+	ends := s.g.detector.LossCount(digest)
 	cleared := s.g.detector.RecordAnswer(digest)
 	if cleared == suspect.ClearedNothing {
 		return
@@ -117,7 +117,7 @@
 		return
 	}
 	g.metrics.SuspectEvent(suspect.EventVerdict)
-	slog.Warn("refusing a request that crashes servers", "content", suspect.FormatDigest(digest), "servers", g.detector.Ends(digest), "own", own)
+	slog.Warn("refusing a request that crashes servers", "content", suspect.FormatDigest(digest), "servers", g.detector.LossCount(digest), "own", own)
 	g.relay.CancelPending(digest)
 	g.verdictSyncer.ScheduleWrite(digest, own)
 }
--- a/relay/harness_test.go
+++ b/relay/harness_test.go
@@ -82,7 +82,7 @@
 func (noSuspects) AllowProbe(context.Context, uint64) bool     { return false }
 func (noSuspects) ReportLost(uint64, uint64)                   {}
 func (noSuspects) ReportAbandoned(uint64, uint64)              {}
-func (noSuspects) Ends(uint64) int                             { return 0 }
+func (noSuspects) LossCount(uint64) int                        { return 0 }
 func (noSuspects) ReportAnswered(uint64)                       {}
 func (noSuspects) ReportProgress(uint64, time.Time, time.Time) {}
 
@@ -114,7 +114,7 @@
 }
 func (noRollout) Begin(_, _, _ string)                {}
 func (noRollout) End(_, _, _ string)                  {}
-func (noRollout) Count(_, _ string, _ rollout.Answer) {}
+func (noRollout) Count(_, _ string, _ rollout.Sample) {}
 
 // unlimitedBudget allows every retry.
 type unlimitedBudget struct{}
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -34,7 +34,7 @@
 	if version == "" || (resp == nil && !late) || (resp != nil && resp.Declined()) {
 		return
 	}
-	x.relay.Versions.Count(x.service, version, rollout.Answer{
+	x.relay.Versions.Count(x.service, version, rollout.Sample{
 		Kind:      x.kind(),
 		Failed:    !late && isServerError(resp),
 		Wait:      wait,
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -177,7 +177,7 @@
 	// Begin and End count a request as sent and ended, under the version that Choose returned.
 	Begin(service, version, key string)
 	End(service, version, key string)
-	Count(service, version string, sample rollout.Answer)
+	Count(service, version string, sample rollout.Sample)
 }
 
 // Cascade decides which of a route's models to ask.
@@ -227,8 +227,8 @@
 	// ReportAbandoned reports that an attempt was given up while the server may still run the
 	// request.
 	ReportAbandoned(digest, server uint64)
-	// Ends returns the number of servers at which the request was lost.
-	Ends(digest uint64) int
+	// LossCount returns the number of servers at which the request was lost.
+	LossCount(digest uint64) int
 	ReportAnswered(digest uint64)
 	// ReportProgress reports that a server has just sent part of its response to a request that
 	// was sent at the given time, on a connection that was opened at the given time.
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -50,7 +50,7 @@
 		return
 	}
 	x.relay.Suspects.ReportLost(x.contentDigest(), use.Server().Incarnation().Hash())
-	x.record.AddStep("lost", "at %s; content %016x, lost at %d servers", use.Server().ID, x.contentDigest(), x.relay.Suspects.Ends(x.contentDigest()))
+	x.record.AddStep("lost", "at %s; content %016x, lost at %d servers", use.Server().ID, x.contentDigest(), x.relay.Suspects.LossCount(x.contentDigest()))
 }
 
 // delayAfterLoss is the delay between a lost attempt and the next one. Servers that crash
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -19,7 +19,7 @@
 //
 //	servers, version := services.Choose("look", sessionKey, "", known)
 //	…
-//	services.Count("look", version, rollout.Answer{Kind: …, Wait: …})
+//	services.Count("look", version, rollout.Sample{Kind: …, Wait: …})
 package rollout
 
 import (
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -90,8 +90,8 @@
 	models map[string]config.Model
 }
 
-// Answer describes one answer of a server as evidence on its version.
-type Answer struct {
+// Sample describes one answer of a server as evidence on its version.
+type Sample struct {
 	// Kind groups requests that usually take about the same time.
 	Kind string
 	// Failed means that the server itself answered with a failure. Server crashes
@@ -262,7 +262,7 @@
 }
 
 // Count records one answer as evidence on a version name returned by Choose.
-func (s *ServicePicker) Count(service, version string, a Answer) {
+func (s *ServicePicker) Count(service, version string, a Sample) {
 	slow := a.Late || s.baseline.isSlow(a)
 	if version == inServiceVersion && !a.Failed && !a.Late {
 		s.baseline.observe(a.Kind, a.Wait)
--- a/rollout/service_driver_test.go
+++ b/rollout/service_driver_test.go
@@ -69,8 +69,8 @@
 func TestLateAnswersStopVersion(t *testing.T) {
 	p := stepWithCounts(t, func(s *rollout.ServicePicker) {
 		for i := range 300 {
-			s.Count("s", "in-service", rollout.Answer{Kind: "look", Wait: 60 * time.Millisecond})
-			s.Count("s", "v2", rollout.Answer{Kind: "look", Wait: 160 * time.Millisecond, Late: i%2 == 0})
+			s.Count("s", "in-service", rollout.Sample{Kind: "look", Wait: 60 * time.Millisecond})
+			s.Count("s", "v2", rollout.Sample{Kind: "look", Wait: 160 * time.Millisecond, Late: i%2 == 0})
 		}
 	})
 	must.Eq(t, rollout.VerdictStopped, p.Verdict)
@@ -98,7 +98,7 @@
 					if i%50 == 0 {
 						wait *= 20
 					}
-					s.Count("s", "in-service", rollout.Answer{Kind: "k", Wait: wait})
+					s.Count("s", "in-service", rollout.Sample{Kind: "k", Wait: wait})
 					if i%2 == 0 {
 						wait *= tt.wait
 					}
@@ -106,7 +106,7 @@
 						wait *= 8
 					}
 					if i%5 == 0 {
-						s.Count("s", "v2", rollout.Answer{Kind: "k", Wait: wait})
+						s.Count("s", "v2", rollout.Sample{Kind: "k", Wait: wait})
 					}
 				}
 			})
--- a/rollout/service_test.go
+++ b/rollout/service_test.go
@@ -213,9 +213,9 @@
 	picker := rollout.NewPicker()
 	s := rollout.NewServicePicker(picker, 0.1)
 	for range 20 {
-		s.Count("s", "in-service", rollout.Answer{Kind: "brief", Wait: 50 * time.Millisecond})
+		s.Count("s", "in-service", rollout.Sample{Kind: "brief", Wait: 50 * time.Millisecond})
 	}
-	for _, a := range []rollout.Answer{
+	for _, a := range []rollout.Sample{
 		{Wait: 700 * time.Millisecond, Expected: 250 * time.Millisecond},
 		{Wait: 700 * time.Millisecond, Expected: 30 * time.Millisecond},
 		{Wait: 1500 * time.Millisecond, Expected: 250 * time.Millisecond},
@@ -232,9 +232,9 @@
 	picker := rollout.NewPicker()
 	s := rollout.NewServicePicker(picker, 0.1)
 	for _, wait := range []time.Duration{60, 290, 310, 480} {
-		s.Count("s", "v2", rollout.Answer{Kind: "look", Wait: wait * time.Millisecond, Objective: 300 * time.Millisecond})
+		s.Count("s", "v2", rollout.Sample{Kind: "look", Wait: wait * time.Millisecond, Objective: 300 * time.Millisecond})
 	}
-	s.Count("s", "v2", rollout.Answer{Kind: "look", Wait: time.Minute})
+	s.Count("s", "v2", rollout.Sample{Kind: "look", Wait: time.Minute})
 	must.Eq(t, 2, picker.Counts()["s@v2"].Slow)
 }
 
--- a/rollout/wait_baseline.go
+++ b/rollout/wait_baseline.go
@@ -35,7 +35,7 @@
 // because one long prompt in ten takes four times the baseline, and more do on
 // servers whose caches are still empty. Without a baseline, as on a node that
 // started late in a rollout, an answer is slow if it misses its objective.
-func (b *waitBaseline) isSlow(a Answer) bool {
+func (b *waitBaseline) isSlow(a Sample) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.waits[a.Kind]
--- a/route/balancer.go
+++ b/route/balancer.go
@@ -86,10 +86,10 @@
 // BalancerOption configures a Balancer.
 type BalancerOption func(*Balancer)
 
-// WithAnnouncer sets the function that announces each prompt sent to a server to
+// WithPublisher sets the function that announces each prompt sent to a server to
 // the other nodes. NewWork is the time for which the server prefills the uncached
 // tokens of the prompt's shared parts, in milliseconds.
-func WithAnnouncer(announce func(s share.Record, newWork float64)) BalancerOption {
+func WithPublisher(announce func(s share.Record, newWork float64)) BalancerOption {
 	return func(b *Balancer) { b.announce = announce }
 }
 
--- a/route/balancer_test.go
+++ b/route/balancer_test.go
@@ -157,7 +157,7 @@
 // the other nodes, with its shared parts only.
 func TestBalancerAnnounces(t *testing.T) {
 	var announced []share.Record
-	b := route.NewBalancer("near", func(string) {}, route.WithAnnouncer(func(s share.Record, _ float64) { announced = append(announced, s) }))
+	b := route.NewBalancer("near", func(string) {}, route.WithPublisher(func(s share.Record, _ float64) { announced = append(announced, s) }))
 	prompt := prefix.NewChain("m", []prefix.Part{{ID: "shared", Tokens: 500}, {ID: "own", Tokens: 100}})
 	choose(t, b, route.Task{Servers: halls[:1], PromptTokens: 600, Prompt: prompt, Initial: route.InitialEstimate{Rate: 0.1}})
 	choose(t, b, route.Task{Servers: halls[:1]})
--- a/route/herd_test.go
+++ b/route/herd_test.go
@@ -99,7 +99,7 @@
 	}
 	for i := range herdNodes {
 		announce := func(s share.Record, _ float64) { h.announce(i, s) }
-		h.nodes = append(h.nodes, route.NewBalancer(fmt.Sprint("hall-", i%herdHalls), func(string) {}, route.WithAnnouncer(announce)))
+		h.nodes = append(h.nodes, route.NewBalancer(fmt.Sprint("hall-", i%herdHalls), func(string) {}, route.WithPublisher(announce)))
 	}
 	return h
 }
--- a/share/run.go
+++ b/share/run.go
@@ -31,8 +31,8 @@
 	Others() []view.Member
 }
 
-// Caller calls other nodes.
-type Caller interface {
+// PeerClient calls other nodes.
+type PeerClient interface {
 	Exchange(ctx context.Context, address string, m Message) (Reply, error)
 }
 
--- a/share/share.go
+++ b/share/share.go
@@ -122,7 +122,7 @@
 	self       view.Member
 	node, hall uint64
 	nodes      Nodes
-	caller     Caller
+	caller     PeerClient
 	timers     *timer.Service
 	onRecord   func(Record)
 
@@ -154,7 +154,7 @@
 
 // NewExchange returns the exchange of a node. OnRecord is called for each record of another
 // node.
-func NewExchange(self view.Member, nodes Nodes, caller Caller, timers *timer.Service, onRecord func(Record)) *Exchange {
+func NewExchange(self view.Member, nodes Nodes, caller PeerClient, timers *timer.Service, onRecord func(Record)) *Exchange {
 	return &Exchange{
 		self:           self,
 		node:           rendezvous.Hash(self.ID),
--- a/suspect/suspect.go
+++ b/suspect/suspect.go
@@ -191,9 +191,9 @@
 	return FindingNew
 }
 
-// Ends returns the number of servers at which the request was lost and that are not known
+// LossCount returns the number of servers at which the request was lost and that are not known
 // to have kept running.
-func (d *Detector) Ends(digest uint64) int {
+func (d *Detector) LossCount(digest uint64) int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	count := 0
