--- a/relay/choose.go
+++ b/relay/choose.go
@@ -57,7 +57,7 @@
 }
 
 // worthAsking reports whether, at the present load, the model at the given index is worth
-// asking in place of an answer of the given confidence.
+// asking instead of keeping an answer of the given confidence.
 func (x *exchange) worthAsking(step int, confidence float64) bool {
 	current := x.modelIndex
 	defer func() { x.modelIndex = current }()
@@ -90,13 +90,13 @@
 func (x *exchange) choose() (*route.Assignment, string, *Refusal) {
 	servers, version := x.servers()
 	x.version = version
-	use, err := x.relay.Balancer.Choose(x.task(servers))
+	assignment, err := x.relay.Balancer.Choose(x.task(servers))
 	if err != nil {
 		return nil, "", refusalf(ReasonNoServer, retrySoon, "service %s, %d known, %d tried: %v", x.service, x.knownServers, len(x.tried), err)
 	}
-	x.tried[use.Server().Incarnation()] = true
-	x.record.SetServer(x.model(), version, use.Server().ID)
-	return use, version, nil
+	x.tried[assignment.Server().Incarnation()] = true
+	x.record.SetServer(x.model(), version, assignment.Server().ID)
+	return assignment, version, nil
 }
 
 // servers returns the candidates for the next attempt, and the version under which it is
@@ -110,7 +110,7 @@
 }
 
 // untried returns the servers that have not been sent the request. The version is chosen among
-// these: early in a roll-out few servers hold the new version, and another version is better
+// these: early in a rollout few servers run the new version, and another version is better
 // than no response.
 func (x *exchange) untried(servers []registry.Server) []registry.Server {
 	if len(x.tried) == 0 {
--- a/relay/client_gone_test.go
+++ b/relay/client_gone_test.go
@@ -50,8 +50,9 @@
 
 func (brokenReader) Read([]byte) (int, error) { return 0, errors.New("broken off") }
 
-// TestNoRetryAfterClientGone checks that no failure, refusal, poor or truncated response leads
-// to another attempt once the client is gone, and that the context of the attempt has ended.
+// TestNoRetryAfterClientGone checks that no failure, refusal, low-confidence or truncated
+// response leads to another attempt once the client has disconnected, and that the context of
+// the attempt has ended.
 func TestNoRetryAfterClientGone(t *testing.T) {
 	returns := func(a relay.Response) func(context.Context) (relay.Response, error) {
 		return func(context.Context) (relay.Response, error) { return a, nil }
--- a/relay/durations.go
+++ b/relay/durations.go
@@ -14,7 +14,7 @@
 	assumedMillisPerOutputToken = 5.0
 	// minDurationSamples is how many samples make a duration known.
 	minDurationSamples = 3
-	// boundDeviations is how many mean deviations the upper bound lies above the expected
+	// boundDeviations is how many mean deviations the upper bound is above the expected
 	// duration. With one, 168 of 1,273 requests that draining nodes admitted under load were
 	// truncated; with two, 95 of 1,122, and refusing the others had no visible cost for
 	// clients.
@@ -33,8 +33,8 @@
 
 // durationEstimate is the estimate for one kind.
 type durationEstimate struct {
-	line    *estimate.Regression
-	samples int
+	regression *estimate.Regression
+	samples    int
 }
 
 func newDurations() *durations { return &durations{kinds: make(map[string]*durationEstimate)} }
@@ -51,7 +51,7 @@
 func (l *durations) learnTruncated(kind string, tokens int, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if k := l.kind(kind); toMillis(took) > k.line.Predict(float64(tokens)) {
+	if k := l.kind(kind); toMillis(took) > k.regression.Predict(float64(tokens)) {
 		k.learn(tokens, took)
 	}
 }
@@ -63,7 +63,7 @@
 		if len(l.kinds) >= maxKinds {
 			clear(l.kinds)
 		}
-		k = &durationEstimate{line: estimate.New(0, assumedMillisPerOutputToken)}
+		k = &durationEstimate{regression: estimate.New(0, assumedMillisPerOutputToken)}
 		l.kinds[name] = k
 	}
 	return k
@@ -71,7 +71,7 @@
 
 func (k *durationEstimate) learn(tokens int, took time.Duration) {
 	k.samples++
-	k.line.AddSample(float64(tokens), toMillis(took), 1)
+	k.regression.AddSample(float64(tokens), toMillis(took), 1)
 }
 
 func toMillis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
@@ -85,6 +85,6 @@
 	if k == nil || k.samples < minDurationSamples {
 		return 0, false
 	}
-	millis := k.line.Predict(float64(tokens)) * (1 + boundDeviations*k.line.Deviation())
+	millis := k.regression.Predict(float64(tokens)) * (1 + boundDeviations*k.regression.Deviation())
 	return time.Duration(millis * float64(time.Millisecond)), true
 }
--- a/relay/estimates_test.go
+++ b/relay/estimates_test.go
@@ -31,8 +31,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Attempts: tt.attempts, Models: threeModels}
 			records := decision.New("n")
-			parts := relay.Options{Backends: &modelRecorder{}, Reroutes: noReroutes{}, Records: records}
-			serve(t, target, parts, relay.Request{AnyModel: tt.anyModel, Body: emptyBody(t)}, &recorder{})
+			options := relay.Options{Backends: &modelRecorder{}, Reroutes: noReroutes{}, Records: records}
+			serve(t, target, options, relay.Request{AnyModel: tt.anyModel, Body: emptyBody(t)}, &recorder{})
 			summary, ok := records.Find("1")
 			must.True(t, ok)
 			table := accuracy.New()
--- a/relay/exchange.go
+++ b/relay/exchange.go
@@ -24,7 +24,7 @@
 	service  string
 	deadline time.Time
 
-	// version is the version that a roll-out first assigned to the request.
+	// version is the version that a rollout first assigned to the request.
 	version string
 	// modelIndex is the index of the present model among the route's models.
 	modelIndex int
@@ -51,8 +51,8 @@
 	firstByte time.Duration
 	// digest identifies the content that servers get; zero until computed.
 	digest uint64
-	// testSent means that the request was sent as a test although it is refused.
-	testSent bool
+	// probeSent means that the refused request was sent once more as a probe.
+	probeSent bool
 }
 
 // run makes attempts until the client has its response. If it returns a refusal, the caller
@@ -65,20 +65,20 @@
 		return x.shutdownRefusal("the answer would not be whole before its end")
 	}
 	for {
-		if x.suspected() && !x.takeTest(ctx) {
+		if x.suspected() && !x.takeProbe(ctx) {
 			return x.deliver(refusalf(ReasonSuspected, 0, "servers ended while they ran this request, content %016x; it is sent to no other one", x.contentDigest()))
 		}
-		use, version, refusal := x.choose()
+		assignment, version, refusal := x.choose()
 		if refusal != nil {
 			return x.deliver(refusal)
 		}
-		f := x.attempt(ctx, use, version)
+		f := x.attempt(ctx, assignment, version)
 		if f == nil {
 			x.finish("answered")
 			return nil
 		}
 		if !f.escalates {
-			x.record.AddStep("failed", "%s at %s: %s", f.reason, use.Server().ID, f.cause)
+			x.record.AddStep("failed", "%s at %s: %s", f.reason, assignment.Server().ID, f.cause)
 		}
 		if refusal := x.afterFailure(ctx, f); refusal != nil {
 			return x.deliver(refusal)
@@ -89,10 +89,10 @@
 
 // attempt sends the request to one server and forwards the response. It returns nil once
 // nothing more is to be done for the client.
-func (x *exchange) attempt(ctx context.Context, use *route.Assignment, version string) *failure {
+func (x *exchange) attempt(ctx context.Context, assignment *route.Assignment, version string) *failure {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	server := use.Server()
+	server := assignment.Server()
 	x.relay.Versions.Begin(x.service, version, x.request.hashKey())
 	defer x.relay.Versions.End(x.service, version, x.request.hashKey())
 	x.sends++
@@ -100,11 +100,11 @@
 	age := x.relay.StoreView.Age()
 	x.relay.Counters.Sent(age)
 	x.record.AddStep("send", "to %s in %s, model %s, %d of %d tokens held, after event %q, %d ms left, by revision %d, %d ms old",
-		server.ID, server.DataHall, x.model(), use.CachedTokens(), x.request.Prompt.Tokens, x.lastEventID, time.Until(x.deadline).Milliseconds(),
+		server.ID, server.DataHall, x.model(), assignment.CachedTokens(), x.request.Prompt.Tokens, x.lastEventID, time.Until(x.deadline).Milliseconds(),
 		x.relay.StoreView.Revision(), age.Milliseconds())
 	sent := time.Now()
 	removePending := x.relay.pending.add(x.request, cancel)
-	wd := x.startWatchdog(use, cancel)
+	wd := x.startWatchdog(assignment, cancel)
 	defer wd.stop()
 	defer func() {
 		if stalled(ctx) {
@@ -123,15 +123,15 @@
 		Stale: func() bool { return x.relay.StoreView.NeedsRefresh() || !x.relay.Servers.Usable(server.Incarnation()) },
 	})
 	removePending()
-	x.recordVersionSample(ctx, use, version, resp, time.Since(sent))
-	f := x.checkHeader(ctx, use, sent, resp, err)
+	x.recordVersionSample(ctx, assignment, version, resp, time.Since(sent))
+	f := x.checkHeader(ctx, assignment, sent, resp, err)
 	if resp != nil {
 		defer resp.Close()
 	}
 	if f != nil {
 		return f
 	}
-	return x.forward(ctx, use, sent, resp, wd)
+	return x.forward(ctx, assignment, sent, resp, wd)
 }
 
 // finish ends the decision record of the request.
--- a/relay/failure.go
+++ b/relay/failure.go
@@ -22,7 +22,7 @@
 	budgetTaken bool
 	// retryAfter is the delay that the server asked for; zero if none.
 	retryAfter time.Duration
-	// cause is told to the client and recorded.
+	// cause is sent to the client and recorded.
 	cause string
 }
 
@@ -80,7 +80,7 @@
 }
 
 // endedRefusal returns the refusal for a request whose context has ended: by its deadline, by
-// the shutdown of this process, or because the client is gone.
+// the shutdown of this process, or because the client has disconnected.
 func (x *exchange) endedRefusal(ctx context.Context, f *failure) *Refusal {
 	if endedByShutdown(ctx) {
 		return x.shutdownRefusal(f.cause)
--- a/relay/forward.go
+++ b/relay/forward.go
@@ -13,7 +13,7 @@
 
 const (
 	// plainBufferSize is how many bytes of a plain response are buffered before the client gets
-	// any, so that a response that breaks off before can be retried elsewhere.
+	// any, so that a response that breaks off before that can be retried elsewhere.
 	plainBufferSize = 64 << 10
 	// readSize is the size of one read in bytes.
 	readSize = 16 << 10
@@ -22,47 +22,47 @@
 )
 
 // forward copies a response to the client as it arrives.
-func (x *exchange) forward(ctx context.Context, use *route.Assignment, sent time.Time, resp Response, wd *watchdog) *failure {
+func (x *exchange) forward(ctx context.Context, assignment *route.Assignment, sent time.Time, resp Response, wd *watchdog) *failure {
 	if x.route.Kind == catalog.KindStream && resp.Status() == http.StatusOK {
-		return x.forwardStream(ctx, use, sent, resp, wd)
+		return x.forwardStream(ctx, assignment, sent, resp, wd)
 	}
-	return x.forwardPlain(ctx, use, resp, wd)
+	return x.forwardPlain(ctx, assignment, resp, wd)
 }
 
-// forwardPlain forwards a response that is not a stream. If it breaks off within
-// plainBufferSize, the client has got nothing yet.
-func (x *exchange) forwardPlain(ctx context.Context, use *route.Assignment, resp Response, wd *watchdog) *failure {
+// forwardPlain forwards a response that is not a stream. If it breaks off within the first
+// plainBufferSize bytes, the client has received nothing yet.
+func (x *exchange) forwardPlain(ctx context.Context, assignment *route.Assignment, resp Response, wd *watchdog) *failure {
 	buffered, err := io.ReadAll(io.LimitReader(resp.Body(), plainBufferSize))
 	if err != nil {
-		return x.interrupted(ctx, use, err)
+		return x.interrupted(ctx, assignment, err)
 	}
 	wd.stop() // a response that the client has part of can't be rerouted
 	x.startResponse(resp)
 	if x.writer.Write(buffered) != nil {
-		return x.clientGone(use)
+		return x.clientDisconnected(assignment)
 	}
 	chunk := make([]byte, readSize)
 	for len(buffered) == plainBufferSize {
 		n, err := resp.Body().Read(chunk)
 		if x.writer.Write(chunk[:n]) != nil {
-			return x.clientGone(use)
+			return x.clientDisconnected(assignment)
 		}
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		if err != nil {
-			f := x.interrupted(ctx, use, err)
+			f := x.interrupted(ctx, assignment, err)
 			f.partial = true
 			return f
 		}
 	}
-	x.complete(use, resp)
+	x.complete(assignment, resp)
 	return nil
 }
 
 // forwardStream forwards whole events only, so that a stream that breaks off within an event
 // can be resumed after the previous one.
-func (x *exchange) forwardStream(ctx context.Context, use *route.Assignment, sent time.Time, resp Response, wd *watchdog) *failure {
+func (x *exchange) forwardStream(ctx context.Context, assignment *route.Assignment, sent time.Time, resp Response, wd *watchdog) *failure {
 	events := newEvents(resp.Body())
 	lastReport := sent
 	for {
@@ -73,23 +73,23 @@
 			break
 		}
 		if err != nil {
-			return x.interrupted(ctx, use, err)
+			return x.interrupted(ctx, assignment, err)
 		}
-		use.RecordProgress()
+		assignment.RecordProgress()
 		if time.Since(lastReport) > progressInterval {
 			lastReport = time.Now()
-			x.reportProgress(use, sent, resp)
+			x.reportProgress(assignment, sent, resp)
 		}
 		x.startResponse(resp)
 		if x.writer.Write(event.raw) != nil {
-			return x.clientGone(use)
+			return x.clientDisconnected(assignment)
 		}
 		if event.id != "" {
 			x.lastEventID = event.id
 		}
 	}
 	x.startResponse(resp)
-	x.complete(use, resp)
+	x.complete(assignment, resp)
 	return nil
 }
 
@@ -103,8 +103,8 @@
 }
 
 // complete ends an attempt whose whole response has been forwarded.
-func (x *exchange) complete(use *route.Assignment, resp Response) {
-	use.End(route.OutcomeOK)
+func (x *exchange) complete(assignment *route.Assignment, resp Response) {
+	assignment.End(route.OutcomeOK)
 	x.reportAnswered()
 	if resp.Status() == http.StatusOK {
 		x.learnDuration(x.relay.durations.learn)
@@ -112,29 +112,29 @@
 	x.relay.Counters.Completed(x.route.Name, resp.Status(), x.firstByte, x.elapsed())
 }
 
-// clientGone ends an attempt whose client has stopped reading.
-func (x *exchange) clientGone(use *route.Assignment) *failure {
-	use.End(route.OutcomeNeutral)
-	x.reportAbandoned(use)
+// clientDisconnected ends an attempt whose client has stopped reading.
+func (x *exchange) clientDisconnected(assignment *route.Assignment) *failure {
+	assignment.End(route.OutcomeNeutral)
+	x.reportAbandoned(assignment)
 	x.learnDuration(x.relay.durations.learnTruncated)
 	x.record.AddStep("client left", "after event %q", x.lastEventID)
 	return nil
 }
 
 // interrupted returns the failure for a response that broke off.
-func (x *exchange) interrupted(ctx context.Context, use *route.Assignment, err error) *failure {
+func (x *exchange) interrupted(ctx context.Context, assignment *route.Assignment, err error) *failure {
 	x.learnDuration(x.relay.durations.learnTruncated)
 	switch {
 	case stalled(ctx):
-		use.EndStalled()
-		x.reportAbandoned(use)
+		assignment.EndStalled()
+		x.reportAbandoned(assignment)
 		return stalledFailure()
 	case ctx.Err() != nil:
-		use.End(route.OutcomeNeutral)
-		x.reportAbandoned(use)
+		assignment.End(route.OutcomeNeutral)
+		x.reportAbandoned(assignment)
 	default:
-		use.End(route.OutcomeFailed)
-		x.reportLost(ctx, use)
+		assignment.End(route.OutcomeFailed)
+		x.reportLost(ctx, assignment)
 	}
 	return &failure{reason: ReasonServerFailed, ran: true, serverLost: ctx.Err() == nil, cause: "answer broke off: " + err.Error()}
 }
--- a/relay/harness_test.go
+++ b/relay/harness_test.go
@@ -22,13 +22,13 @@
 )
 
 // serve handles one request on a resumable route with a new relay.
-func serve(t *testing.T, target catalog.Route, parts relay.Options, request relay.Request, w relay.ResponseWriter) {
-	serveUntil(t.Context(), t, target, parts, request, w)
+func serve(t *testing.T, target catalog.Route, options relay.Options, request relay.Request, w relay.ResponseWriter) {
+	serveUntil(t.Context(), t, target, options, request, w)
 }
 
 // serveUntil is serve for a client whose connection lasts until ctx ends.
-func serveUntil(ctx context.Context, t *testing.T, target catalog.Route, parts relay.Options, request relay.Request, w relay.ResponseWriter) {
-	askUntil(ctx, newRelay(t, target, parts), request, w)
+func serveUntil(ctx context.Context, t *testing.T, target catalog.Route, options relay.Options, request relay.Request, w relay.ResponseWriter) {
+	askUntil(ctx, newRelay(t, target, options), request, w)
 }
 
 // ask handles one request.
@@ -42,9 +42,9 @@
 	r.Serve(ctx, &request, w)
 }
 
-// newRelay returns a relay with a resumable route. The defaults are three servers, no roll-out
+// newRelay returns a relay with a resumable route. The defaults are three servers, no rollout
 // and unlimited budgets.
-func newRelay(t *testing.T, target catalog.Route, parts relay.Options) *relay.Relay {
+func newRelay(t *testing.T, target catalog.Route, options relay.Options) *relay.Relay {
 	target.Name, target.Host, target.Prefix, target.Resumable = "r", "h", "/", true
 	target.Targets = []catalog.Target{{Service: "s", Weight: 1}}
 	c, err := catalog.New(catalog.Document{
@@ -53,18 +53,18 @@
 		Routes:   []catalog.Route{target},
 	})
 	must.NoError(t, err)
-	parts.Catalog = func() *catalog.Catalog { return c }
-	parts.Servers = cmp.Or[relay.Servers](parts.Servers, threeServers{})
-	parts.Budgets = cmp.Or[relay.Budgets](parts.Budgets, unlimitedBudget{})
-	parts.Reroutes = cmp.Or[relay.Budgets](parts.Reroutes, unlimitedBudget{})
-	parts.StoreView = cmp.Or[relay.StoreView](parts.StoreView, freshView{})
-	parts.Suspects = cmp.Or[relay.Suspects](parts.Suspects, noSuspects{})
-	parts.Versions = cmp.Or[relay.Versions](parts.Versions, noRollout{})
-	parts.Counters = noCounters{}
-	parts.Balancer = cmp.Or(parts.Balancer, route.NewBalancer("", func(string) {}))
-	parts.Cascade = cascade.NewConfidencePolicy()
-	parts.Records = cmp.Or(parts.Records, decision.New("n"))
-	return relay.New(parts)
+	options.Catalog = func() *catalog.Catalog { return c }
+	options.Servers = cmp.Or[relay.Servers](options.Servers, threeServers{})
+	options.Budgets = cmp.Or[relay.Budgets](options.Budgets, unlimitedBudget{})
+	options.Reroutes = cmp.Or[relay.Budgets](options.Reroutes, unlimitedBudget{})
+	options.StoreView = cmp.Or[relay.StoreView](options.StoreView, freshView{})
+	options.Suspects = cmp.Or[relay.Suspects](options.Suspects, noSuspects{})
+	options.Versions = cmp.Or[relay.Versions](options.Versions, noRollout{})
+	options.Counters = noCounters{}
+	options.Balancer = cmp.Or(options.Balancer, route.NewBalancer("", func(string) {}))
+	options.Cascade = cascade.NewConfidencePolicy()
+	options.Records = cmp.Or(options.Records, decision.New("n"))
+	return relay.New(options)
 }
 
 // emptyBody returns the body of a request without one.
--- a/relay/models_test.go
+++ b/relay/models_test.go
@@ -61,8 +61,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Attempts: tt.attempts, Models: threeModels}
 			backends := &modelRecorder{fail: tt.fail}
-			parts := relay.Options{Backends: backends, Budgets: tt.budgets, Reroutes: noReroutes{}}
-			serve(t, target, parts, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
+			options := relay.Options{Backends: backends, Budgets: tt.budgets, Reroutes: noReroutes{}}
+			serve(t, target, options, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
 			must.Eq(t, tt.want, backends.sent)
 		})
 	}
--- a/relay/outcome.go
+++ b/relay/outcome.go
@@ -29,7 +29,7 @@
 // recordVersionSample records a response as a sample for its version. Only responses by the
 // server itself count, with the time until the header, or until the attempt was given up as
 // late.
-func (x *exchange) recordVersionSample(ctx context.Context, use *route.Assignment, version string, resp Response, wait time.Duration) {
+func (x *exchange) recordVersionSample(ctx context.Context, assignment *route.Assignment, version string, resp Response, wait time.Duration) {
 	late := resp == nil && stalled(ctx)
 	if version == "" || (resp == nil && !late) || (resp != nil && resp.Declined()) {
 		return
@@ -38,7 +38,7 @@
 		Kind:      x.kind(),
 		Failed:    !late && isServerError(resp),
 		Wait:      wait,
-		Expected:  use.ExpectedServiceTime(),
+		Expected:  assignment.ExpectedServiceTime(),
 		Late:      late,
 		Objective: x.route.Objective,
 	})
@@ -46,38 +46,38 @@
 
 // checkHeader decides on a response by its header. It returns nil if the response is to be
 // forwarded.
-func (x *exchange) checkHeader(ctx context.Context, use *route.Assignment, sent time.Time, resp Response, err error) *failure {
+func (x *exchange) checkHeader(ctx context.Context, assignment *route.Assignment, sent time.Time, resp Response, err error) *failure {
 	if err != nil {
-		return x.classifyError(ctx, use, err)
+		return x.classifyError(ctx, assignment, err)
 	}
 	if load, ok := resp.Load(); ok {
-		use.RecordLoad(load)
+		assignment.RecordLoad(load)
 	}
 	if resp.Declined() {
 		// The response may come from another server, at the address of one that has ended, so
 		// it is not reported as progress.
-		use.End(route.OutcomeDeclined)
+		assignment.End(route.OutcomeDeclined)
 		return &failure{reason: ReasonDeclined, retryAfter: resp.RetryAfter(), cause: http.StatusText(resp.Status())}
 	}
-	x.reportProgress(use, sent, resp)
+	x.reportProgress(assignment, sent, resp)
 	x.record.AddStep("head", "after %d ms, expected %d, of it %d waiting; confidence %s of %s",
-		time.Since(sent).Milliseconds(), use.ExpectedLatency().Milliseconds(), use.ExpectedWait().Milliseconds(), formatConfidence(resp), x.model())
+		time.Since(sent).Milliseconds(), assignment.ExpectedLatency().Milliseconds(), assignment.ExpectedWait().Milliseconds(), formatConfidence(resp), x.model())
 	x.headerReceived = time.Now()
-	use.RecordResponseStart()
-	use.RecordResult(isServerError(resp))
+	assignment.RecordResponseStart()
+	assignment.RecordResult(isServerError(resp))
 	x.runs++
 	if x.responseStarted && resp.Status() != http.StatusOK {
 		// The client is in the middle of a stream and can only be sent the rest of it.
-		use.End(route.OutcomeNeutral)
+		assignment.End(route.OutcomeNeutral)
 		return &failure{reason: ReasonServerFailed, ran: true, cause: "resumed stream: " + http.StatusText(resp.Status())}
 	}
 	if isServerError(resp) && x.mayRunAgain() && x.mayReplaceResponse() && x.relay.Budgets.Take(x.service, 0) {
-		use.End(route.OutcomeNeutral)
+		assignment.End(route.OutcomeNeutral)
 		return &failure{reason: ReasonServerFailed, ran: true, budgetTaken: true, cause: http.StatusText(resp.Status())}
 	}
 	if next, ok := x.escalation(resp); ok {
-		use.End(route.OutcomeOK)
-		x.reportAbandoned(use)
+		assignment.End(route.OutcomeOK)
+		x.reportAbandoned(assignment)
 		x.modelIndex = next
 		return &failure{escalates: true, ran: true}
 	}
@@ -96,36 +96,36 @@
 func isServerError(resp Response) bool { return resp.Status() >= http.StatusInternalServerError }
 
 // classifyError returns the failure of an attempt that got no response.
-func (x *exchange) classifyError(ctx context.Context, use *route.Assignment, err error) *failure {
+func (x *exchange) classifyError(ctx context.Context, assignment *route.Assignment, err error) *failure {
 	if stalled(ctx) {
-		use.EndStalled()
-		x.reportAbandoned(use)
+		assignment.EndStalled()
+		x.reportAbandoned(assignment)
 		x.runs++
 		return stalledFailure()
 	}
 	if canceledAsSuspected(ctx) {
-		use.End(route.OutcomeNeutral)
+		assignment.End(route.OutcomeNeutral)
 		x.runs++
 		return &failure{reason: ReasonSuspected, ran: true, budgetTaken: true, cause: errSuspected.Error()}
 	}
 	if errorx.IsOfType(err, StaleChoice) {
-		use.End(route.OutcomeNeutral)
-		delete(x.tried, use.Server().Incarnation()) // nothing was sent to it
+		assignment.End(route.OutcomeNeutral)
+		delete(x.tried, assignment.Server().Incarnation()) // nothing was sent to it
 		return &failure{reason: ReasonOvertaken, budgetTaken: true, cause: err.Error()}
 	}
 	outcome := route.OutcomeFailed
 	if errors.Is(ctx.Err(), context.Canceled) {
 		outcome = route.OutcomeNeutral
 	}
-	use.End(outcome)
+	assignment.End(outcome)
 	if errorx.IsOfType(err, NotRun) {
 		return &failure{reason: ReasonUnreachable, cause: err.Error()}
 	}
 	x.runs++
 	if ctx.Err() != nil {
-		x.reportAbandoned(use)
+		x.reportAbandoned(assignment)
 	}
-	x.reportLost(ctx, use)
+	x.reportLost(ctx, assignment)
 	reason := ReasonServerFailed
 	if x.request.Body.Err() != nil {
 		reason = ReasonBodyBroken
@@ -133,7 +133,7 @@
 	return &failure{reason: reason, ran: true, serverLost: ctx.Err() == nil, cause: err.Error()}
 }
 
-// escalation returns the model to ask in place of one whose answer has too low a confidence.
+// escalation returns the model to ask instead of one whose answer has too low a confidence.
 func (x *exchange) escalation(resp Response) (next int, ok bool) {
 	confidence, reported := resp.Confidence()
 	if !x.systemChooses() || !reported || resp.Status() != http.StatusOK || x.responseStarted || !x.mayRunAgain() {
--- a/relay/overload_test.go
+++ b/relay/overload_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestOverload checks that the cheapest model's answer is delivered, whatever its confidence,
-// if the more expensive models would be late, and that those are asked again once the load is
-// gone.
+// if the more expensive models would be late, and that those are asked again once the load
+// has passed.
 func TestOverload(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -29,21 +29,21 @@
 			synctest.Test(t, func(t *testing.T) {
 				balancer, backends := route.NewBalancer("", func(string) {}), &modelRecorder{}
 				target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Objective: time.Second, Attempts: 3, Models: threeModels}
-				parts := relay.Options{Balancer: balancer, Budgets: tt.budgets, Reroutes: noReroutes{}, Backends: backends}
+				options := relay.Options{Balancer: balancer, Budgets: tt.budgets, Reroutes: noReroutes{}, Backends: backends}
 				ask := func() []string {
 					backends.sent = nil
-					serve(t, target, parts, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
+					serve(t, target, options, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
 					return backends.sent
 				}
 				var busy []*route.Assignment
 				for range 3 {
-					use, err := balancer.Choose(route.Task{Servers: threeServers{}.Servers(""), PromptTokens: 1, Initial: route.InitialEstimate{Rate: 5000}})
+					assignment, err := balancer.Choose(route.Task{Servers: threeServers{}.Servers(""), PromptTokens: 1, Initial: route.InitialEstimate{Rate: 5000}})
 					must.NoError(t, err)
-					busy = append(busy, use)
+					busy = append(busy, assignment)
 				}
 				must.Eq(t, []string{"small"}, ask())
-				for _, use := range busy {
-					use.End(route.OutcomeOK)
+				for _, assignment := range busy {
+					assignment.End(route.OutcomeOK)
 				}
 				asked := ask()
 				must.Eq(t, "large", asked[len(asked)-1])
@@ -52,7 +52,7 @@
 	}
 }
 
-// firstServerOnly is a roll-out that admits only the first server.
+// firstServerOnly is a rollout that admits only the first server.
 type firstServerOnly struct{ noRollout }
 
 func (firstServerOnly) Choose(_, _, _ string, s []registry.Server) ([]registry.Server, string) {
@@ -67,8 +67,8 @@
 		target := catalog.Route{Kind: catalog.KindStream, Timeout: 10 * time.Second, Objective: time.Second, Attempts: 3, Models: threeModels}
 		_, err := balancer.Choose(route.Task{Servers: threeServers{}.Servers("")[:1], PromptTokens: 1, Initial: route.InitialEstimate{Rate: 5000}})
 		must.NoError(t, err)
-		parts := relay.Options{Balancer: balancer, Versions: firstServerOnly{}, Reroutes: noReroutes{}, Backends: backends}
-		serve(t, target, parts, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
+		options := relay.Options{Balancer: balancer, Versions: firstServerOnly{}, Reroutes: noReroutes{}, Backends: backends}
+		serve(t, target, options, relay.Request{AnyModel: true, Body: emptyBody(t)}, &recorder{})
 		must.Eq(t, []string{"small"}, backends.sent)
 	})
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -163,12 +163,13 @@
 	// Age is the time since the copy was last confirmed to be current.
 	Age() time.Duration
 	// NeedsRefresh reports whether the copy is too old to choose servers by although the store may
-	// be reachable. Settle waits for a refresh, or until the store proves unreachable.
+	// be reachable. AwaitRefresh waits for a refresh if one is needed, or until the store proves
+	// unreachable.
 	NeedsRefresh() bool
 	AwaitRefresh(ctx context.Context)
 }
 
-// Versions restricts the choice of servers during roll-outs and collects samples on versions.
+// Versions restricts the choice of servers during rollouts and collects samples on versions.
 type Versions interface {
 	// Choose returns the servers that may get a request and the version under which it is
 	// counted, "" if it is not counted. A request that was counted under a version before stays
@@ -185,9 +186,9 @@
 	// First returns the index of the first of n models to ask, depending on whether its answer
 	// may be replaced by another model's.
 	First(n int, mayEscalate bool) int
-	// Next returns the index of the model to ask instead of the model at index step, whose
-	// answer has the given confidence; false to keep the answer. Last says that the next answer
-	// cannot be replaced.
+	// Next returns the index of the model to ask instead of the model at index step, whose answer
+	// has the given confidence; false to keep the answer. If last is true, the next answer cannot
+	// be replaced.
 	Next(n, step int, confidence float64, last bool) (int, bool)
 	// WorthEscalating reports whether the model is worth asking.
 	WorthEscalating(o cascade.Escalation) bool
@@ -219,8 +220,8 @@
 	// Empty reports whether no request is suspected.
 	Empty() bool
 	Refuses(digest uint64) bool
-	// AllowProbe reports whether a refused request is to be sent once more, to test whether it
-	// still makes servers crash.
+	// AllowProbe reports whether a refused request is to be sent once more as a probe, to find out
+	// whether it still makes servers crash.
 	AllowProbe(ctx context.Context, digest uint64) bool
 	// ReportLost reports that a server ended without responding to the request.
 	ReportLost(digest, server uint64)
@@ -269,9 +270,9 @@
 	cancelLifetime context.CancelCauseFunc
 }
 
-// New returns a relay made of the given parts.
-func New(parts Options) *Relay {
-	r := &Relay{Options: parts, durations: newDurations(), pending: newPendingAttempts()}
+// New returns a relay with the given options.
+func New(options Options) *Relay {
+	r := &Relay{Options: options, durations: newDurations(), pending: newPendingAttempts()}
 	r.lifetime, r.cancelLifetime = context.WithCancelCause(context.Background())
 	return r
 }
--- a/relay/replacement_test.go
+++ b/relay/replacement_test.go
@@ -61,11 +61,11 @@
 
 // streamWithPauses returns a stream of events with a pause before each but the first.
 func streamWithPauses(ctx context.Context, pauses ...time.Duration) relay.Response {
-	parts := []io.Reader{strings.NewReader("id: 1\n\n")}
+	readers := []io.Reader{strings.NewReader("id: 1\n\n")}
 	for i, d := range pauses {
-		parts = append(parts, &silentPause{ctx, d, nil}, strings.NewReader("id: "+string(rune('2'+i))+"\n\n"))
+		readers = append(readers, &silentPause{ctx, d, nil}, strings.NewReader("id: "+string(rune('2'+i))+"\n\n"))
 	}
-	return response{200, io.MultiReader(parts...)}
+	return response{200, io.MultiReader(readers...)}
 }
 
 // requestWithPrompt returns a request of typical size.
@@ -89,12 +89,12 @@
 // usualStreams take streamDuration.
 var usualStreams = streamsTaking(streamDuration)
 
-// newTrainedRelay returns a relay that has seen such streams. The script is usualStreams
-// afterwards.
-func newTrainedRelay(t *testing.T, b *scriptedBackends, target catalog.Route, parts relay.Options, seen script) *relay.Relay {
+// newTrainedRelay returns a relay that has handled the streams of the script seen. Afterwards
+// the script is usualStreams.
+func newTrainedRelay(t *testing.T, b *scriptedBackends, target catalog.Route, options relay.Options, seen script) *relay.Relay {
 	target.Kind, target.Timeout, target.Attempts = catalog.KindStream, 20*time.Second, 3
-	parts.Backends = b
-	r := newRelay(t, target, parts)
+	options.Backends = b
+	r := newRelay(t, target, options)
 	b.setScript(seen)
 	for range trainingRequests {
 		ask(t, r, requestWithPrompt(t), &recorder{})
@@ -202,7 +202,7 @@
 	})
 }
 
-// listedServers are the servers of a list.
+// listedServers is a fixed list of servers.
 type listedServers struct {
 	allUsable
 	list []registry.Server
--- a/relay/serve_test.go
+++ b/relay/serve_test.go
@@ -16,12 +16,12 @@
 )
 
 // responsesInTurn returns one response after the other.
-type responsesInTurn struct{ answers []response }
+type responsesInTurn struct{ responses []response }
 
 func (b *responsesInTurn) Send(context.Context, registry.Server, relay.Call) (relay.Response, error) {
-	a := b.answers[0]
-	b.answers = b.answers[1:]
-	return a, nil
+	next := b.responses[0]
+	b.responses = b.responses[1:]
+	return next, nil
 }
 
 // cutBody is a body that fails after the given text.
@@ -39,11 +39,11 @@
 	large := strings.Repeat("x", 100<<10)
 	const begun = "id: 1\ndata: a\n\n"
 	tests := []struct {
-		name    string
-		kind    catalog.Kind
-		answers []response
-		want    string
-		broken  bool
+		name      string
+		kind      catalog.Kind
+		responses []response
+		want      string
+		broken    bool
 	}{
 		{"plain, truncated within the buffer", catalog.KindRepeatable, []response{{200, cutBody("abc")}, {200, strings.NewReader("abcdef")}}, "abcdef", false},
 		{"plain, truncated after the buffer", catalog.KindRepeatable, []response{{200, cutBody(large[:80<<10])}, {200, strings.NewReader(large)}}, large[:80<<10], true},
@@ -56,7 +56,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			target := catalog.Route{Kind: tt.kind, Timeout: 10 * time.Second, Attempts: 2}
 			got := &recorder{}
-			serve(t, target, relay.Options{Backends: &responsesInTurn{tt.answers}}, relay.Request{Body: emptyBody(t)}, got)
+			serve(t, target, relay.Options{Backends: &responsesInTurn{tt.responses}}, relay.Request{Body: emptyBody(t)}, got)
 			must.Eq(t, tt.want, got.String())
 			must.Eq(t, tt.broken, got.aborted)
 			must.Eq(t, 200, got.status)
--- a/relay/stale_choice_test.go
+++ b/relay/stale_choice_test.go
@@ -28,10 +28,10 @@
 		sent            []string
 	}{
 		{"no change", nil, func(*leavingServers) {}, []string{"a"}},
-		{"server leaves", nil, func(l *leavingServers) { l.gone = "a" }, []string{"b"}},
+		{"server leaves", nil, func(l *leavingServers) { l.departed = "a" }, []string{"b"}},
 		{"view becomes stale", nil, func(l *leavingServers) { l.stale = true }, []string{"a"}},
-		{"view was stale before", func(l *leavingServers) { l.stale, l.nextGone = true, "a" }, func(*leavingServers) {}, []string{"b"}},
-		{"view becomes stale, refresh shows the server as gone", nil, func(l *leavingServers) { l.stale, l.nextGone = true, "a" }, []string{"b"}},
+		{"view was stale before", func(l *leavingServers) { l.stale, l.nextDeparted = true, "a" }, func(*leavingServers) {}, []string{"b"}},
+		{"view becomes stale, refresh shows the server as gone", nil, func(l *leavingServers) { l.stale, l.nextDeparted = true, "a" }, []string{"b"}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -53,29 +53,29 @@
 	freshView
 	beforeFirstByte func(l *leavingServers)
 	calls           int
-	// gone is the server that has left, nextGone the one that the next refresh shows as gone.
-	gone, nextGone string
-	stale          bool
-	sent           []string
+	// departed is the server that has left, nextDeparted the one that the next refresh shows as gone.
+	departed, nextDeparted string
+	stale                  bool
+	sent                   []string
 }
 
 func (l *leavingServers) Servers(string) []registry.Server {
 	var left []registry.Server
 	for _, id := range []string{"a", "b"} {
-		if id != l.gone {
+		if id != l.departed {
 			left = append(left, registry.Server{ID: id})
 		}
 	}
 	return left[:1]
 }
 
-func (l *leavingServers) Usable(i registry.Incarnation) bool { return i.ID != l.gone }
+func (l *leavingServers) Usable(i registry.Incarnation) bool { return i.ID != l.departed }
 
 func (l *leavingServers) NeedsRefresh() bool { return l.stale }
 
 func (l *leavingServers) AwaitRefresh(context.Context) {
 	if l.stale {
-		l.stale, l.gone = false, l.nextGone
+		l.stale, l.departed = false, l.nextDeparted
 	}
 }
 
--- a/relay/suspect.go
+++ b/relay/suspect.go
@@ -31,13 +31,13 @@
 	return suspect.Digest(q.Path, q.Body.Buffered(), q.Body.Length())
 }
 
-// takeTest reports whether this refused request is to be sent to one server as a test whether
-// servers still crash. It returns true at most once per request.
-func (x *exchange) takeTest(ctx context.Context) bool {
-	if x.testSent || !x.relay.Suspects.AllowProbe(ctx, x.contentDigest()) {
+// takeProbe reports whether this refused request is to be sent to one server as a probe, to
+// find out whether servers still crash under it. It returns true at most once per request.
+func (x *exchange) takeProbe(ctx context.Context) bool {
+	if x.probeSent || !x.relay.Suspects.AllowProbe(ctx, x.contentDigest()) {
 		return false
 	}
-	x.testSent = true
+	x.probeSent = true
 	x.record.AddStep("test", "content %016x is refused and sent to one server", x.contentDigest())
 	return true
 }
@@ -45,17 +45,17 @@
 // reportLost reports that a server ended an attempt with no response or a truncated one. If
 // this node or the client ended the attempt, nothing is reported, since the server may be
 // healthy.
-func (x *exchange) reportLost(ctx context.Context, use *route.Assignment) {
+func (x *exchange) reportLost(ctx context.Context, assignment *route.Assignment) {
 	if ctx.Err() != nil || x.request.Body.Err() != nil {
 		return
 	}
-	x.relay.Suspects.ReportLost(x.contentDigest(), use.Server().Incarnation().Hash())
-	x.record.AddStep("lost", "at %s; content %016x, lost at %d servers", use.Server().ID, x.contentDigest(), x.relay.Suspects.LossCount(x.contentDigest()))
+	x.relay.Suspects.ReportLost(x.contentDigest(), assignment.Server().Incarnation().Hash())
+	x.record.AddStep("lost", "at %s; content %016x, lost at %d servers", assignment.Server().ID, x.contentDigest(), x.relay.Suspects.LossCount(x.contentDigest()))
 }
 
-// delayAfterLoss is the delay between a lost attempt and the next one. Servers that crash
-// together are seen as gone by then, so the next attempt does not go to one of them; if its
-// server crashes too, that has another cause (suspect.IncidentWindow).
+// delayAfterLoss is the delay between a lost attempt and the next one. Servers that crash in
+// the same incident have crashed by then, so if the server of the next attempt crashes too,
+// that is another incident (suspect.IncidentWindow).
 const delayAfterLoss = suspect.IncidentWindow + 10*time.Millisecond
 
 // sleep waits for d or until the context ends.
@@ -67,15 +67,15 @@
 
 // reportAbandoned reports that this attempt was given up while the server may still run the
 // request.
-func (x *exchange) reportAbandoned(use *route.Assignment) {
-	x.relay.Suspects.ReportAbandoned(x.contentDigest(), use.Server().Incarnation().Hash())
+func (x *exchange) reportAbandoned(assignment *route.Assignment) {
+	x.relay.Suspects.ReportAbandoned(x.contentDigest(), assignment.Server().Incarnation().Hash())
 }
 
 // reportProgress reports that part of the response to a request sent at the given time has
 // arrived.
-func (x *exchange) reportProgress(use *route.Assignment, sent time.Time, resp Response) {
+func (x *exchange) reportProgress(assignment *route.Assignment, sent time.Time, resp Response) {
 	if !x.relay.Suspects.Empty() {
-		x.relay.Suspects.ReportProgress(use.Server().Incarnation().Hash(), sent, resp.ConnOpened())
+		x.relay.Suspects.ReportProgress(assignment.Server().Incarnation().Hash(), sent, resp.ConnOpened())
 	}
 }
 
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -118,18 +118,18 @@
 	}
 }
 
-// suspectsAllowingTest allow a refused request to be sent as a test.
-type suspectsAllowingTest struct {
+// suspectsAllowingProbe allow a refused request to be sent as a probe.
+type suspectsAllowingProbe struct {
 	sharedSuspects
-	tests int
+	probes int
 }
 
-func (o *suspectsAllowingTest) AllowProbe(context.Context, uint64) bool {
-	o.tests--
-	return o.tests >= 0
+func (o *suspectsAllowingProbe) AllowProbe(context.Context, uint64) bool {
+	o.probes--
+	return o.probes >= 0
 }
 
-// TestSuspectRequestTested checks that a refused request can be tested at one server, whatever
+// TestSuspectRequestTested checks that a refused request can be probed at one server, whatever
 // the route's attempts, and is served if that server responds.
 func TestSuspectRequestTested(t *testing.T) {
 	for _, tt := range []struct {
@@ -146,7 +146,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				timers := timer.New()
 				defer timers.Close()
-				servers, list := newCrashingServers(6), &suspectsAllowingTest{sharedSuspects: sharedSuspects{suspect.New(timers)}, tests: 1}
+				servers, list := newCrashingServers(6), &suspectsAllowingProbe{sharedSuspects: sharedSuspects{suspect.New(timers)}, probes: 1}
 				target := catalog.Route{Kind: catalog.KindRepeatable, Timeout: 10 * time.Second, Attempts: 3}
 				node := newRelay(t, target, relay.Options{Servers: servers, Backends: servers, Suspects: list})
 				list.ApplyStored(suspect.Digest("/", []byte(tt.text), int64(len(tt.text))), 0)
@@ -156,7 +156,7 @@
 				ask(t, node, relay.Request{Body: body}, got)
 				must.Eq(t, tt.want, got.String())
 				must.Eq(t, tt.crashed, servers.crashed)
-				must.LessEq(t, 0, list.tests, must.Sprint("the request must have been refused and tested"))
+				must.LessEq(t, 0, list.probes, must.Sprint("the request must have been refused and probed"))
 				if tt.want == "" {
 					must.Eq(t, relay.ReasonSuspected, got.refusal.Reason())
 				}
--- a/relay/watchdog.go
+++ b/relay/watchdog.go
@@ -15,8 +15,8 @@
 	// minFirstByteShare and maxFirstByteShare bound the wait for the first byte, as shares of
 	// the route's objective; only responses that are expected to take longer may exceed them. A
 	// rerouted request is processed again elsewhere and delays all others: at half of the
-	// objective, one request in ten was rerouted, from servers that were only busy, and worth
-	// fell from 0.67 to 0.64.
+	// objective, one request in ten was rerouted, from servers that were only busy, and the
+	// worth of the responses fell from 0.67 to 0.64.
 	minFirstByteShare = 0.8
 	maxFirstByteShare = 0.9
 	// maxExpectedFactor is the multiple of the expected time within which a response must
@@ -41,7 +41,7 @@
 }
 
 // startWatchdog starts the watchdog of an attempt that is being sent.
-func (x *exchange) startWatchdog(use *route.Assignment, cancel context.CancelCauseFunc) *watchdog {
+func (x *exchange) startWatchdog(assignment *route.Assignment, cancel context.CancelCauseFunc) *watchdog {
 	// This attempt will count as a run, so one more must be allowed.
 	if !x.mayReroute(x.runs + 1) {
 		return &watchdog{}
@@ -50,7 +50,7 @@
 	servers, _ := x.servers()
 	task, deadline := x.task(servers), x.deadline
 	task.Exclude = nil // the servers are untried already, and x.tried changes concurrently
-	return &watchdog{since: time.Now(), timer: time.AfterFunc(x.firstByteTimeout(use), func() {
+	return &watchdog{since: time.Now(), timer: time.AfterFunc(x.firstByteTimeout(assignment), func() {
 		takes := x.relay.Balancer.Forecast(task).Latency() + length
 		if x.relay.endsInTime(deadline, takes, known) && x.relay.Reroutes.Take(x.service, 0) && x.relay.Budgets.Take(x.service, retryReserve) {
 			cancel(errStalled)
@@ -74,17 +74,17 @@
 func (w *watchdog) stop() { w.reset(0) }
 
 // firstByteTimeout returns how long an attempt waits for its first byte.
-func (x *exchange) firstByteTimeout(use *route.Assignment) time.Duration {
+func (x *exchange) firstByteTimeout(assignment *route.Assignment) time.Duration {
 	objective := x.route.Objective
 	if objective <= 0 {
 		objective = defaultObjective
 	}
 	minWait := time.Duration(minFirstByteShare * float64(objective))
-	maxWait := max(time.Duration(maxFirstByteShare*float64(objective)), maxExpectedFactor*use.ExpectedLatency())
-	if use.LateAfter() == 0 {
+	maxWait := max(time.Duration(maxFirstByteShare*float64(objective)), maxExpectedFactor*assignment.ExpectedLatency())
+	if assignment.LateAfter() == 0 {
 		return maxWait
 	}
-	return min(maxWait, max(minWait, use.LateAfter()))
+	return min(maxWait, max(minWait, assignment.LateAfter()))
 }
 
 // mayReroute reports whether the request may be moved to another server once the given number
--- a/relay/watchdog_test.go
+++ b/relay/watchdog_test.go
@@ -23,7 +23,7 @@
 	return 0, s.ctx.Err()
 }
 
-// silentBackends let the first attempts fall silent, either before the response or after the
+// silentBackends stop sending in the first attempts, either before the response or after the
 // given prefix of it.
 type silentBackends struct {
 	silent int
