--- a/suspect/suspect.go
+++ b/suspect/suspect.go
@@ -102,7 +102,7 @@
 type loss struct {
 	digest, server uint64
 	at             time.Time
-	// crashed is set once the server was seen to be gone after the loss.
+	// crashed is set once the server was found not to be running after the loss.
 	crashed bool
 }
 
@@ -118,7 +118,7 @@
 	FindingVerdict
 )
 
-// Detector holds what one node knows of losses and verdicts. It is safe for concurrent
+// Detector holds the losses and verdicts that one node has recorded. It is safe for concurrent
 // use.
 type Detector struct {
 	timers *timer.Service
--- a/suspect/suspect_test.go
+++ b/suspect/suspect_test.go
@@ -176,8 +176,8 @@
 	}
 }
 
-// TestRestart: a server that was seen to be gone counts as crashed, even if its name comes
-// back.
+// TestRestart: a server that was found not to be running counts as crashed, even if its ID is
+// registered again.
 func TestRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timers := timer.New()
--- a/suspect/syncer.go
+++ b/suspect/syncer.go
@@ -231,8 +231,8 @@
 }
 
 // Probe reports whether this node must send a refused request once more now. When a probe is
-// due, one node only gets true: the one whose write to the store succeeds, which tells the
-// others. A probe also renews the entry's lease.
+// due, one node only gets true: the one whose write to the store succeeds. The other nodes
+// learn of the probe by that write. A probe also renews the entry's lease.
 func (s *Syncer) Probe(ctx context.Context, digest uint64) bool {
 	item, found := s.local.Get(KeyPrefix + FormatDigest(digest))
 	if !found {
