--- a/share/budget.go
+++ b/share/budget.go
@@ -9,9 +9,9 @@
 	// minWorkMillis is the least work that is published: shorter work is over before
 	// other nodes learn of it, and their requests wait little for it.
 	minWorkMillis = 20.0
-	// prefillWeight is how much more the prefill of a shared prompt counts than other
-	// work: other requests are spared it if they go to the same server, so it draws
-	// their prompts there.
+	// prefillWeight is how much more the prefill of a shared prompt counts than other work:
+	// other requests with that prompt need no prefill if they go to the same server, which
+	// other nodes choose once they have the record.
 	prefillWeight = 2.5
 	// maxRecordsPerSecond bounds the requests that all nodes publish together. At some
 	// 45 bytes each, a node receives 36 kB a second, however many nodes there are, and a
--- a/share/run.go
+++ b/share/run.go
@@ -13,9 +13,9 @@
 
 const (
 	// exchangeInterval is the time between two calls of a node. A record that arrives
-	// later than its prompt takes to be read comes too late to keep other nodes from the
-	// server. In a data hall of 60 nodes a record passes through four calls, and one more
-	// to another hall: 125 ms on average, 250 ms with twice the interval.
+	// after the prefill of its prompt has ended comes too late to keep other nodes from
+	// choosing the server. In a data hall of 60 nodes a record passes through four calls,
+	// and one more to another hall: 125 ms on average, 250 ms with twice the interval.
 	exchangeInterval = 50 * time.Millisecond
 	// fanOut is the number of children of a node in the tree of a data hall: halls of up
 	// to 73 nodes have two levels below the root.
@@ -61,7 +61,7 @@
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for _, m := range members {
-		if p := x.peers[m.Peer]; p == nil || now.After(p.downUntil) {
+		if p := x.peers[m.Peer]; p == nil || now.After(p.skippedUntil) {
 			halls[m.DataHall] = append(halls[m.DataHall], m)
 		}
 	}
@@ -94,11 +94,11 @@
 	message, upTo := x.nextMessage(address)
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	reply, err := x.caller.Exchange(ctx, address, message)
+	reply, err := x.client.Exchange(ctx, address, message)
 	if err != nil {
 		slog.Debug("exchange with peer failed; skipping it for a while", "peer", address, "error", err)
 		x.mu.Lock()
-		x.peers[address].downUntil = x.timers.Now().Add(peerBackoff)
+		x.peers[address].skippedUntil = x.timers.Now().Add(peerBackoff)
 		x.mu.Unlock()
 		return
 	}
--- a/share/share.go
+++ b/share/share.go
@@ -17,7 +17,7 @@
 //
 // # Usage
 //
-//	exchange := share.NewExchange(self, nodes, client, timers, balancer.Heard)
+//	exchange := share.NewExchange(self, nodes, client, timers, balancer.ObserveSend)
 //	go exchange.Run(ctx)
 //	exchange.Publish(share.Record{Server: server.Incarnation().Hash(), Prompt: shared, WorkMillis: 130}, 105)
 //
@@ -38,9 +38,9 @@
 )
 
 // logSize is the number of records that a node keeps for its peers, and the most that one
-// message carries, some 10 kB. When nodes come and go, others join the tree anew and receive
-// the whole log; with 4,096 records, every tenth plain response was late on VMs with a link
-// of 10 Mbit/s.
+// message carries, some 10 kB. When nodes join or leave, other nodes get a new parent and
+// receive the whole log; with 4,096 records, every tenth plain response was late on VMs with
+// a link of 10 Mbit/s.
 const logSize = 200
 
 const (
@@ -92,15 +92,15 @@
 	// Node and Hall are hashes of the sender's ID and of its data hall.
 	Node uint64
 	Hall uint64
-	// LogID and After give the position in the callee's log up to which the sender has
+	// LogID and After give the position in the receiver's log up to which the sender has
 	// received everything.
 	LogID   uint64
 	After   uint64
 	Batches []Batch
 }
 
-// Reply is the response to a Message, with the position in the callee's log that the
-// sender has now reached.
+// Reply is the response to a Message. LogID and UpTo give the position in the responder's log
+// up to which the sender of the Message has now received everything.
 type Reply struct {
 	_       struct{} `cbor:",toarray"`
 	LogID   uint64
@@ -122,7 +122,7 @@
 	self       view.Member
 	node, hall uint64
 	nodes      Nodes
-	caller     PeerClient
+	client     PeerClient
 	timers     *timer.Service
 	onRecord   func(Record)
 
@@ -148,19 +148,19 @@
 	// received everything, sentUpTo the position in its own log up to which it has sent
 	// everything.
 	logID, receivedUpTo, sentUpTo uint64
-	// downUntil is until when the peer is skipped.
-	downUntil time.Time
+	// skippedUntil is until when the peer is skipped.
+	skippedUntil time.Time
 }
 
 // NewExchange returns the exchange of a node. OnRecord is called for each record of another
 // node.
-func NewExchange(self view.Member, nodes Nodes, caller PeerClient, timers *timer.Service, onRecord func(Record)) *Exchange {
+func NewExchange(self view.Member, nodes Nodes, client PeerClient, timers *timer.Service, onRecord func(Record)) *Exchange {
 	return &Exchange{
 		self:           self,
 		node:           rendezvous.Hash(self.ID),
 		hall:           rendezvous.Hash(self.DataHall),
 		nodes:          nodes,
-		caller:         caller,
+		client:         client,
 		timers:         timers,
 		onRecord:       onRecord,
 		logID:          rand.Uint64(),
@@ -168,14 +168,13 @@
 		latestSequence: make(map[uint64]uint64),
 		peers:          make(map[string]*peer),
 		losses:         rate.NewLimiter(lossesPerSecond, lossBurst),
-
 		repeatedLosses: rate.NewLimiter(lossesPerSecond, lossBurst),
 	}
 }
 
 // Publish publishes a request of this node, if its work is large enough, and sets its
-// sequence number and age. PrefillMillis is how long the server takes to read the part of the
-// shared prompt that it did not have in its cache, in milliseconds.
+// sequence number and age. PrefillMillis is how long the server takes to prefill the uncached
+// part of the shared prompt, in milliseconds.
 func (x *Exchange) Publish(r Record, prefillMillis float64) {
 	nodes := len(x.nodes.Others()) + 1
 	x.mu.Lock()
--- a/share/share_test.go
+++ b/share/share_test.go
@@ -173,8 +173,8 @@
 	})
 }
 
-// TestRootFailure: the next node of a data hall takes the place of its root, in the hall and
-// towards other halls. No record is lost or received twice.
+// TestRootFailure: when the root of a data hall fails, the next node becomes the root, in
+// the hall and towards other halls. No record is lost or received twice.
 func TestRootFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
