--- a/route/balancer.go
+++ b/route/balancer.go
@@ -73,7 +73,7 @@
 type Balancer struct {
 	dataHall      string
 	onBreakerOpen func(server string)
-	announce      func(s share.Record, newWork float64)
+	publish       func(s share.Record, prefillMillis float64)
 
 	mu sync.Mutex
 	// servers is keyed by the hash of the incarnation, regressions and
@@ -86,11 +86,11 @@
 // BalancerOption configures a Balancer.
 type BalancerOption func(*Balancer)
 
-// WithPublisher sets the function that announces each prompt sent to a server to
-// the other nodes. NewWork is the time for which the server prefills the uncached
-// tokens of the prompt's shared parts, in milliseconds.
-func WithPublisher(announce func(s share.Record, newWork float64)) BalancerOption {
-	return func(b *Balancer) { b.announce = announce }
+// WithPublisher sets the function that publishes each prompt sent to a server to
+// the other nodes. PrefillMillis is the time for which the server prefills the
+// uncached tokens of the prompt's shared parts, in milliseconds.
+func WithPublisher(publish func(s share.Record, prefillMillis float64)) BalancerOption {
+	return func(b *Balancer) { b.publish = publish }
 }
 
 // NewBalancer returns a balancer for a node in the given data hall. OnBreakerOpen
@@ -99,7 +99,7 @@
 	b := &Balancer{
 		dataHall:      dataHall,
 		onBreakerOpen: onBreakerOpen,
-		announce:      func(share.Record, float64) {},
+		publish:       func(share.Record, float64) {},
 		servers:       make(map[uint64]*balancerServer),
 		regressions:   make(map[string]*estimate.Regression),
 		latencyRatios: make(latencyRatios),
@@ -218,7 +218,7 @@
 	return p.serviceTime / float64(max(1, p.server.Slots))
 }
 
-// assign records one request as sent to a server and announces its prompt.
+// assign records one request as sent to a server and publishes its prompt.
 func (b *Balancer) assign(p prediction, t Task, now time.Time) *Assignment {
 	a := &Assignment{
 		balancer:     b,
@@ -238,8 +238,8 @@
 	p.state.breaker.begin(now)
 	if a.serial() {
 		shared := t.Prompt.Shared()
-		newWork := b.regression(t).Rate() * float64(max(0, shared.Tokens()-a.cachedTokens))
-		b.announce(share.Record{Server: p.server.Incarnation().Hash(), Prompt: shared, WorkMillis: float32(a.blockingTime)}, newWork)
+		prefillMillis := b.regression(t).Rate() * float64(max(0, shared.Tokens()-a.cachedTokens))
+		b.publish(share.Record{Server: p.server.Incarnation().Hash(), Prompt: shared, WorkMillis: float32(a.blockingTime)}, prefillMillis)
 	}
 	return a
 }
--- a/route/balancer_server.go
+++ b/route/balancer_server.go
@@ -40,13 +40,13 @@
 	// whose response has not started, in the order in which they were sent.
 	inflight int
 	waiting  []*Assignment
-	// freeAt is when the server is expected to have finished all requests that
-	// this node knows of.
+	// freeAt is when the server is expected to have finished all requests of which
+	// this node has a record.
 	freeAt time.Time
 	// typicalBlockingTime is the moving average of the time for which a waiting
 	// request delays those behind it, in milliseconds. Where requests are served
-	// concurrently, the whole service time counts: other requests follow that this
-	// node is not told of.
+	// concurrently, the whole service time counts: other requests follow that are not
+	// reported to this node.
 	typicalBlockingTime float64
 	// othersRunning and othersWaiting are the numbers of other nodes' requests
 	// that ran and waited when the server last reported its load.
@@ -78,7 +78,8 @@
 		}
 		wait += math.Max(0, durationToMS(now.Sub(since)))
 	}
-	// Where other nodes' requests wait, more follow that this node is not told of.
+	// Where other nodes' requests wait, more follow that are not reported to this
+	// node.
 	reported := weight * s.othersWaiting * s.typicalBlockingTime
 	return wait + math.Max(reported, durationToMS(s.freeAt.Sub(now)))
 }
@@ -121,8 +122,8 @@
 		return
 	}
 	if responded {
-		// The requests before it have been passed over: their responses are lost,
-		// and they block nothing.
+		// The server handles requests in order, so the responses to the earlier ones
+		// are lost, and those requests no longer block others.
 		s.waiting = slices.Delete(s.waiting, 0, at+1)
 		at = 0
 	} else {
--- a/route/balancer_test.go
+++ b/route/balancer_test.go
@@ -116,8 +116,8 @@
 	must.True(t, errorx.IsOfType(err, route.NoServer))
 }
 
-// TestBalancerRetain checks that a server that is gone keeps its state while a
-// request is in flight there.
+// TestBalancerRetain checks that a server that is no longer listed keeps its state
+// while a request is in flight there.
 func TestBalancerRetain(t *testing.T) {
 	b := balancer()
 	assignment := choose(t, b, prefillTask(halls[:1], 100))
@@ -153,18 +153,18 @@
 	})
 }
 
-// TestBalancerAnnounces checks that each prompt sent to a server is announced to
+// TestBalancerAnnounces checks that each prompt sent to a server is published to
 // the other nodes, with its shared parts only.
 func TestBalancerAnnounces(t *testing.T) {
-	var announced []share.Record
-	b := route.NewBalancer("near", func(string) {}, route.WithPublisher(func(s share.Record, _ float64) { announced = append(announced, s) }))
+	var published []share.Record
+	b := route.NewBalancer("near", func(string) {}, route.WithPublisher(func(s share.Record, _ float64) { published = append(published, s) }))
 	prompt := prefix.NewChain("m", []prefix.Part{{ID: "shared", Tokens: 500}, {ID: "own", Tokens: 100}})
 	choose(t, b, route.Task{Servers: halls[:1], PromptTokens: 600, Prompt: prompt, Initial: route.InitialEstimate{Rate: 0.1}})
 	choose(t, b, route.Task{Servers: halls[:1]})
-	must.Len(t, 1, announced)
-	must.Eq(t, registry.Incarnation{ID: "near-1"}.Hash(), announced[0].Server)
-	must.Eq(t, prompt.Shared(), announced[0].Prompt)
-	must.Eq(t, 60, announced[0].WorkMillis)
+	must.Len(t, 1, published)
+	must.Eq(t, registry.Incarnation{ID: "near-1"}.Hash(), published[0].Server)
+	must.Eq(t, prompt.Shared(), published[0].Prompt)
+	must.Eq(t, 60, published[0].WorkMillis)
 }
 
 // TestBalancerLostResponse checks that a request whose response was lost no longer
--- a/route/health.go
+++ b/route/health.go
@@ -15,8 +15,8 @@
 	// since it can occur by chance.
 	latencyRatioTolerance = 1.5
 	// failureRateTolerance is the failure rate up to which there is no penalty,
-	// since the requests may cause it: the deployments' sheets state 14 in 100 for
-	// one kind.
+	// since the requests may cause it: the deployments' specifications state 14 in
+	// 100 for one kind of request.
 	failureRateTolerance = 0.25
 	// healthHalfLife is the half-life of the statistics of an unused server, so
 	// that one that has recovered is tried again.
--- a/route/herd_test.go
+++ b/route/herd_test.go
@@ -18,7 +18,7 @@
 
 // The simulated deployment: hundreds of nodes, each with a few requests per second,
 // share servers that prefill one prompt at a time, and receive each other's
-// announcements with a delay.
+// published records with a delay.
 const (
 	herdHalls   = 5
 	herdNodes   = 295
@@ -27,10 +27,10 @@
 	// herdRate is the number of requests per second.
 	herdTime = 6 * time.Second
 	herdRate = 1000
-	// announcedShare is the share of the sends that are announced to other nodes,
-	// each delayed by up to maxAnnounceDelay.
-	announcedShare   = 1.0
-	maxAnnounceDelay = 250 * time.Millisecond
+	// publishedShare is the share of the sends that are published to other nodes,
+	// each delayed by up to maxPublishDelay.
+	publishedShare  = 1.0
+	maxPublishDelay = 250 * time.Millisecond
 	// nonblockingTime is the part of the latency in which the engine can prefill
 	// other prompts.
 	nonblockingTime = 47 * time.Millisecond
@@ -89,7 +89,7 @@
 	measured int
 }
 
-// newHerd returns a deployment whose nodes announce their sends to each other.
+// newHerd returns a deployment whose nodes publish their sends to each other.
 func newHerd() *herd {
 	h := &herd{engines: make(map[string]*engine)}
 	for i := range herdServers {
@@ -98,19 +98,19 @@
 		h.engines[s.ID] = &engine{}
 	}
 	for i := range herdNodes {
-		announce := func(s share.Record, _ float64) { h.announce(i, s) }
-		h.nodes = append(h.nodes, route.NewBalancer(fmt.Sprint("hall-", i%herdHalls), func(string) {}, route.WithPublisher(announce)))
+		publish := func(s share.Record, _ float64) { h.publish(i, s) }
+		h.nodes = append(h.nodes, route.NewBalancer(fmt.Sprint("hall-", i%herdHalls), func(string) {}, route.WithPublisher(publish)))
 	}
 	return h
 }
 
-// announce delivers a send to the other nodes after a random delay.
-func (h *herd) announce(from int, s share.Record) {
-	if rand.Float64() > announcedShare {
+// publish delivers a send to the other nodes after a random delay.
+func (h *herd) publish(from int, s share.Record) {
+	if rand.Float64() > publishedShare {
 		return
 	}
 	sent := time.Now()
-	h.events.after(rand.N(maxAnnounceDelay), func() {
+	h.events.after(rand.N(maxPublishDelay), func() {
 		s.AgeMillis = uint32(time.Since(sent).Milliseconds())
 		for i, n := range h.nodes {
 			if i != from {
--- a/route/subset.go
+++ b/route/subset.go
@@ -27,7 +27,7 @@
 
 // Subset returns the servers of a pool that this node uses. Rendezvous hashing
 // assigns each server to a few nodes, so that no server is left out and few
-// assignments change when nodes or servers come and go.
+// assignments change when nodes or servers join or leave.
 func (c *Chooser) Subset(pool string, servers []config.Server) []config.Server {
 	c.mu.Lock()
 	defer c.mu.Unlock()
