--- a/rollout/driver.go
+++ b/rollout/driver.go
@@ -20,7 +20,7 @@
 	Update(ctx context.Context, name string, change func(old []byte) ([]byte, error)) (document.Item, error)
 }
 
-// Collector collects the counts of all nodes that answer, by node ID.
+// Collector collects the counts of all nodes that respond, by node ID.
 type Collector interface {
 	Collect(ctx context.Context) map[string]Counts
 }
@@ -193,7 +193,7 @@
 const measureDuration = 1500 * time.Millisecond
 
 // setShare sizes a stage from the measured request rate, so that the candidate
-// gives about WantSamples answers, and makes the active sessions sticky.
+// gives about TargetSamples answers, and makes the active sessions sticky.
 func (d *Driver) setShare(m *config.Model, p Progress, stage config.Stage, baseline Count, now time.Time) Progress {
 	elapsed := now.Sub(p.StageSince).Seconds()
 	remaining := stage.MinSeconds - elapsed
@@ -211,8 +211,9 @@
 	return p
 }
 
-// slightlyWorse runs the test with the smaller FineBadIncrease, if one is set. The
-// test with the larger increase does not detect a few failures in many answers.
+// slightlyWorse runs the test with the smaller StrictBadIncrease, if one is set.
+// The test with the larger increase does not detect a few failures in many
+// answers.
 func (d *Driver) slightlyWorse(m *config.Model, candidate, baseline Count) bool {
 	guards := m.Rollout.Guards
 	if guards.StrictBadIncrease == 0 {
--- a/rollout/driver_test.go
+++ b/rollout/driver_test.go
@@ -41,7 +41,7 @@
 	steps(first, 5, map[string]rollout.Counts{"b": counted(20, 0)})
 	must.Eq(t, rollout.StoredCount{Answers: 20, Bad: 2}, progress().DepartedCandidate)
 	must.Eq(t, rollout.StoredCount{Answers: 100}, progress().DepartedBaseline)
-	// The node answers again, then departs again.
+	// The node responds again, then departs again.
 	steps(first, 1, map[string]rollout.Counts{"a": counted(25, 2), "b": counted(20, 0)})
 	steps(first, 5, map[string]rollout.Counts{"b": counted(20, 0)})
 	must.Eq(t, rollout.StoredCount{Answers: 25, Bad: 2}, progress().DepartedCandidate)
@@ -52,10 +52,10 @@
 }
 
 // TestWaitsForRequestsOfUnresponsiveNode checks that a rollout does not complete while
-// requests ran on the old version at a node that does not answer, until the node
-// counts as departed. It guards against counting only the nodes that answered the
-// last collection: if one was late once with a stream running, the rollout
-// completed and the old servers could be stopped under the stream.
+// requests ran on the old version at a node that does not respond, until the node
+// counts as departed. It guards against counting only the nodes that responded to the
+// last collection: if one was late once with a stream running, the rollout completed
+// and the old servers could be stopped under the stream.
 func TestWaitsForRequestsOfUnresponsiveNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newServicePicker(t, `{}`)
@@ -80,7 +80,7 @@
 		must.Eq(t, rollout.VerdictRunning, step(both))
 		must.Eq(t, rollout.VerdictRunning, step(one), must.Sprint("one step missed"))
 		must.Eq(t, rollout.VerdictRunning, step(one), must.Sprint("two steps missed"))
-		must.Eq(t, rollout.VerdictRunning, step(both), must.Sprint("answers again"))
+		must.Eq(t, rollout.VerdictRunning, step(both), must.Sprint("responds again"))
 		must.Eq(t, rollout.VerdictRunning, step(one), must.Sprint("one step missed again"))
 		must.Eq(t, rollout.VerdictRunning, step(one), must.Sprint("two steps missed again"))
 		must.Eq(t, rollout.VerdictComplete, step(one), must.Sprint("departed"))
@@ -88,7 +88,7 @@
 }
 
 // TestStickySessionsOfUnresponsiveNode checks that active sessions are sticky even if
-// their node does not answer in the step that sets the first stage's share.
+// their node does not respond in the step that sets the first stage's share.
 func TestStickySessionsOfUnresponsiveNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		picker := rollout.NewPicker()
--- a/rollout/node_counts.go
+++ b/rollout/node_counts.go
@@ -1,17 +1,18 @@
 package rollout
 
-// departedAfterSteps is the number of consecutive steps without an answer after
+// departedAfterSteps is the number of consecutive steps without a response after
 // which a node counts as departed.
 const departedAfterSteps = 3
 
 // nodeCounts holds the counts that the driver has collected from the nodes.
 type nodeCounts struct {
 	// reported holds the last counts of each node that has not departed, and
-	// missedSteps the number of consecutive steps that it has not answered since.
+	// missedSteps the number of consecutive steps in which it has not responded
+	// since.
 	reported    map[string]Counts
 	missedSteps map[string]int
 	// stored holds the counts of departed nodes that are part of the stored
-	// progress. They are subtracted if such a node answers again.
+	// progress. They are subtracted if such a node responds again.
 	stored map[string]Counts
 }
 
@@ -19,7 +20,7 @@
 	return &nodeCounts{reported: make(map[string]Counts), missedSteps: make(map[string]int), stored: make(map[string]Counts)}
 }
 
-// update records the counts of the nodes that answered in a step.
+// update records the counts of the nodes that responded in a step.
 func (n *nodeCounts) update(latest map[string]Counts) {
 	for node := range n.reported {
 		n.missedSteps[node]++
@@ -45,7 +46,8 @@
 }
 
 // running returns the number of running requests of a count key. A node that did
-// not answer is included with its last count, because it may only have been late.
+// not respond is included with its last count, because it may only have been
+// late.
 func (n *nodeCounts) running(key string) int64 {
 	running := int64(0)
 	for node, counts := range n.reported {
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -3,8 +3,9 @@
 //
 // The progress of all rollouts is a shared document on the platform, so that
 // another node can resume an interrupted rollout. Every node picks versions
-// according to the stages it knows and counts the good and bad answers of each
-// version. The node that holds the driver's lease collects the counts of all
+// according to the stages that it has received and counts the good and bad
+// answers of each version: those of a model, or the responses of the servers of
+// a service. The node that holds the driver's lease collects the counts of all
 // nodes and then advances or stops each rollout. The counts of nodes that have
 // left are kept in the shared document.
 //
@@ -64,7 +65,7 @@
 	Evidence float64 `json:"evidence"`
 	Samples  int64   `json:"samples"`
 	// Share is the traffic share of a stage that is sized by the request rate
-	// (config.Stage.WantSamples); zero until the rate is known.
+	// (config.Stage.TargetSamples); zero until the rate is known.
 	Share float64 `json:"share,omitempty"`
 	// StickySessions holds the encoded hashes of the sessions that were active
 	// when the share was set. They stay on the version in service during that
--- a/rollout/service.go
+++ b/rollout/service.go
@@ -28,12 +28,12 @@
 	// requires sessions to stay on the old version during the first half; the
 	// excess is a margin for a driver that received the order late.
 	firstStageFraction = 0.52
-	// firstStageWantSamples is the number of answers of the target that the first
-	// stage is sized for. With it, two servers carry more than their final load
-	// for the whole stage. More answers would use up too much of what a bad
+	// firstStageTargetSamples is the number of responses of the target that the
+	// first stage is sized for. With it, two servers carry more than their final
+	// load for the whole stage. More responses would use up too much of what a bad
 	// version may receive in all stages.
-	firstStageWantSamples = 220
-	// firstStageMinSamples is the number of answers of the target that the first
+	firstStageTargetSamples = 220
+	// firstStageMinSamples is the number of responses of the target that the first
 	// stage needs. Services with few requests give no more in half a period.
 	firstStageMinSamples = 5
 	// secondStageShare is an intermediate share, so that a version that fails under
@@ -48,7 +48,7 @@
 	lastStageFraction = 0.08
 	// targetLoadFactor is the load of each target server during a stage, as a
 	// multiple of its final load. It makes up for the variation of load over time:
-	// a version that fails only under load failed none of 320 answers when load
+	// a version that fails only under load failed none of 320 responses when load
 	// was low and one in twenty when it was high (deploy/days/bad-under-load.toml).
 	targetLoadFactor = 1.6
 	// maxLoadFactor limits the load of each target server, as a multiple of its
@@ -64,14 +64,15 @@
 )
 
 // serviceGuards stop a version if its failure rate is 0.1 higher than in service,
-// which few answers show, or 0.005 higher, which takes many answers, or if its
-// rate of slow answers is 0.3 higher than in service, where the rate in service
-// counts as at least 0.125. Each test may stop one good version in a hundred.
+// which few responses suffice to show, or 0.005 higher, which takes many, or if
+// its rate of slow responses is 0.3 higher than in service, where the rate in
+// service counts as at least 0.125. Each test may stop one good version in a
+// hundred.
 //
-// A version that failed only under load failed 23 of 1,860 answers
-// (deploy/days/bad-under-load.toml). Of the answers of good versions up to 15 in
+// A version that failed only under load failed 23 of 1,860 responses
+// (deploy/days/bad-under-load.toml). Of the responses of good versions up to 15 in
 // 100 were slow, since the prompt caches of their servers were empty; of a slow
-// version's answers half were slow.
+// version's responses half were slow.
 var serviceGuards = config.Guards{
 	MaxBadIncrease: 0.1, StrictBadIncrease: 0.005, MaxSlowIncrease: 0.3, MinSlowBaseline: 0.125, FalseAlarmRate: 0.01,
 }
@@ -90,17 +91,18 @@
 	models map[string]config.Model
 }
 
-// Sample describes one answer of a server as evidence on its version.
+// Sample describes one response of a server, which counts for or against its
+// version.
 type Sample struct {
 	// Kind groups requests that usually take about the same time.
 	Kind string
-	// Failed means that the server itself answered with a failure. Server crashes
-	// and lost answers are no evidence on the version and are not counted.
+	// Failed means that the server itself responded with a failure. Server crashes
+	// and lost responses do not count for or against the version.
 	Failed bool
-	// Wait is the time until the answer began. Expected is that time on an
+	// Wait is the time until the response began. Expected is that time on an
 	// otherwise idle server, or zero if it is not known.
 	Wait, Expected time.Duration
-	// Late means that no answer had begun when the request was moved to another
+	// Late means that no response had begun when the request was moved to another
 	// server.
 	Late bool
 	// Objective is the route's objective for Wait, or zero if it has none. It is
@@ -132,7 +134,7 @@
 		Rollout: &config.Rollout{
 			Version: o.Target,
 			Stages: []config.Stage{
-				{Share: s.firstStageShare, MinSamples: firstStageMinSamples, TargetSamples: firstStageWantSamples, MinSeconds: firstStageFraction * o.Period.Seconds()},
+				{Share: s.firstStageShare, MinSamples: firstStageMinSamples, TargetSamples: firstStageTargetSamples, MinSeconds: firstStageFraction * o.Period.Seconds()},
 				{Share: secondStageShare, MinSeconds: secondStageFraction * o.Period.Seconds()},
 				{Share: 1, MinSeconds: max(lastStageMinSeconds, lastStageFraction*o.Period.Seconds())},
 			},
@@ -162,11 +164,11 @@
 }
 
 // Choose returns the servers that may get a request and the version name under
-// which their answers are counted, or "" if the service has no order or no version
-// can be picked. The key is the request's session, or else its ID; its hash is
-// compared with the stage's share. previous is the version name of an earlier
-// attempt of the request, if any: the request stays on that version unless the
-// rollout was stopped or the version has no servers.
+// which their responses are counted, or "" if the service has no order or no
+// version can be picked. The key is the request's session, or else its ID; its
+// hash is compared with the stage's share. previous is the version name of an
+// earlier attempt of the request, if any: the request stays on that version unless
+// the rollout was stopped or the version has no servers.
 func (s *ServicePicker) Choose(service, key, previous string, servers []registry.Server) ([]registry.Server, string) {
 	s.mu.Lock()
 	m, ordered := s.models[service]
@@ -261,13 +263,13 @@
 	return chosen
 }
 
-// Count records one answer as evidence on a version name returned by Choose.
-func (s *ServicePicker) Count(service, version string, a Sample) {
-	slow := a.Late || s.baseline.isSlow(a)
-	if version == inServiceVersion && !a.Failed && !a.Late {
-		s.baseline.observe(a.Kind, a.Wait)
+// Count records a sample under a version name that Choose returned.
+func (s *ServicePicker) Count(service, version string, sample Sample) {
+	slow := sample.Late || s.baseline.isSlow(sample)
+	if version == inServiceVersion && !sample.Failed && !sample.Late {
+		s.baseline.observe(sample.Kind, sample.Wait)
 	}
-	s.picker.count(service, version, a.Failed, slow)
+	s.picker.count(service, version, sample.Failed, slow)
 }
 
 // stopped reports whether the rollout of the target was stopped.
--- a/rollout/service_driver_test.go
+++ b/rollout/service_driver_test.go
@@ -65,7 +65,7 @@
 }
 
 // TestLateAnswersStopVersion checks that a version is stopped if its requests are
-// moved to other servers before their answers could be counted as slow.
+// moved to other servers before their responses could be counted as slow.
 func TestLateAnswersStopVersion(t *testing.T) {
 	p := stepWithCounts(t, func(s *rollout.ServicePicker) {
 		for i := range 300 {
@@ -76,12 +76,13 @@
 	must.Eq(t, rollout.VerdictStopped, p.Verdict)
 }
 
-// TestSlowAnswersStopVersion checks that answers that take several times as long as in
-// service stop the target, and that answers that are slow in both versions do not.
+// TestSlowAnswersStopVersion checks that responses that take several times as long as
+// in service stop the target, and that responses that are slow in both versions do
+// not.
 func TestSlowAnswersStopVersion(t *testing.T) {
 	tests := []struct {
 		name string
-		// wait is the wait of every second answer of the target, as a multiple of
+		// wait is the wait of every second response of the target, as a multiple of
 		// that in service.
 		wait time.Duration
 		want rollout.Verdict
@@ -115,7 +116,7 @@
 	}
 }
 
-// TestFineBadIncrease checks that a few failures in many answers stop the target if
+// TestFineBadIncrease checks that a few failures in many responses stop the target if
 // the version in service never fails, but not if it fails as often.
 func TestFineBadIncrease(t *testing.T) {
 	for _, tt := range []struct {
--- a/rollout/service_test.go
+++ b/rollout/service_test.go
@@ -207,7 +207,7 @@
 	}
 }
 
-// TestSlowRelativeToExpectedWait checks that an answer is compared with the wait
+// TestSlowRelativeToExpectedWait checks that a response is compared with the wait
 // expected for its size if that exceeds the baseline of its kind.
 func TestSlowRelativeToExpectedWait(t *testing.T) {
 	picker := rollout.NewPicker()
@@ -226,7 +226,7 @@
 	must.Eq(t, 2, picker.Counts()["s@v2"].Slow)
 }
 
-// TestSlowWithoutBaseline checks that a node without a baseline compares answers with
+// TestSlowWithoutBaseline checks that a node without a baseline compares responses with
 // their objective.
 func TestSlowWithoutBaseline(t *testing.T) {
 	picker := rollout.NewPicker()
