--- a/mirror/event.go
+++ b/mirror/event.go
@@ -10,16 +10,16 @@
 const (
 	// EventPoll is a poll of the store because the copy had grown old.
 	EventPoll Event = iota // look
-	// EventPollFailed is a poll that the store did not answer.
+	// EventPollFailed is a poll to which the store did not respond.
 	EventPollFailed // look_in_vain
-	// EventUpstreamSilent is an upstream that did not answer and is skipped.
+	// EventUpstreamSilent is an upstream that did not respond and is skipped.
 	EventUpstreamSilent
 	// EventUpstreamStale is an upstream that is skipped since its data is stale, while
 	// this node's own is not.
 	EventUpstreamStale // upstream_old
-	// EventStoreLost and EventStoreBack are the first call that the store did not
-	// answer, and the first one after it that the store, or an upstream that reaches
-	// it, did answer.
+	// EventStoreLost and EventStoreBack are the first call to which the store did not
+	// respond, and the first one after it to which the store, or an upstream that
+	// reaches it, responded.
 	EventStoreLost
 	EventStoreBack
 	// EventOutage is the arrival of fresh data after an outage of the store in which
--- a/mirror/follow.go
+++ b/mirror/follow.go
@@ -18,34 +18,35 @@
 	// has silently broken is noticed after it. Only few nodes watch, so a short wait
 	// costs little.
 	watchWait = 600 * time.Millisecond
-	// watchSlack is how late the store may answer a watch that ran out, and how long an
-	// answer that has begun may pause; the store answers in 4 ms.
+	// watchSlack is how late the store may respond to a watch whose wait is over, and
+	// how long a response that has begun may pause; the store responds in 4 ms.
 	watchSlack = 300 * time.Millisecond
 	// peerWait is how long the upstream holds a call without changes.
 	peerWait = 500 * time.Millisecond
 	// skipTime is how long an upstream is skipped. The entry of one that has lost power
-	// is gone by then, or soon after.
+	// is removed by then, or soon after.
 	skipTime = 3 * time.Second
-	// retryPause lies between two calls to a failing store by a node that has an
+	// retryPause is the time between two calls to a failing store by a node that has an
 	// upstream, so that not all nodes call at once in an outage.
 	retryPause = time.Second
-	// coalesceTime lies between two watches, so that one call fetches changes that come
-	// close together. 300 ms halved the number of calls.
+	// coalesceTime is the time between two watches, so that one call fetches changes
+	// that come close together. 300 ms halved the number of calls.
 	coalesceTime = 250 * time.Millisecond
 	// readTimeout is how long a snapshot may take until its first bytes arrive.
 	readTimeout = 2 * time.Second
-	// transferTimeout bounds an answer that keeps arriving. A large declaration takes
+	// transferTimeout bounds a response that keeps arriving. A large declaration takes
 	// longer than a call without changes may, and an aborted transfer would be repeated
 	// over the same link. After this time the next upstream is the better choice, since
 	// a change has to be in force within 2 to 4 s.
 	transferTimeout = 2 * time.Second
 	// startupPeerDelay is how long a node that starts waits for the store before it
-	// queries peers, too. The store answers a page in 4 ms.
+	// queries peers, too. The store responds with a page in 4 ms.
 	startupPeerDelay = 60 * time.Millisecond
-	// peerInterval lies between two queries of peers while the store is unreachable.
+	// peerInterval is the time between two queries of peers while the store is
+	// unreachable.
 	peerInterval = 300 * time.Millisecond
-	// peerTimeout is how late a peer may answer, beyond the time that it was asked to
-	// wait, and how long an answer that has begun may pause.
+	// peerTimeout is how late a peer may respond, beyond the time that it was asked to
+	// wait, and how long a response that has begun may pause.
 	peerTimeout = 300 * time.Millisecond
 	// peersQueried is the number of peers that are queried at once, so that a silent
 	// one causes no delay.
@@ -87,8 +88,8 @@
 	m.lastUpstream = ""
 }
 
-// followStore makes one round of calls to the store. If it does not answer, peers are
-// queried, which may know more.
+// followStore makes one round of calls to the store. If it does not respond, peers are
+// queried, which may have newer data.
 func (m *Mirror) followStore(ctx context.Context) {
 	err := m.fetchNext(ctx)
 	if err == nil {
@@ -107,12 +108,12 @@
 	}
 }
 
-// followPeer takes one answer of an upstream. If a long poll runs out of time, it is
+// followPeer takes one response of an upstream. If a long poll runs out of time, it is
 // repeated once without waiting: the open connection may be dead while a new one works.
 func (m *Mirror) followPeer(ctx context.Context, address string) {
 	wait := peerWait
 	if m.lastUpstream != address {
-		wait = 0 // shows at once whether a new upstream answers at all
+		wait = 0 // shows at once whether a new upstream responds at all
 	}
 	batch, err := m.callPeer(ctx, address, wait)
 	if wait > 0 && errors.Is(err, context.DeadlineExceeded) {
@@ -123,7 +124,7 @@
 	}
 	if err != nil {
 		m.count(EventUpstreamSilent)
-		slog.Info("upstream did not answer; skipping it", "peer", address, "age_ms", m.Age().Milliseconds(), "error", err)
+		slog.Info("upstream did not respond; skipping it", "peer", address, "age_ms", m.Age().Milliseconds(), "error", err)
 		m.skipUpstream(address)
 		if m.Age() > pollAge {
 			m.queryPeers(ctx) // several upstreams may be down, each found out in turn
@@ -163,7 +164,7 @@
 const maxReportedAge = 24 * time.Hour
 
 // longPollBounds returns the bounds of a call that the other side may hold for wait,
-// and whose answer may be late or pause by the slack.
+// and whose response may be late or pause by the slack.
 func longPollBounds(wait, slack time.Duration) progress.Timeouts {
 	return progress.Timeouts{FirstByte: wait + slack, Idle: slack, Total: wait + transferTimeout}
 }
@@ -224,7 +225,7 @@
 		batch, err = m.watch(ctx, after, 0)
 	}
 	if errorx.IsOfType(err, HistoryGone) {
-		slog.Info("history of the store is gone; reading a snapshot", "after", after)
+		slog.Info("store no longer keeps the changes after this revision; reading a snapshot", "after", after)
 		return m.readAll(ctx)
 	}
 	if err != nil {
@@ -234,9 +235,9 @@
 	return nil
 }
 
-// watch asks the store for changes and lets it wait that long for some. An answer that
-// took longer than that was in transit, or lay unread in this process, so that time
-// counts as its age.
+// watch asks the store for changes and lets it wait that long for some. A response that
+// took longer than that was in transit, or waited unread in this process, so the time
+// beyond the wait counts as its age.
 func (m *Mirror) watch(ctx context.Context, after int64, wait time.Duration) (Batch, error) {
 	batch, took, err := m.callWithBounds(ctx, longPollBounds(wait, watchSlack), func(ctx context.Context) (Batch, error) {
 		return m.store.Follow(ctx, after, wait)
@@ -265,10 +266,10 @@
 	return nil
 }
 
-// queryPeersAfterDelay queries peers unless an answer of the store has begun by then in
-// the read of the snapshot that is under way. Many nodes that start at once share the
-// link of the store, and snapshots from peers would also fill the links of the few
-// peers whose addresses a node starts with.
+// queryPeersAfterDelay queries peers unless a response of the store has begun by then
+// in the current read of the snapshot. Many nodes that start at once share the link of
+// the store, and snapshots from peers would also fill the links of the few peers whose
+// addresses a node starts with.
 func (m *Mirror) queryPeersAfterDelay(read context.Context) {
 	m.pause(read, startupPeerDelay)
 	if m.Revision() == 0 && read.Err() == nil && !progress.Started(read) {
@@ -276,7 +277,7 @@
 	}
 }
 
-// queryPeers takes what the first peers know.
+// queryPeers fetches newer data from the first peers.
 func (m *Mirror) queryPeers(ctx context.Context) {
 	addresses := m.peers.Addresses()
 	ctx, cancel := progress.WithTimeout(ctx, progress.Timeouts{FirstByte: peerTimeout, Idle: peerTimeout, Total: transferTimeout})
@@ -286,7 +287,7 @@
 		calls.Go(func() {
 			batch, err := m.callPeer(ctx, address, 0)
 			if err != nil {
-				slog.Debug("peer did not answer", "peer", address, "error", err)
+				slog.Debug("peer did not respond", "peer", address, "error", err)
 				return
 			}
 			m.accept(batch)
@@ -298,8 +299,8 @@
 // minOutage is the time without fresh data from which an outage of the store is
 // assumed, if a call to the store also failed in that time. Entries expire in an
 // outage, after three heartbeats of a second or more. If no call to the store failed,
-// an upstream was down or this process did not run, and what is gone from the store is
-// really gone.
+// an upstream was down or this process did not run, and entries that are missing from
+// the store have really been deleted.
 const minOutage = 2 * time.Second
 
 // accept takes a batch. If it is the first fresh one after an outage, the callbacks of
@@ -323,14 +324,14 @@
 }
 
 // isUnreachable reports whether a call to the store failed, and neither the store nor
-// an upstream that reaches it has answered since.
+// an upstream that reaches it has responded since.
 func (m *Mirror) isUnreachable() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.unreachable
 }
 
-// markStoreUnreachable records that the store did not answer.
+// markStoreUnreachable records that the store did not respond.
 func (m *Mirror) markStoreUnreachable(err error) {
 	m.mu.Lock()
 	before := m.unreachable
@@ -345,7 +346,7 @@
 }
 
 // markStoreReachable records that the store, or an upstream that reaches it, has
-// answered.
+// responded.
 func (m *Mirror) markStoreReachable() {
 	m.mu.Lock()
 	before := m.unreachable
--- a/mirror/fresh.go
+++ b/mirror/fresh.go
@@ -7,27 +7,27 @@
 
 const (
 	// pollAge is the age of the copy from which a node polls the store itself, whatever
-	// its upstream does. In normal operation data that comes by way of an upstream is
-	// younger: the wait of the upstream's watch, the pause after it, and pollSlack.
+	// its upstream does. In normal operation, data from an upstream is younger than the
+	// sum of the wait of the upstream's watch, the pause after it, and pollSlack.
 	pollAge = watchWait + coalesceTime + pollSlack
 	// pollSlack is the delay in transit and processing that pollAge allows for.
 	pollSlack = 250 * time.Millisecond
-	// pollRetry lies between two polls while the store does not answer. It is
+	// pollRetry is the time between two polls while the store does not respond. It is
 	// multiplied by the number of upstreams, which poll as well, since in an outage
-	// each call costs money and brings nothing, up to pollRetryMax: a node that is the
+	// each call costs money and is of no use, up to pollRetryMax: a node that is the
 	// only one to reach the store again must have caught up within the 3 s after which
 	// it is expected to be up to date, and the 2 s that a change may take.
 	pollRetry    = 1500 * time.Millisecond
 	pollRetryMax = 4 * time.Second
 	// staleAge is the age from which a node does not use its copy for decisions, unless
-	// the store did not answer it. A poll has brought an answer by then, even over a
-	// dead connection, unless this process did not run.
+	// the store did not respond. A poll has had its response by then, even over a dead
+	// connection, unless this process did not run.
 	staleAge = pollAge + 2*watchSlack
 )
 
-// MaxStaleness is the greatest age of the copy by which requests are decided while the
-// store answers. At a node that reaches the store, a change is in force at most that
-// much later than the store took it, plus the time of one call.
+// MaxStaleness is the greatest age of the copy that is used for decisions on requests
+// while the store responds. At a node that reaches the store, a change takes effect at
+// most that long after the store accepted it, plus the time of one call.
 const MaxStaleness = staleAge
 
 // keepFresh polls the store whenever the copy has grown old, until the context ends.
@@ -63,7 +63,7 @@
 }
 
 // NeedsRefresh reports whether the copy is too old to use although the store may have
-// newer data. It is false while the store does not answer: no node has better data
+// newer data. It is false while the store does not respond: no node has better data
 // then, and the old copy is used. It is also false before the first data.
 func (m *Mirror) NeedsRefresh() bool {
 	m.mu.Lock()
@@ -125,8 +125,8 @@
 	return min(pollAge, due.Sub(m.timers.Steady()))
 }
 
-// notePollFailure records that the store did not answer a poll, and schedules the next
-// one.
+// notePollFailure records that the store did not respond to a poll, and schedules the
+// next one.
 func (m *Mirror) notePollFailure(err error) {
 	m.count(EventPollFailed)
 	upstreams := len(m.peers.Upstream())
--- a/mirror/hall_test.go
+++ b/mirror/hall_test.go
@@ -40,7 +40,7 @@
 
 // TestLostUpstreamIsNoOutage: nodes lose their upstreams while the store works. A node
 // that takes this for an outage of the store, in which servers cannot renew their
-// entries, keeps servers that are really gone for another 2 s and sends requests to
+// entries, keeps servers that have really ended for another 2 s and sends requests to
 // them. Only an interval in which the node's own call to the store failed counts as an
 // outage.
 func TestLostUpstreamIsNoOutage(t *testing.T) {
@@ -55,7 +55,7 @@
 
 // TestStalledProcess: a process does not run for 3 s while the store works, and then
 // finds that its calls have timed out. If it takes this for an outage of the store, it
-// keeps servers that are really gone for another 2 s. A call that exceeds its bounds is
+// keeps servers that have really ended for another 2 s. A call that exceeds its bounds is
 // attributed to this process and says nothing about the store.
 func TestStalledProcess(t *testing.T) {
 	const stalled = 5
@@ -73,7 +73,7 @@
 }
 
 // TestAwaitRefresh: a process that runs again after 3 s must not use its old copy, and
-// has a fresh one as soon as the store has answered. While the store does not answer,
+// has a fresh one as soon as the store has responded. While the store does not respond,
 // an old copy is no reason to wait.
 func TestAwaitRefresh(t *testing.T) {
 	const stalled = 5
@@ -101,9 +101,9 @@
 	})
 }
 
-// TestDelayedAnswer: an answer lies in the socket of a process that does not run for 3
-// s. If its age counted from the moment of reading, the node would believe its data to
-// be 3 s younger than it is. The age must be one that can be proved: the answer was
+// TestDelayedAnswer: a response stays unread in the socket of a process that does not run
+// for 3 s. If its age counted from the moment of reading, the node would believe its data
+// to be 3 s younger than it is. The age must be one that can be proved: the response was
 // made no earlier than the start of the call, plus the time for which its sender says
 // that it held the call.
 func TestDelayedAnswer(t *testing.T) {
@@ -120,12 +120,13 @@
 					go upstream.Run(ctx)
 					p.mirrors, p.upstream = []*mirror.Mirror{upstream}, []string{"0"}
 				}
-				answers := &delayedAnswers{}
-				m := mirror.New(delayedStore{own, answers}, delayedPeers{p, answers}, timers)
+				responses := &delayedResponses{}
+				m := mirror.New(delayedStore{own, responses}, delayedPeers{p, responses}, timers)
 				go m.Run(ctx)
 				advance(time.Second)
-				// Answers under way are delayed from now on; later calls fail.
-				answers.delay(late)
+				// Responses to calls in progress are delayed from now on; later calls
+				// fail.
+				responses.delay(late)
 				advance(late + time.Millisecond)
 				must.Greater(t, late-propagationLimit/2, m.Age())
 			})
@@ -133,19 +134,19 @@
 	}
 }
 
-// delayedAnswers delays the answers to calls that are under way, and fails later calls.
-type delayedAnswers struct {
+// delayedResponses delays the responses to calls in progress, and fails later calls.
+type delayedResponses struct {
 	mu    sync.Mutex
 	until time.Time
 }
 
-func (h *delayedAnswers) delay(d time.Duration) {
+func (h *delayedResponses) delay(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.until = time.Now().Add(d)
 }
 
-func (h *delayedAnswers) call(do func() (mirror.Batch, error)) (mirror.Batch, error) {
+func (h *delayedResponses) call(do func() (mirror.Batch, error)) (mirror.Batch, error) {
 	h.mu.Lock()
 	delayed := !h.until.IsZero()
 	h.mu.Unlock()
@@ -160,33 +161,33 @@
 	return b, err
 }
 
-// delayedStore is a store whose answers are delayed.
+// delayedStore is a store whose responses are delayed.
 type delayedStore struct {
 	mirror.Store
-	answers *delayedAnswers
+	responses *delayedResponses
 }
 
 func (s delayedStore) ReadAll(ctx context.Context) (mirror.Batch, error) {
-	return s.answers.call(func() (mirror.Batch, error) { return s.Store.ReadAll(ctx) })
+	return s.responses.call(func() (mirror.Batch, error) { return s.Store.ReadAll(ctx) })
 }
 
 func (s delayedStore) Follow(ctx context.Context, after int64, wait time.Duration) (mirror.Batch, error) {
-	return s.answers.call(func() (mirror.Batch, error) { return s.Store.Follow(ctx, after, wait) })
+	return s.responses.call(func() (mirror.Batch, error) { return s.Store.Follow(ctx, after, wait) })
 }
 
-// delayedPeers are peers whose answers are delayed.
+// delayedPeers are peers whose responses are delayed.
 type delayedPeers struct {
 	mirror.Peers
-	answers *delayedAnswers
+	responses *delayedResponses
 }
 
 func (p delayedPeers) Follow(ctx context.Context, address string, after int64, wait time.Duration) (mirror.Batch, error) {
-	return p.answers.call(func() (mirror.Batch, error) { return p.Peers.Follow(ctx, address, after, wait) })
+	return p.responses.call(func() (mirror.Batch, error) { return p.Peers.Follow(ctx, address, after, wait) })
 }
 
 // TestCallsInOutage: in an outage, each node calls the store once to notice it; after
-// that a data hall of 30 nodes makes at most ten calls a second, since they bring
-// nothing. All nodes are up to date soon after the store has recovered.
+// that a data hall of 30 nodes makes at most ten calls a second, since they are of no
+// use. All nodes are up to date soon after the store has recovered.
 func TestCallsInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 30
@@ -226,7 +227,7 @@
 	nodes  []*mirror.Mirror
 
 	mu sync.Mutex
-	// down holds the nodes that neither answer nor reach anything, cutOff those that do
+	// down holds the nodes that neither respond nor reach anything, cutOff those that do
 	// not reach the store, partitioned those that do not reach other nodes, and
 	// deregistered those whose entries have expired.
 	down, cutOff, partitioned, deregistered map[int]bool
@@ -293,9 +294,9 @@
 	return h.frozen[i] != nil
 }
 
-// call makes a call on behalf of a node. A call made while its process is frozen is
-// sent after the thaw, unless its context has ended by then; the answer to one made
-// before the freeze is returned after the thaw.
+// call makes a call on behalf of a node. A call made while its process is frozen is sent
+// after the thaw, unless its context has ended by then; the response to one made before
+// the freeze is returned after the thaw.
 func (h *hall) call(ctx context.Context, i int, call func() (mirror.Batch, error)) (mirror.Batch, error) {
 	h.awaitThaw(i)
 	if ctx.Err() != nil {
@@ -362,7 +363,7 @@
 	return s.h.call(ctx, s.i, func() (mirror.Batch, error) { return s.h.store.Follow(ctx, after, wait) })
 }
 
-// hallPeers are the other nodes as node i knows them.
+// hallPeers are the other nodes as node i reaches them.
 type hallPeers struct {
 	h *hall
 	i int
--- a/mirror/harness_test.go
+++ b/mirror/harness_test.go
@@ -33,11 +33,11 @@
 	follows      int
 }
 
-// chunkTime lies between two chunks of an answer.
+// chunkTime is the time between two chunks of a response.
 const chunkTime = 20 * time.Millisecond
 
 // connection is a persistent connection to one address. Once it is silent, calls on it
-// get no answer; after the first of them has timed out, calls use a new connection.
+// get no response; after the first of them has timed out, calls use a new connection.
 type connection struct {
 	mu sync.Mutex
 	// silences counts how often the current connection went silent, abandoned how many
--- a/mirror/mirror.go
+++ b/mirror/mirror.go
@@ -2,20 +2,20 @@
 // request has to wait for a call to the store.
 //
 // The store counts its changes with a single revision number, so one number describes
-// what a node knows: all changes up to that revision. A batch with a lower revision
-// never replaces a copy with a higher one.
+// the state of a copy: it contains all changes up to that revision. A batch with a
+// lower revision never replaces a copy with a higher one.
 //
 // Every call to the store costs money. In each data hall, therefore, one node follows
 // the store with long polls, and the other nodes follow that node, their upstream, in
-// the same way. Each answer carries its age: the time since the store confirmed it. An
-// upstream that does not answer, or whose data is stale while the node's own is not, is
-// skipped for a while and the next one is followed. A node without any upstream follows
-// the store.
+// the same way. Each response carries its age: the time since the store confirmed it.
+// An upstream that does not respond, or whose data is stale while the node's own is
+// not, is skipped for a while and the next one is followed. A node without any upstream
+// follows the store.
 //
 // Independently of that, a node polls the store itself as soon as its copy is older
 // than [pollAge]. A node that can reach the store therefore learns of a change within
 // that time and the time of one call. During an outage of the store, polls become rarer
-// and nodes take what any peer knows. A node that starts asks the store first, and
+// and nodes take newer data from any peer. A node that starts asks the store first, and
 // peers soon after.
 //
 // # Usage
@@ -26,7 +26,7 @@
 //	go m.Run(ctx)
 //	…
 //	item, ok := m.Get("rollouts")            // from the local copy
-//	batch := m.Await(ctx, revision, wait)    // the answer to a peer
+//	batch := m.Await(ctx, revision, wait)    // the response to a peer
 package mirror
 
 import (
@@ -79,7 +79,7 @@
 	// or, once it has been received, the smallest upper bound that the receiver can
 	// prove.
 	Age time.Duration `cbor:"4,keyasint,omitempty"`
-	// Waited is how long the sender held the call before it answered.
+	// Waited is how long the sender held the call before it responded.
 	Waited time.Duration `cbor:"5,keyasint,omitempty"`
 }
 
@@ -146,16 +146,16 @@
 	recentFrom int64
 	// synced is closed once the first snapshot was delivered to subscribers.
 	synced chan struct{}
-	// changed is closed and replaced when peers that wait are to be answered: the
+	// changed is closed and replaced when waiting peers are to get a response: the
 	// revision has risen, or the store has confirmed it again.
 	changed chan struct{}
 	// asOf is when the store confirmed the copy, directly or by way of a peer;
 	// deliveredAsOf is the same for what was delivered to subscribers.
 	asOf, deliveredAsOf time.Time
-	// notifiedAsOf is the value of asOf when waiting peers were last answered.
+	// notifiedAsOf is the value of asOf when waiting peers last got a response.
 	notifiedAsOf time.Time
-	// unreachable says that the store did not answer, and that since then neither the
-	// store nor an upstream that reaches it has answered.
+	// unreachable says that the store did not respond, and that since then neither the
+	// store nor an upstream that reaches it has responded.
 	unreachable bool
 	// lastFailure is when a call to the store last failed. Without a later failure, an
 	// old copy does not mean that the store is down. nextPoll is the earliest time of
@@ -170,7 +170,7 @@
 	// followsStore says that the goroutine of Run follows the store.
 	followsStore atomic.Bool
 	// lastUpstream and skippedUntil are used by the goroutine of Run only. lastUpstream
-	// is the upstream that answered last; skippedUntil holds by address until when an
+	// is the upstream that responded last; skippedUntil holds by address until when an
 	// upstream is skipped.
 	lastUpstream string
 	skippedUntil map[string]time.Time
@@ -214,7 +214,7 @@
 // called before Run.
 func (m *Mirror) OnStoreRecovered(do func()) { m.onStoreRecovered = append(m.onStoreRecovered, do) }
 
-// Revision returns the revision up to which this node knows all changes.
+// Revision returns the revision up to which this node has all changes.
 func (m *Mirror) Revision() int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -259,7 +259,8 @@
 	return m.timers.Steady().Sub(m.deliveredAsOf)
 }
 
-// ChangesAfter returns what this node knows beyond a revision, as the answer to a peer.
+// ChangesAfter returns the changes after a revision, or a snapshot, as the response to
+// a peer.
 func (m *Mirror) ChangesAfter(after int64) Batch {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -373,7 +374,7 @@
 }
 
 // notifyStep is how much more recent a confirmation without changes must be than the
-// last one for waiting peers to be answered.
+// last one for waiting peers to get a response.
 const notifyStep = 100 * time.Millisecond
 
 // notifyPeers lets the waiting calls of peers return. The caller holds mu.
@@ -389,13 +390,13 @@
 	for _, item := range b.Items {
 		present[item.Key] = true
 	}
-	var gone []Item
+	var deletions []Item
 	for key := range m.items {
 		if !present[key] {
-			gone = append(gone, Item{Key: key, Revision: b.Revision, Deleted: true})
+			deletions = append(deletions, Item{Key: key, Revision: b.Revision, Deleted: true})
 		}
 	}
-	return gone
+	return deletions
 }
 
 // trimRecent bounds the changes that are kept. The changes that led to a snapshot are
--- a/mirror/mirror_test.go
+++ b/mirror/mirror_test.go
@@ -13,8 +13,8 @@
 	"github.com/violettally/violettally/timer"
 )
 
-// TestMirror makes the store fail in several ways between two changes, and checks what
-// a mirror with a healthy peer then knows.
+// TestMirror makes the store fail in several ways between two changes, and checks which
+// changes a mirror with a healthy peer then has.
 func TestMirror(t *testing.T) {
 	tests := []struct {
 		name   string
@@ -155,9 +155,9 @@
 		follows bool
 	}{
 		{"nothing", func(*fakeStore, *peers) {}, true},
-		{"does not answer", func(_ *fakeStore, p *peers) { p.set(errStore) }, false},
+		{"does not respond", func(_ *fakeStore, p *peers) { p.set(errStore) }, false},
 		{"is cut off from the store", func(s *fakeStore, _ *peers) { s.set(errStore, false, false) }, false},
-		{"gets no answer from the store", func(s *fakeStore, _ *peers) { s.set(nil, true, false) }, false},
+		{"gets no response from the store", func(s *fakeStore, _ *peers) { s.set(nil, true, false) }, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -325,7 +325,7 @@
 	})
 }
 
-// TestStartPrefersStore: a node that starts while the store answers does not query
+// TestStartPrefersStore: a node that starts while the store responds does not query
 // peers.
 func TestStartPrefersStore(t *testing.T) {
 	tests := []struct {
--- a/mirror/pages_test.go
+++ b/mirror/pages_test.go
@@ -52,7 +52,7 @@
 	})
 }
 
-// pagedStore answers with a snapshot and, once released, one watch with changes.
+// pagedStore responds with a snapshot and, once released, one watch with changes.
 type pagedStore struct {
 	snapshot, changes mirror.Batch
 
--- a/mirror/schedules_test.go
+++ b/mirror/schedules_test.go
@@ -21,7 +21,7 @@
 	scheduleTime = 25 * time.Second
 	faultGap     = 800 * time.Millisecond
 	faultTime    = 6 * time.Second
-	// changeGap lies between two changes of the store.
+	// changeGap is the time between two changes of the store.
 	changeGap = 150 * time.Millisecond
 	// faultFreeTime is how long a node and the store must have been free of faults for
 	// a change to be checked at that node.
@@ -205,7 +205,7 @@
 }
 
 // TestSkippedUpstreamFollowedAgain: an upstream that was skipped is followed again once
-// it answers.
+// it responds.
 func TestSkippedUpstreamFollowedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHall(t, 12)
