--- a/registry/incarnation.go
+++ b/registry/incarnation.go
@@ -5,8 +5,8 @@
 //go:generate go tool enumer -type=PutResult -trimprefix=PutResult -transform=snake -output=registry_enumer.go
 
 // Incarnation identifies one run of a server process, from its start to its end. A
-// server may restart under the same ID without any of its former state, so whatever is
-// known of a server holds for one incarnation only.
+// server may restart under the same ID without any of its former state, so all state
+// that is kept about a server applies to one incarnation only.
 type Incarnation struct {
 	ID string
 	// Born is when the server started, in Unix milliseconds by the server's own clock;
@@ -19,8 +19,8 @@
 func (s Server) Incarnation() Incarnation { return Incarnation{s.ID, s.Born} }
 
 // Hash returns the hash by which nodes refer to an incarnation in messages. Without a
-// start time it is the hash of the ID alone, as nodes use that do not know
-// incarnations.
+// start time it is the hash of the ID alone, which is also the hash at nodes that do
+// not support incarnations.
 func (i Incarnation) Hash() uint64 {
 	hash := rendezvous.Hash(i.ID)
 	if i.Born != 0 {
@@ -44,6 +44,6 @@
 	// PutResultRestart is the entry of a server that has restarted.
 	PutResultRestart
 	// PutResultOld is the entry of an earlier incarnation than the known one: a write
-	// that was under way when the server ended. It changes nothing.
+	// that was still in progress when the server ended. It changes nothing.
 	PutResultOld
 )
--- a/registry/registry.go
+++ b/registry/registry.go
@@ -40,7 +40,7 @@
 	Service  string
 	Address  string
 	DataHall string
-	// Version is the version of the server's software, which roll-outs replace.
+	// Version is the version of the server's software, which rollouts replace.
 	Version string
 	// Slots is the number of requests that the server runs at once.
 	Slots   int
--- a/registry/registry_test.go
+++ b/registry/registry_test.go
@@ -136,7 +136,8 @@
 }
 
 // TestIncarnationHash: incarnations under one ID have different hashes; one without a
-// start time has the hash of its ID, as nodes use that do not know incarnations.
+// start time has the hash of its ID, which is also the hash at nodes that do not
+// support incarnations.
 func TestIncarnationHash(t *testing.T) {
 	hashes := make(map[uint64]bool)
 	for _, s := range []registry.Incarnation{{ID: "a"}, {ID: "a", Born: 1}, {ID: "a", Born: 2}, {ID: "b", Born: 1}} {
