--- a/admit/admit.go
+++ b/admit/admit.go
@@ -68,7 +68,7 @@
 	maxPatientPerSlot = 256
 	// serviceTimeSmoothing is the weight of one request in meanServiceTime.
 	serviceTimeSmoothing = 0.05
-	// minRetryAfter keeps refused callers from retrying immediately.
+	// minRetryAfter keeps refused clients from retrying immediately.
 	minRetryAfter = 200 * time.Millisecond
 )
 
