--- a/rollout/service_driver_test.go
+++ b/rollout/service_driver_test.go
@@ -65,23 +65,24 @@
 }
 
 // TestLateAnswersStopVersion checks that a version is stopped if its requests are
-// moved to other servers before their answers could be counted as slow.
+// moved to other servers before their responses could be counted as slow.
 func TestLateAnswersStopVersion(t *testing.T) {
 	p := stepWithCounts(t, func(s *rollout.ServicePicker) {
 		for i := range 300 {
-			s.Count("s", "in-service", rollout.Answer{Kind: "look", Wait: 60 * time.Millisecond})
-			s.Count("s", "v2", rollout.Answer{Kind: "look", Wait: 160 * time.Millisecond, Late: i%2 == 0})
+			s.Count("s", "in-service", rollout.Sample{Kind: "look", Wait: 60 * time.Millisecond})
+			s.Count("s", "v2", rollout.Sample{Kind: "look", Wait: 160 * time.Millisecond, Late: i%2 == 0})
 		}
 	})
 	must.Eq(t, rollout.VerdictStopped, p.Verdict)
 }
 
-// TestSlowAnswersStopVersion checks that answers that take several times as long as in
-// service stop the target, and that answers that are slow in both versions do not.
+// TestSlowAnswersStopVersion checks that responses that take several times as long as
+// in service stop the target, and that responses that are slow in both versions do
+// not.
 func TestSlowAnswersStopVersion(t *testing.T) {
 	tests := []struct {
 		name string
-		// wait is the wait of every second answer of the target, as a multiple of
+		// wait is the wait of every second response of the target, as a multiple of
 		// that in service.
 		wait time.Duration
 		want rollout.Verdict
@@ -98,7 +99,7 @@
 					if i%50 == 0 {
 						wait *= 20
 					}
-					s.Count("s", "in-service", rollout.Answer{Kind: "k", Wait: wait})
+					s.Count("s", "in-service", rollout.Sample{Kind: "k", Wait: wait})
 					if i%2 == 0 {
 						wait *= tt.wait
 					}
@@ -106,7 +107,7 @@
 						wait *= 8
 					}
 					if i%5 == 0 {
-						s.Count("s", "v2", rollout.Answer{Kind: "k", Wait: wait})
+						s.Count("s", "v2", rollout.Sample{Kind: "k", Wait: wait})
 					}
 				}
 			})
@@ -115,7 +116,7 @@
 	}
 }
 
-// TestFineBadIncrease checks that a few failures in many answers stop the target if
+// TestFineBadIncrease checks that a few failures in many responses stop the target if
 // the version in service never fails, but not if it fails as often.
 func TestFineBadIncrease(t *testing.T) {
 	for _, tt := range []struct {
--- a/rollout/service_test.go
+++ b/rollout/service_test.go
@@ -207,15 +207,15 @@
 	}
 }
 
-// TestSlowRelativeToExpectedWait checks that an answer is compared with the wait
+// TestSlowRelativeToExpectedWait checks that a response is compared with the wait
 // expected for its size if that exceeds the baseline of its kind.
 func TestSlowRelativeToExpectedWait(t *testing.T) {
 	picker := rollout.NewPicker()
 	s := rollout.NewServicePicker(picker, 0.1)
 	for range 20 {
-		s.Count("s", "in-service", rollout.Answer{Kind: "brief", Wait: 50 * time.Millisecond})
+		s.Count("s", "in-service", rollout.Sample{Kind: "brief", Wait: 50 * time.Millisecond})
 	}
-	for _, a := range []rollout.Answer{
+	for _, a := range []rollout.Sample{
 		{Wait: 700 * time.Millisecond, Expected: 250 * time.Millisecond},
 		{Wait: 700 * time.Millisecond, Expected: 30 * time.Millisecond},
 		{Wait: 1500 * time.Millisecond, Expected: 250 * time.Millisecond},
@@ -226,15 +226,15 @@
 	must.Eq(t, 2, picker.Counts()["s@v2"].Slow)
 }
 
-// TestSlowWithoutBaseline checks that a node without a baseline compares answers with
+// TestSlowWithoutBaseline checks that a node without a baseline compares responses with
 // their objective.
 func TestSlowWithoutBaseline(t *testing.T) {
 	picker := rollout.NewPicker()
 	s := rollout.NewServicePicker(picker, 0.1)
 	for _, wait := range []time.Duration{60, 290, 310, 480} {
-		s.Count("s", "v2", rollout.Answer{Kind: "look", Wait: wait * time.Millisecond, Objective: 300 * time.Millisecond})
+		s.Count("s", "v2", rollout.Sample{Kind: "look", Wait: wait * time.Millisecond, Objective: 300 * time.Millisecond})
 	}
-	s.Count("s", "v2", rollout.Answer{Kind: "look", Wait: time.Minute})
+	s.Count("s", "v2", rollout.Sample{Kind: "look", Wait: time.Minute})
 	must.Eq(t, 2, picker.Counts()["s@v2"].Slow)
 }
 
