--- a/billing/fleet_test.go
+++ b/billing/fleet_test.go
@@ -144,7 +144,7 @@
 		changed:   make(chan struct{}),
 	}
 	p.tracker = billing.NewTracker(p.member, p, p, store{p}, p.timers)
-	p.replica = claim.NewReplica(id, p, p, p.timers, claim.WithFolded(p.tracker.CanDiscard))
+	p.replica = claim.NewReplica(id, p, p, p.timers, claim.WithDiscardCheck(p.tracker.CanDiscard))
 	p.claimer = claim.NewClaimer(p, p)
 	p.journal = ledger.New(id, store{p}, p.tracker, p.timers, func() time.Duration { return foldInterval })
 	p.biller = billing.New(billing.Options{
--- a/claim/claim.go
+++ b/claim/claim.go
@@ -111,11 +111,11 @@
 	State  State  `cbor:"4,keyasint"`
 	// Repeatable says that the work may be taken over when its holder is gone.
 	Repeatable bool `cbor:"5,keyasint"`
-	// Patient says that the work is taken over without waiting for its client
+	// Async says that the work is taken over without waiting for its client
 	// to ask again.
-	Patient bool `cbor:"6,keyasint"`
-	// Body is a digest of the request; it reveals an id used for two requests.
-	Body uint64 `cbor:"7,keyasint"`
+	Async bool `cbor:"6,keyasint"`
+	// Digest is a digest of the request; it reveals an id used for two requests.
+	Digest uint64 `cbor:"7,keyasint"`
 	// Value is the pinned version, the bill, or the request itself if it is
 	// to be taken over.
 	Value []byte `cbor:"8,keyasint"`
@@ -125,8 +125,8 @@
 	Expires time.Time `cbor:"10,keyasint"`
 	// Sequence is the position of a bill in its holder's journal.
 	Sequence int64 `cbor:"11,keyasint"`
-	// Reached says that an earlier attempt under the key may have run.
-	Reached bool `cbor:"13,keyasint"`
+	// MayHaveRun says that an earlier attempt under the key may have run.
+	MayHaveRun bool `cbor:"13,keyasint"`
 	// Rival is the other attempt's claim of a bill in StateUnknown.
 	Rival *Entry `cbor:"14,keyasint,omitempty"`
 	// BestEffort says that the claim only helps to find a response. A replica
@@ -205,8 +205,8 @@
 	// LostBefore is the time before which claims for the key may have been
 	// lost; zero if none were.
 	LostBefore time.Time `cbor:"4,keyasint,omitempty"`
-	// Reached says that an earlier attempt under the key may have run.
-	Reached bool `cbor:"5,keyasint,omitempty"`
+	// MayHaveRun says that an earlier attempt under the key may have run.
+	MayHaveRun bool `cbor:"5,keyasint,omitempty"`
 }
 
 // TransferRequest asks a replica of an earlier epoch for the entries of which
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -68,8 +68,8 @@
 	// LostBefore is the time before which claims for the key may have been
 	// lost; zero if none were.
 	LostBefore time.Time
-	// Reached says that an earlier attempt under the key may have run.
-	Reached bool
+	// MayHaveRun says that an earlier attempt under the key may have run.
+	MayHaveRun bool
 }
 
 // Claim tries to win a key. It asks the replicas in the view's order, so that
@@ -177,7 +177,7 @@
 	if reply.LostBefore.After(v.lostBefore) {
 		v.lostBefore = reply.LostBefore
 	}
-	v.reached = v.reached || reply.Reached
+	v.reached = v.reached || reply.MayHaveRun
 	switch reply.Verdict {
 	case VerdictGranted:
 		v.granted++
@@ -222,7 +222,7 @@
 		v.count(reply, err)
 		if v.granted >= need {
 			c.propagateWin(replicas[len(v.asked):], Request{Epoch: current.Epoch(), Entry: e})
-			return Outcome{Won: true, Token: e.Token, LostBefore: v.lostBefore, Reached: v.reached}, false, nil
+			return Outcome{Won: true, Token: e.Token, LostBefore: v.lostBefore, MayHaveRun: v.reached}, false, nil
 		}
 		other, n := v.leading()
 		if other != nil && (n >= need || !override) {
--- a/claim/replica.go
+++ b/claim/replica.go
@@ -29,9 +29,9 @@
 // WithMemoryLimit bounds the bytes that a replica's entries take, estimated.
 func WithMemoryLimit(bytes int64) ReplicaOption { return func(r *Replica) { r.maxBytes = bytes } }
 
-// WithFolded sets the test for bills that are in the ledger and need not be kept
+// WithDiscardCheck sets the test for bills that are in the ledger and need not be kept
 // any longer.
-func WithFolded(folded func(holder string, sequence int64) bool) ReplicaOption {
+func WithDiscardCheck(folded func(holder string, sequence int64) bool) ReplicaOption {
 	return func(r *Replica) { r.folded = folded }
 }
 
@@ -102,13 +102,13 @@
 		if held.Token != in.Entry.Token || held.State == StateUnknown {
 			reply.Verdict, reply.Entry = VerdictTaken, clone(held)
 		}
-		reply.Reached = held.Reached
+		reply.MayHaveRun = held.MayHaveRun
 		return reply
 	}
 	if held != nil {
-		in.Entry.Reached = held.Reached || held.State == StateFailed
+		in.Entry.MayHaveRun = held.MayHaveRun || held.State == StateFailed
 	}
-	reply.Reached = in.Entry.Reached
+	reply.MayHaveRun = in.Entry.MayHaveRun
 	if _, released := r.released[in.Entry.Token]; released {
 		// The claimer has given up this attempt; the message is late.
 		reply.Verdict = VerdictNotReady
@@ -256,7 +256,7 @@
 	var orphans []Entry
 	now := r.timers.Now()
 	for _, e := range r.entries {
-		if e.Patient && e.State < StateFailed && now.Before(e.Expires) && !responds(e.Holder.ID) {
+		if e.Async && e.State < StateFailed && now.Before(e.Expires) && !responds(e.Holder.ID) {
 			orphans = append(orphans, *clone(e))
 		}
 	}
--- a/claim/replica_test.go
+++ b/claim/replica_test.go
@@ -72,7 +72,7 @@
 	c.replaceMember("a", "north")
 	second := c.claim("second", false)
 	must.True(t, second.Won)
-	must.True(t, second.Reached)
+	must.True(t, second.MayHaveRun)
 	must.False(t, c.claim("third", true).Won)
 }
 
--- a/claim/settle.go
+++ b/claim/settle.go
@@ -104,7 +104,7 @@
 
 func (t *settleTally) outcome(token, winner string) Outcome {
 	if winner == AttemptOf(token) {
-		return Outcome{Won: true, Token: token, LostBefore: t.votes.lostBefore, Reached: t.votes.reached}
+		return Outcome{Won: true, Token: token, LostBefore: t.votes.lostBefore, MayHaveRun: t.votes.reached}
 	}
 	return Outcome{Other: t.entries[winner], OtherWon: true, LostBefore: t.votes.lostBefore}
 }
--- a/claim/transfer.go
+++ b/claim/transfer.go
@@ -260,15 +260,15 @@
 			r.put(key, e)
 		}
 	case held.State == StateFailed:
-		e.Reached = true
+		e.MayHaveRun = true
 		r.put(key, e)
 	case e.State == StateFailed:
-		held.Reached = true
+		held.MayHaveRun = true
 	case sameAttempt(held, &e):
 		// The claimer has given up the earlier round. If the two rounds were
 		// treated as rivals, nobody could win the key, not even their claimer.
 		if Supersedes(e.Token, held.Token) {
-			e.Reached = e.Reached || held.Reached
+			e.MayHaveRun = e.MayHaveRun || held.MayHaveRun
 			r.put(key, e)
 		}
 	case e.Key.Kind == KindBill:
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -276,8 +276,8 @@
 		Token:      token,
 		Holder:     d.Self,
 		Repeatable: r.Repeatable(),
-		Patient:    r.Async,
-		Body:       r.Digest,
+		Async:      r.Async,
+		Digest:     r.Digest,
 		Expires:    d.Timers.Now().Add(d.claimTTL(r)),
 	}
 	if r.Async {
--- a/dispatch/find.go
+++ b/dispatch/find.go
@@ -23,7 +23,7 @@
 		return decodeResponse(e.Response), nil
 	case err == nil:
 		return nil, refuse(ReasonAnswerExpired, RanYes, 0, "the answer is not kept any more")
-	case e.Patient && !d.Holders.Responsive(e.Holder.ID):
+	case e.Async && !d.Holders.Responsive(e.Holder.ID):
 		// Another node will take over the request soon.
 		return answer.NewResponse(e.Token, func() {}), nil
 	default:
--- a/dispatch/join.go
+++ b/dispatch/join.go
@@ -113,7 +113,7 @@
 // startWon starts the run of a claim that was won, unless the ID may have been used before.
 func (d *Dispatcher) startWon(ctx context.Context, r *Request, x *answer.Response, outcome claim.Outcome, e claim.Entry, record *decision.Record) (*answer.Response, bool, *Refusal) {
 	e.Token = outcome.Token
-	r.mayHaveRun = r.mayHaveRun || outcome.Reached
+	r.mayHaveRun = r.mayHaveRun || outcome.MayHaveRun
 	refusal := d.checkAge(r)
 	if refusal == nil {
 		refusal = d.checkClaimLoss(r, outcome.LostBefore)
@@ -178,7 +178,7 @@
 	switch {
 	case other.State == claim.StateUnknown:
 		return joinResult{refusal: refuse(ReasonOutcomeUnknown, RanUnknown, 0, "two claims of this id survived; which one ran is not known")}
-	case other.Body != r.Digest:
+	case other.Digest != r.Digest:
 		return joinResult{refusal: refuse(ReasonIDReused, RanNo, 0, "the id was used for another request")}
 	}
 	x, found, ran, err := d.Holders.Attach(ctx, other.Holder, claim.AttemptOf(other.Token))
--- a/member/member.go
+++ b/member/member.go
@@ -55,10 +55,10 @@
 	Peer      string           `cbor:"2,keyasint"`
 	Updates   []Update         `cbor:"3,keyasint"`
 	Revisions map[string]int64 `cbor:"4,keyasint"`
-	// Folded is the sequence number up to which the bills of the sender's
+	// DurableSequence is the sequence number up to which the bills of the sender's
 	// journal are stored elsewhere, see package ledger.
-	Folded  int64  `cbor:"5,keyasint"`
-	Journal string `cbor:"6,keyasint"`
+	DurableSequence int64  `cbor:"5,keyasint"`
+	Journal         string `cbor:"6,keyasint"`
 }
 
 // Transport sends probes.
--- a/node/node.go
+++ b/node/node.go
@@ -165,7 +165,7 @@
 func (n *Node) initClaims() {
 	s := n.settings
 	n.billTracker = billing.NewTracker(n.self, viewMembers{n.viewManager, n.prober}, n.client, n.store, n.timers)
-	n.replica = claim.NewReplica(n.self.ID, n.viewManager, n.client, n.timers, claim.WithFolded(n.billTracker.CanDiscard))
+	n.replica = claim.NewReplica(n.self.ID, n.viewManager, n.client, n.timers, claim.WithDiscardCheck(n.billTracker.CanDiscard))
 	n.claimer = claim.NewClaimer(n.viewManager, n.client, claim.WithVerdictCounter(n.metrics.ClaimVerdict))
 	n.viewManager.Subscribe(n.replica.SetView)
 	n.journal = ledger.New(n.self.ID, n.store, n.billTracker, n.timers, n.foldInterval)
--- a/node/peers.go
+++ b/node/peers.go
@@ -35,11 +35,11 @@
 
 func (n *Node) fillHeartbeat(h *member.Heartbeat) {
 	h.Revisions = n.replicator.Revisions()
-	h.Journal, h.Folded = n.journal.Name(), n.journal.DurableSequence()
+	h.Journal, h.DurableSequence = n.journal.Name(), n.journal.DurableSequence()
 }
 
 func (n *Node) observeHeartbeat(h member.Heartbeat) {
-	n.billTracker.RecordHeartbeat(h.Journal, h.Folded)
+	n.billTracker.RecordHeartbeat(h.Journal, h.DurableSequence)
 	n.replicator.HandleRevisions(h.Peer, h.Revisions)
 }
 
