--- a/claim/claim.go
+++ b/claim/claim.go
@@ -6,12 +6,12 @@
 // The view names three replicas for a key, in three data halls. Each replica
 // writes a claim once. A claim granted by two of three replicas is won, and at
 // most one claim of a key can be won. There is no leader and no election: if
-// the votes are split, nobody runs, and the refusal "not run" is true. A
+// the votes are split, no claimer runs, so each may report "not run". A
 // claimer that did not win releases its votes under its attempt's token and
 // never runs under that token.
 //
 // Claims are held in memory for a bounded time, and a node starts without
-// any; the view is agreed at the platform. docs/DESIGN.md explains why this is
+// any; the view is stored at the platform. docs/DESIGN.md explains why this is
 // not a replicated store. transfer.go describes what happens when the view
 // changes.
 //
@@ -50,7 +50,7 @@
 	// Full says that too few replicas had memory left; enough replied to know
 	// that nobody has won the key.
 	Full = namespace.NewType("full")
-	// Undecided says that a quorum of the replicas does not know which of two
+	// Undecided says that a quorum of the replicas cannot tell which of two
 	// attempts has won the key.
 	Undecided = namespace.NewType("undecided")
 )
@@ -73,11 +73,12 @@
 	StateClaimed State = iota
 	StateRunning
 	// StateFailed marks work that may have run and gave no response. Others
-	// may claim the key again and are told that an earlier attempt may have run.
+	// may claim the key again; their Outcome then has MayHaveRun set.
 	StateFailed
 	StateDone
-	// StateUnknown marks a key for which claims of two attempts were found
-	// after a change of the view: either may have won.
+	// StateUnknown marks a key whose outcome is not known: either its work may
+	// have run and may not be repeated, or claims of two attempts were found
+	// after a change of the view and either may have won.
 	StateUnknown
 )
 
@@ -109,12 +110,13 @@
 	Token  string `cbor:"2,keyasint"`
 	Holder Holder `cbor:"3,keyasint"`
 	State  State  `cbor:"4,keyasint"`
-	// Repeatable says that the work may be taken over when its holder is gone.
+	// Repeatable says that the work may run again, at another node if its
+	// holder has failed.
 	Repeatable bool `cbor:"5,keyasint"`
-	// Async says that the work is taken over without waiting for its client
-	// to ask again.
+	// Async says that another node takes over the work of a failed holder
+	// without waiting for a retry by the client.
 	Async bool `cbor:"6,keyasint"`
-	// Digest is a digest of the request; it reveals an id used for two requests.
+	// Digest is a hash of the request; it reveals an ID used for two requests.
 	Digest uint64 `cbor:"7,keyasint"`
 	// Value is the pinned version, the bill, or the request itself if it is
 	// to be taken over.
@@ -129,13 +131,13 @@
 	MayHaveRun bool `cbor:"13,keyasint"`
 	// Rival is the other attempt's claim of a bill in StateUnknown.
 	Rival *Entry `cbor:"14,keyasint,omitempty"`
-	// BestEffort says that the claim only helps to find a response. A replica
+	// BestEffort says that the claim only serves to find a response. A replica
 	// whose memory is half full refuses such claims.
 	BestEffort bool `cbor:"12,keyasint"`
 }
 
-// bills returns the claims of a bill that an entry stands for: itself and its
-// rival.
+// bills returns the claims of a bill that an entry holds: itself and its rival.
+// It returns none if the entry is not of a bill.
 func (e *Entry) bills() []*Entry {
 	switch {
 	case e.Key.Kind != KindBill:
@@ -250,7 +252,7 @@
 type ViewSource interface {
 	Current() *view.View
 	Changed() <-chan struct{}
-	// Dead reports whether a member has left for good.
+	// Dead reports whether a member's process is known to have ended for good.
 	Dead(m view.Member) bool
 }
 
--- a/claim/claimer.go
+++ b/claim/claimer.go
@@ -34,7 +34,7 @@
 // ClaimerOption configures a Claimer in NewClaimer.
 type ClaimerOption func(*Claimer)
 
-// WithVerdictCounter has count called with the verdict of each vote.
+// WithVerdictCounter calls count with the verdict of each vote.
 func WithVerdictCounter(count func(Verdict)) ClaimerOption {
 	return func(c *Claimer) { c.countVerdict = count }
 }
@@ -98,8 +98,8 @@
 	})
 }
 
-// retry repeats a round while that may help: claimer and replicas were at
-// different epochs, or a range was being taken over. Both pass soon.
+// retry repeats a round that failed for a short-lived reason: claimer and
+// replicas were at different epochs, or a key range was being taken over.
 func (c *Claimer) retry(ctx context.Context, round func() (_ Outcome, retryable bool, _ error)) (Outcome, error) {
 	var err error
 	for range maxRounds {
@@ -166,7 +166,7 @@
 	retryable  bool
 	full       bool
 	lostBefore time.Time
-	reached    bool
+	mayHaveRun bool
 	asked      []view.Member
 }
 
@@ -177,7 +177,7 @@
 	if reply.LostBefore.After(v.lostBefore) {
 		v.lostBefore = reply.LostBefore
 	}
-	v.reached = v.reached || reply.MayHaveRun
+	v.mayHaveRun = v.mayHaveRun || reply.MayHaveRun
 	switch reply.Verdict {
 	case VerdictGranted:
 		v.granted++
@@ -222,7 +222,7 @@
 		v.count(reply, err)
 		if v.granted >= need {
 			c.propagateWin(replicas[len(v.asked):], Request{Epoch: current.Epoch(), Entry: e})
-			return Outcome{Won: true, Token: e.Token, LostBefore: v.lostBefore, MayHaveRun: v.reached}, false, nil
+			return Outcome{Won: true, Token: e.Token, LostBefore: v.lostBefore, MayHaveRun: v.mayHaveRun}, false, nil
 		}
 		other, n := v.leading()
 		if other != nil && (n >= need || !override) {
@@ -273,15 +273,15 @@
 	c.release(c.views.Current().Replicas(key.Region, key.String()), key, token, StateDone)
 }
 
-// ReleaseStale removes a claim that its holder no longer knows. A replica that
-// knows that the work has begun keeps the claim.
+// ReleaseStale removes a claim of which its holder has no record. A replica at
+// which the claim is past StateClaimed keeps it, since its work has begun.
 func (c *Claimer) ReleaseStale(key Key, token string) {
 	c.release(c.views.Current().Replicas(key.Region, key.String()), key, token, StateClaimed)
 }
 
 // release runs in the background. A replica that does not get the message keeps
-// a claim whose token its holder no longer knows; others find that out when
-// they ask the holder.
+// the claim, of which the holder has no record; other claimers find that out when
+// they query the holder.
 func (c *Claimer) release(from []view.Member, key Key, token string, upTo State) {
 	for _, m := range from {
 		c.runTask(func() {
@@ -298,8 +298,8 @@
 	}
 }
 
-// Advance tells the replicas how far the work under a claim has come. It
-// returns how many acknowledged it and how many there are.
+// Advance sends the new state of a claim to its replicas. It returns how many
+// acknowledged it and how many there are.
 func (c *Claimer) Advance(ctx context.Context, e Entry) (acked, total int) {
 	replicas := c.views.Current().Replicas(e.Key.Region, e.Key.String())
 	done := make(chan bool, len(replicas))
@@ -318,8 +318,8 @@
 	return acked, len(replicas)
 }
 
-// Lookup reads a key without claiming it. Complete says that enough replicas
-// replied to be sure that a key not found was not won.
+// Lookup reads a key without claiming it. The result complete is true if enough
+// replicas replied to be sure that a key that was not found has not been won.
 func (c *Claimer) Lookup(ctx context.Context, key Key) (found *Entry, complete bool) {
 	current := c.views.Current()
 	replicas := current.Replicas(key.Region, key.String())
--- a/claim/coverage.go
+++ b/claim/coverage.go
@@ -17,7 +17,7 @@
 	historyComplete bool
 	// read holds the coverage of each member that was read, by its ID.
 	read map[string]coverage
-	// dead says which unread members have left for good.
+	// dead says which unread members have ended for good.
 	dead map[string]bool
 	// synced says that this member holds all won claims of its ranges.
 	synced bool
@@ -90,7 +90,7 @@
 	return read, min(readQuorum(len(before)), alive), synced
 }
 
-// lostMembers names the members of one epoch that left before they were read.
+// lostMembers names the members of one epoch that ended before they were read.
 type lostMembers struct {
 	view    *view.View
 	members []string
@@ -142,8 +142,8 @@
 	unsynced int
 }
 
-// maxUnreadReplicas returns how many replicas of one key may be unread at most.
-// With enough data halls, the replicas of a key lie in different ones.
+// maxUnreadReplicas returns an upper bound of the unread replicas of any one key.
+// With enough data halls, the replicas of a key are in different ones.
 func (p readProgress) maxUnreadReplicas(v *view.View) int {
 	if countDataHalls(v) >= view.ReplicaCount {
 		return len(p.unreadHalls)
--- a/claim/model_test.go
+++ b/claim/model_test.go
@@ -246,8 +246,8 @@
 	must.Greater(t, 10_000, tried)
 }
 
-// checkReportedWinners fails if a claimer was told of another winner than the
-// actual one.
+// checkReportedWinners fails if the outcome of a claimer names another winner than
+// the actual one.
 func checkReportedWinners(t *testing.T, script []delivery, outcomes ...claim.Outcome) {
 	t.Helper()
 	won := ""
@@ -258,7 +258,7 @@
 	}
 	for _, o := range outcomes {
 		if o.Other != nil && o.OtherWon && won != "" && o.Other.Holder.ID != won && o.Other.State != claim.StateUnknown {
-			t.Fatalf("%s won, but a claimer was told that %s has; script %v", won, o.Other.Holder.ID, script)
+			t.Fatalf("%s won, but an outcome names %s as the winner; script %v", won, o.Other.Holder.ID, script)
 		}
 	}
 }
--- a/claim/replica.go
+++ b/claim/replica.go
@@ -29,22 +29,22 @@
 // WithMemoryLimit bounds the bytes that a replica's entries take, estimated.
 func WithMemoryLimit(bytes int64) ReplicaOption { return func(r *Replica) { r.maxBytes = bytes } }
 
-// WithDiscardCheck sets the test for bills that are in the ledger and need not be kept
-// any longer.
-func WithDiscardCheck(folded func(holder string, sequence int64) bool) ReplicaOption {
-	return func(r *Replica) { r.folded = folded }
+// WithDiscardCheck sets the function that reports whether a bill, given by its
+// holder and sequence, may be discarded. Other bills are kept past their expiry.
+func WithDiscardCheck(canDiscard func(holder string, sequence int64) bool) ReplicaOption {
+	return func(r *Replica) { r.canDiscard = canDiscard }
 }
 
 const defaultMemoryLimit = 48 << 20
 
-// Replica holds one node's part of the claims, a bounded table in memory.
+// Replica is one node's bounded, in-memory table of the claims that it replicates.
 type Replica struct {
-	self     string
-	views    ViewSource
-	peers    Transport
-	timers   *timer.Service
-	maxBytes int64
-	folded   func(holder string, sequence int64) bool
+	self       string
+	views      ViewSource
+	peers      Transport
+	timers     *timer.Service
+	maxBytes   int64
+	canDiscard func(holder string, sequence int64) bool
 
 	mu       sync.Mutex
 	entries  map[string]*Entry
@@ -61,15 +61,15 @@
 // NewReplica returns an empty replica of the member with the ID self.
 func NewReplica(self string, views ViewSource, peers Transport, timers *timer.Service, options ...ReplicaOption) *Replica {
 	r := &Replica{
-		self:     self,
-		views:    views,
-		peers:    peers,
-		timers:   timers,
-		maxBytes: defaultMemoryLimit,
-		folded:   func(string, int64) bool { return true },
-		entries:  make(map[string]*Entry),
-		released: make(map[string]time.Time),
-		transfer: newTransfer(self, view.Empty(), coverage{}),
+		self:       self,
+		views:      views,
+		peers:      peers,
+		timers:     timers,
+		maxBytes:   defaultMemoryLimit,
+		canDiscard: func(string, int64) bool { return true },
+		entries:    make(map[string]*Entry),
+		released:   make(map[string]time.Time),
+		transfer:   newTransfer(self, view.Empty(), coverage{}),
 	}
 	for _, option := range options {
 		option(r)
@@ -122,8 +122,8 @@
 	return reply
 }
 
-// replaceable reports whether a new claim may replace the one held: failed work
-// is over, and an attempt gives up its earlier rounds. A key in StateUnknown
+// replaceable reports whether a new claim may replace the one held: it may if the
+// work failed, or if the new claim is of a later round of the same attempt. A key in StateUnknown
 // stays taken, even for the attempts that claimed it.
 func replaceable(held, by *Entry) bool {
 	return held.State == StateFailed || held.State == by.State && Supersedes(by.Token, held.Token)
@@ -248,8 +248,8 @@
 	return holders
 }
 
-// Orphans returns the claims of unfinished patient work whose holder does not
-// respond.
+// Orphans returns the claims of unfinished asynchronous work whose holder does
+// not respond.
 func (r *Replica) Orphans(responds func(holder string) bool) []Entry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -296,7 +296,7 @@
 	defer r.mu.Unlock()
 	now := r.timers.Now()
 	for key, e := range r.entries {
-		if now.After(e.Expires) && !r.hasUnfoldedBill(e) {
+		if now.After(e.Expires) && !r.mustKeep(e) {
 			r.drop(key)
 		}
 	}
@@ -308,17 +308,17 @@
 	r.losses = unexpiredLosses(r.losses, now)
 }
 
-// hasUnfoldedBill reports whether an entry is of a bill that is not yet in the
-// ledger. Such an entry is kept past its expiry.
-func (r *Replica) hasUnfoldedBill(e *Entry) bool {
-	return slices.ContainsFunc(e.bills(), func(b *Entry) bool { return !r.folded(b.Holder.ID, b.Sequence) })
+// mustKeep reports whether an entry is of a bill that may not be discarded yet.
+// Such an entry is kept past its expiry.
+func (r *Replica) mustKeep(e *Entry) bool {
+	return slices.ContainsFunc(e.bills(), func(b *Entry) bool { return !r.canDiscard(b.Holder.ID, b.Sequence) })
 }
 
 // unexpired returns the entry of a key, or nil if there is none or it has
 // expired.
 func (r *Replica) unexpired(key string) *Entry {
 	e := r.entries[key]
-	if e == nil || (r.timers.Now().After(e.Expires) && !r.hasUnfoldedBill(e)) {
+	if e == nil || (r.timers.Now().After(e.Expires) && !r.mustKeep(e)) {
 		return nil
 	}
 	return e
--- a/claim/settle.go
+++ b/claim/settle.go
@@ -11,14 +11,15 @@
 
 // Settle finds out whether a claim is won, and tries to win it if that is not
 // decided yet. Like Override, it ignores other claims that have not won, but it
-// releases nothing: votes stay while replicas do not reply, so that another
-// node can settle the claim later in its holder's place, with the same entry
+// releases nothing: votes are kept while replicas do not reply, so that another
+// node can settle the claim later on behalf of its holder, with the same entry
 // and the same outcome.
 //
 // The error [Split] says that all replicas have reported and no attempt has a
-// quorum, [Undecided] that a quorum does not know which of two attempts has won.
-// Both come with an Outcome that names the rival and pass when one of the two
-// is released. [Full] and [Unreachable] come without one.
+// quorum, [Undecided] that a quorum cannot tell which of two attempts has won.
+// With both errors, Outcome.Other is the rival claim, and settling can succeed
+// once one of the two claims is released. [Full] and [Unreachable] come with a
+// zero Outcome.
 func (c *Claimer) Settle(ctx context.Context, e Entry) (Outcome, error) {
 	return c.retry(ctx, func() (Outcome, bool, error) { return c.settle(ctx, e) })
 }
@@ -31,10 +32,10 @@
 	rivals map[string]int
 	// entries holds the claims that were seen, by attempt.
 	entries map[string]*Entry
-	// unknown counts the replicas that do not know which of two attempts has
+	// unknown counts the replicas that cannot tell which of two attempts has
 	// won.
 	unknown int
-	// reported counts the replicas that told which claim they hold.
+	// reported counts the replicas that replied which claim they hold.
 	reported int
 	votes    votes
 	// replies describes each replica's reply, for error texts.
@@ -104,7 +105,7 @@
 
 func (t *settleTally) outcome(token, winner string) Outcome {
 	if winner == AttemptOf(token) {
-		return Outcome{Won: true, Token: token, LostBefore: t.votes.lostBefore, MayHaveRun: t.votes.reached}
+		return Outcome{Won: true, Token: token, LostBefore: t.votes.lostBefore, MayHaveRun: t.votes.mayHaveRun}
 	}
 	return Outcome{Other: t.entries[winner], OtherWon: true, LostBefore: t.votes.lostBefore}
 }
--- a/claim/transfer.go
+++ b/claim/transfer.go
@@ -28,9 +28,9 @@
 // view carries its history for this.
 //
 // If two of three replicas died at once, claims may be lost. The replica keeps
-// a [LossRecord] of the time, and its replies for the keys concerned carry it as
-// LostBefore. For an older request id, the outcome is then unknown: the vote may
-// be wrong.
+// a [LossRecord] of the time, and its replies for the keys affected carry it as
+// LostBefore. For an older request ID, the outcome is then unknown: its claim may
+// have been among those lost.
 
 const (
 	// pageSize is the number of entries in one page of a transfer.
@@ -86,8 +86,8 @@
 
 // SetView starts taking over key ranges for a new epoch. A member that was
 // removed keeps its claims for the members that take them over. If it joins
-// again, it drops them: other members have voted since, and it no longer knows
-// which claims were won.
+// again, it drops them: other members have voted since, so its claims may be out
+// of date.
 func (r *Replica) SetView(v *view.View) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -318,8 +318,8 @@
 	slog.Info("claims synced", "epoch", t.current.Epoch(), "read", len(t.read), "losses", len(losses))
 }
 
-// recordLoss keeps which members died unread. Whether a key is concerned is
-// determined when it is claimed.
+// recordLoss records which members ended before they were read. Whether a key is
+// affected is determined when it is claimed.
 func (r *Replica) recordLoss(l lostMembers) {
 	encoded, err := l.view.Encode()
 	if err != nil {
--- a/claim/transfer_test.go
+++ b/claim/transfer_test.go
@@ -12,17 +12,13 @@
 	"github.com/violettally/violettally/view"
 )
 
-// TestTransferKeepsLaterRound guards against a bill that no node enters. A replica
+// TestTransferKeepsLaterRound guards against a bill that no node commits. A replica
 // that has granted the second round of an attempt reads the others for the new
 // view and receives the first round of the same attempt. If it treats the two as
 // rival claims, it marks the key unknown. The next change of the view carries the
-// mark to a second replica, and the claimer is told that its own claim has been
-// won by another node.
-//
-// This happened when a data hall was killed and replaced, with two changes of the
-// view within 0.1 s: the request's decision said "billed elsewhere" although no
-// other node had run it, and its node's journal held 61 bills for 62 sequence
-// numbers.
+// mark to a second replica, and the claimer's own claim is reported to it as won by
+// another node. This takes two changes of the view within about 0.1 s, as when a
+// data hall fails and is replaced.
 func TestTransferKeepsLaterRound(t *testing.T) {
 	slog.SetLogLoggerLevel(slog.LevelError)
 	c := newCluster(t, nil)
