--- a/view/manager.go
+++ b/view/manager.go
@@ -51,7 +51,7 @@
 )
 
 // Manager holds the view in force, adds this node to it and removes members that
-// are gone.
+// have failed.
 type Manager struct {
 	name     string
 	self     Member
@@ -124,8 +124,8 @@
 	}
 }
 
-// Dead reports whether a member has left for good: its VM has left the
-// platform's list or runs a later incarnation.
+// Dead reports whether a member's process is known to have ended for good: its VM
+// is no longer on the platform's list or runs a later incarnation.
 func (mgr *Manager) Dead(m Member) bool {
 	for _, other := range mgr.Current().Members() {
 		if other.VM == m.VM && other.ID != m.ID && other.Joined >= m.Joined {
@@ -152,13 +152,13 @@
 }
 
 // reconcile adds this node to the view if it is missing, reachable and not
-// leaving, and removes members that are gone if this node proposes removals.
+// leaving, and removes failed members if this node is one that proposes removals.
 func (mgr *Manager) reconcile(ctx context.Context) {
 	if !mgr.Current().Has(mgr.self.ID) && !mgr.isLeaving() && mgr.reachable(ctx) {
 		mgr.update(ctx, "join", []Member{mgr.selfJoining()}, nil)
 	}
-	if gone := mgr.membersToRemove(); len(gone) > 0 && mgr.mayPropose() {
-		mgr.update(ctx, "remove", nil, gone)
+	if failed := mgr.membersToRemove(); len(failed) > 0 && mgr.mayPropose() {
+		mgr.update(ctx, "remove", nil, failed)
 	}
 }
 
@@ -168,8 +168,8 @@
 	return m
 }
 
-// reachable asks the peers whether any of them reaches this node. A node that
-// can only send would be removed and join again and again.
+// reachable reports whether any peer reaches this node; it is assumed if no peer
+// responds. A node that can only send would be removed and join again and again.
 func (mgr *Manager) reachable(ctx context.Context) bool {
 	alive := mgr.detector.Alive()
 	if len(alive) == 0 {
@@ -183,10 +183,11 @@
 	return false
 }
 
-// membersToRemove returns the IDs of the members that are gone. A node that
-// hears only a minority may itself be cut off, so it relies on Dead alone.
+// membersToRemove returns the IDs of the faulty members that should be removed. A
+// node to which only a minority responds may itself be cut off, so it removes only
+// those for which Dead is true.
 func (mgr *Manager) membersToRemove() []string {
-	var gone []string
+	var failed []string
 	now := mgr.timers.Now()
 	hasMajority := mgr.detector.HasMajority()
 	for _, m := range mgr.Current().Members() {
@@ -195,10 +196,10 @@
 			continue
 		}
 		if mgr.Dead(m) || (hasMajority && now.Sub(since) > evictAfter) {
-			gone = append(gone, m.ID)
+			failed = append(failed, m.ID)
 		}
 	}
-	return gone
+	return failed
 }
 
 // mayPropose reports whether this node is one of those that propose removals.
--- a/view/view.go
+++ b/view/view.go
@@ -1,7 +1,7 @@
 // Package view holds the agreed list of the system's own VMs. The list is a
 // small document in the platform's key-value service. It is changed by
-// compare-and-swap, only when a VM has joined, left or is confirmed gone, and
-// each change increments the epoch. The replicas of a key follow from the view
+// compare-and-swap, only when a VM joins, leaves or is removed after a failure,
+// and each change increments the epoch. The replicas of a key follow from the view
 // alone, by rendezvous hashing, without a lookup at other nodes.
 //
 // # Usage
