--- a/member/member.go
+++ b/member/member.go
@@ -56,7 +56,7 @@
 	Updates   []Update         `cbor:"3,keyasint"`
 	Revisions map[string]int64 `cbor:"4,keyasint"`
 	// DurableSequence is the sequence number up to which the bills of the sender's
-	// journal are stored elsewhere, see package ledger.
+	// Journal are durable, see package ledger.
 	DurableSequence int64  `cbor:"5,keyasint"`
 	Journal         string `cbor:"6,keyasint"`
 }
@@ -272,8 +272,8 @@
 	for _, u := range h.Updates {
 		p.applyUpdate(u)
 	}
-	// A suspected peer that sends heartbeats is alive. Tell it of the suspicion,
-	// so that it refutes it.
+	// A suspected peer that sends heartbeats is alive. Send it the suspicion, so
+	// that it can refute it.
 	if peer := p.peers[h.From]; peer != nil && peer.status >= StatusSuspect {
 		p.enqueue(Update{ID: h.From, Status: peer.status, Incarnation: peer.incarnation})
 	}
@@ -334,7 +334,7 @@
 	}
 }
 
-// enqueue queues an update, in place of an older one of the same member.
+// enqueue queues an update. It replaces a queued one of the same member.
 func (p *Prober) enqueue(u Update) {
 	remaining := retransmitFactor
 	for n := len(p.peers); n > 0; n /= 2 {
