--- a/control/control.go
+++ b/control/control.go
@@ -2,7 +2,7 @@
 //
 // A configuration is validated as a whole and then written by one
 // compare-and-swap, so it is accepted entirely or not at all. If another operator
-// was faster, the error tells who, and the result tells what differs. If the
+// was faster, the error names the operator, and the result lists what differs. If the
 // platform's response is lost after the write took effect, the change is found in
 // the store by its ID, so it is safe to send the same change again.
 //
--- a/session/session.go
+++ b/session/session.go
@@ -47,7 +47,7 @@
 	Claim(ctx context.Context, e claim.Entry) (claim.Outcome, error)
 	Override(ctx context.Context, e claim.Entry) (claim.Outcome, error)
 	Lookup(ctx context.Context, key claim.Key) (found *claim.Entry, complete bool)
-	Advance(ctx context.Context, e claim.Entry) (took, of int)
+	Advance(ctx context.Context, e claim.Entry) (acked, total int)
 }
 
 // Request asks for the version of a session.
@@ -163,7 +163,7 @@
 	e.Value = []byte(version)
 	outcome, err := p.claims.Claim(ctx, e)
 	if err == nil && !outcome.Won && !outcome.OtherWon {
-		// The other claim is undecided and may still be dropped, so its
+		// The other claim is undecided and may still be released, so its
 		// version must not be used yet. Override returns it if it was won,
 		// and replaces it otherwise.
 		outcome, err = p.claims.Override(ctx, e)
