--- a/dispatch/chat.go
+++ b/dispatch/chat.go
@@ -245,7 +245,7 @@
 	}
 }
 
-// billPartial bills the parts that a cancelled request has passed on.
+// billPartial bills the parts that went to the client before the request was cancelled.
 func (m *modelRun) billPartial(refusal *Refusal) {
 	if m.resp.sent > 0 {
 		m.resp.usage.estimateMissing(m.r.Chat.Prompt, len(m.resp.parts))
@@ -379,9 +379,9 @@
 	return nil
 }
 
-// generatedIDBillTTL is how long the bill of a request with a generated ID is remembered. It is
-// short, since no client can send such a request again. Every bill is kept until it is folded
-// (package ledger).
+// generatedIDBillTTL is how long replicas keep the bill of a request with a generated ID at
+// least. It is short, since no client can send such a request again. Every bill is kept until it
+// is durable (package ledger).
 const generatedIDBillTTL = time.Second
 
 // bill claims the request's bill and enters it in the journal. If several nodes finish the same
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -43,7 +43,7 @@
 	ID           string
 	IDFromClient bool
 	Account      *config.Account
-	// Async requests are answered with status 202; the client fetches the response later.
+	// Async requests get status 202 at once; the client fetches the response later.
 	Async    bool
 	Deadline time.Time
 	Body     []byte
@@ -54,7 +54,7 @@
 	Chat  *Chat
 	Plain *Plain
 
-	// takenOver marks an asynchronous request taken over from a node that is gone. It was
+	// takenOver marks an asynchronous request taken over from a node that has failed. It was
 	// counted against the account's limit there.
 	takenOver bool
 	// mayHaveRun is set once a backend server may have run the request. Only the goroutine that
@@ -91,16 +91,16 @@
 	Claim(ctx context.Context, e claim.Entry) (claim.Outcome, error)
 	Override(ctx context.Context, e claim.Entry) (claim.Outcome, error)
 	Lookup(ctx context.Context, key claim.Key) (found *claim.Entry, complete bool)
-	Advance(ctx context.Context, e claim.Entry) (took, of int)
+	Advance(ctx context.Context, e claim.Entry) (acked, total int)
 	Release(key claim.Key, token string)
 	ReleaseStale(key claim.Key, token string)
 }
 
 // Holders accesses the nodes that hold claims.
 type Holders interface {
-	// Attach follows the response of an attempt at its holder. If the holder does not know the
-	// attempt, found is false, and ran reports whether the holder knows that the attempt has
-	// run.
+	// Attach follows the response of an attempt at its holder. If the holder has no response of
+	// the attempt, found is false, and ran reports whether the holder has recorded that the
+	// attempt ran.
 	Attach(ctx context.Context, h claim.Holder, attempt string) (x *answer.Response, found, ran bool, err error)
 	// Cancel stops an attempt at its holder and reports whether it did.
 	Cancel(ctx context.Context, h claim.Holder, attempt string) (bool, error)
@@ -127,8 +127,9 @@
 
 // Bills bills requests.
 type Bills interface {
-	// Bill claims the bill of a request, to be remembered for ttl, and reports whether this
-	// claim has won. As long as the result is not known, it tries again in the background.
+	// Bill claims the bill of a request, which replicas keep for at least ttl, and reports
+	// whether this claim has won. As long as the result is not known, it retries in the
+	// background.
 	Bill(b ledger.Bill, ttl time.Duration) bool
 	// Wait returns once no bill is being claimed.
 	Wait()
@@ -179,8 +180,8 @@
 }
 
 // New returns a dispatcher.
-func New(parts Options) *Dispatcher {
-	return &Dispatcher{Options: parts, draining: make(chan struct{})}
+func New(options Options) *Dispatcher {
+	return &Dispatcher{Options: options, draining: make(chan struct{})}
 }
 
 const (
@@ -301,7 +302,7 @@
 	return ttl
 }
 
-// startGeneratedID runs a request whose ID was generated here, so that no client knows it yet.
+// startGeneratedID runs a request whose ID was generated here, so that no client has it yet.
 // The claim only serves to find the response later, so the run does not wait for it.
 func (d *Dispatcher) startGeneratedID(ctx context.Context, r *Request, record *decision.Record) (*answer.Response, *Refusal) {
 	if r.Async || !r.Repeatable() {
--- a/dispatch/join.go
+++ b/dispatch/join.go
@@ -53,7 +53,7 @@
 		j := d.join(ctx, r, outcome)
 		switch {
 		case j.abandoned:
-			// The holder does not know the claim and never runs it, so the claim is removed.
+			// The holder has no record of the claim and never runs it, so the claim is removed.
 			d.Claims.ReleaseStale(outcome.Other.Key, outcome.Other.Token)
 			override = true
 		case j.override:
@@ -65,8 +65,8 @@
 	return nil, false, refuse(ReasonClaimBusy, RanUnknown, retryAfterShort, "the id is being claimed by others")
 }
 
-// sleep waits before the next round, so that released claims are gone by then. It returns early
-// if the context ends.
+// sleep waits before the next round, so that released claims are removed by then. It returns
+// early if the context ends.
 func (d *Dispatcher) sleep(ctx context.Context, pause time.Duration) {
 	ctx, cancel := context.WithTimeout(ctx, pause)
 	defer cancel()
@@ -141,8 +141,8 @@
 	x.Close()
 }
 
-// checkAge refuses an ID older than the time for which its call is remembered: it may have run,
-// and its claim may have expired since.
+// checkAge refuses an ID older than the TTL of its call's claims: it may have run, and its claim
+// may have expired since.
 func (d *Dispatcher) checkAge(r *Request) *Refusal {
 	issued := idTime(r.ID)
 	if r.Repeatable() || issued.IsZero() || d.Timers.Now().Sub(issued) < r.Plain.Call.ClaimTTL() {
@@ -164,9 +164,8 @@
 type joinResult struct {
 	response *answer.Response
 	refusal  *Refusal
-	// takeOver allows the next attempt to run the request. With override, the claim is tried
-	// again in place of one that may not have been won. With abandoned, the holder never runs
-	// the claim.
+	// takeOver allows the next attempt to run the request. override says that the existing claim
+	// may not have been won and may be overridden. abandoned says that its holder never runs it.
 	takeOver  bool
 	override  bool
 	abandoned bool
--- a/dispatch/plain.go
+++ b/dispatch/plain.go
@@ -62,7 +62,7 @@
 }
 
 // markRunning records, here and at most of the replicas, that a call that may not be repeated
-// is about to run. It reports whether most replicas know.
+// is about to run. It reports whether most replicas acknowledged it.
 func (d *Dispatcher) markRunning(x *answer.Response, r *Request, e *claim.Entry) bool {
 	d.Responses.MarkRan(x.Attempt(), r.Plain.Call.ClaimTTL())
 	return d.advance(e, claim.StateRunning, nil)
@@ -132,11 +132,11 @@
 // the deadline cannot be met.
 func (d *Dispatcher) admit(ctx context.Context, r *Request, pool string, record *decision.Record) (release func(), _ *Refusal) {
 	start := d.Timers.Now()
-	ticket := admit.Request{Account: r.Account.Name, Priority: r.Account.Priority, Deadline: r.Deadline}
+	request := admit.Request{Account: r.Account.Name, Priority: r.Account.Priority, Deadline: r.Deadline}
 	if r.Async {
-		ticket.Priority = config.PriorityPatient
+		request.Priority = config.PriorityPatient
 	}
-	release, err := d.Queues.Queue(pool).Acquire(ctx, ticket)
+	release, err := d.Queues.Queue(pool).Acquire(ctx, request)
 	waited := d.Timers.Now().Sub(start)
 	switch {
 	case err == nil:
--- a/dispatch/refusal.go
+++ b/dispatch/refusal.go
@@ -74,7 +74,7 @@
 	ReasonBodyTooLarge:     http.StatusRequestEntityTooLarge,
 }
 
-// Refusal is the error type of this package. It tells why a request gets no response, whether
+// Refusal is the error type of this package. It states why a request gets no response, whether
 // it ran, and when to retry.
 type Refusal struct {
 	reason     Reason
--- a/dispatch/run.go
+++ b/dispatch/run.go
@@ -57,7 +57,7 @@
 	return d.runChat(ctx, r, x, record)
 }
 
-// isTransient reports whether the cause of a refusal passes without action.
+// isTransient reports whether the cause of a refusal is temporary, so that a retry may succeed.
 func isTransient(reason Reason) bool {
 	switch reason {
 	case ReasonOverloaded, ReasonNoServer, ReasonServerFailed, ReasonClaimUnreachable, ReasonCutOff, ReasonNoVersion:
@@ -113,17 +113,18 @@
 	d.advance(e, claim.StateDone, stored)
 }
 
-// advance updates the claim's state at the replicas and reports whether most of them took it.
+// advance updates the claim's state at the replicas and reports whether most of them
+// acknowledged it.
 func (d *Dispatcher) advance(e *claim.Entry, state claim.State, response []byte) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), advanceTimeout)
 	defer cancel()
 	next := *e
 	next.State, next.Response, next.Value = state, response, nil
-	took, of := d.Claims.Advance(ctx, next)
-	return took > of/2
+	acked, total := d.Claims.Advance(ctx, next)
+	return acked > total/2
 }
 
-// TakeOver runs an asynchronous request whose holder is gone.
+// TakeOver runs an asynchronous request whose holder has failed.
 func (d *Dispatcher) TakeOver(ctx context.Context, e claim.Entry) {
 	s := d.Config()
 	r := decodeRequest(e.Value, s.Account(e.Key.Account), s)
--- a/dispatch/target.go
+++ b/dispatch/target.go
@@ -144,7 +144,7 @@
 }
 
 // checkRequestedVersion checks a version that the client named. A retired version serves only
-// the sessions that it has.
+// the sessions that are pinned to it.
 func (d *Dispatcher) checkRequestedVersion(s *config.Snapshot, r *Request, m *config.Model, version string, record *decision.Record) (string, *Refusal) {
 	v := s.Version(m.Name, version)
 	switch {
--- a/dispatch/usage.go
+++ b/dispatch/usage.go
@@ -35,8 +35,8 @@
 	return (total + tokensPerPrice - 1) / tokensPerPrice
 }
 
-// These byte sequences tell a chunk in the middle of a response from the last ones, as engines
-// write them. Most chunks are in the middle and need no decoding.
+// These byte sequences, as engines write them, distinguish a chunk in the middle of a response
+// from the last ones. Most chunks are in the middle and need no decoding.
 var (
 	finishReasonNull = []byte(`"finish_reason":null`)
 	usageMarker      = []byte(`"usage":{`)
