--- a/answer/answer.go
+++ b/answer/answer.go
@@ -1,9 +1,9 @@
-// Package answer keeps the responses of the requests that a node runs or ran lately. A client
+// Package answer keeps the responses of the requests that a node runs or ran recently. A client
 // that retries or reconnects, at any node, gets the running or the finished response.
 //
 // A [Response] is the response to one request while it is produced: the run appends parts, and
 // any number of readers follow it from the start. The [Store] keeps the responses by attempt,
-// limited in total bytes and in age.
+// bounded in total size and in age.
 //
 // # Usage
 //
@@ -38,7 +38,7 @@
 	Streamed bool `cbor:"5,keyasint"`
 }
 
-// Failure tells why a response ended before it was complete. It is the wire form of
+// Failure states why a response ended before it was complete. It is the wire form of
 // dispatch.Refusal.
 type Failure struct {
 	Reason      string `cbor:"1,keyasint"`
