--- a/billing/billing.go
+++ b/billing/billing.go
@@ -4,9 +4,8 @@
 // claim's replicas keep the bill until the journal's totals are durable, that
 // is, stored at the platform or checkpointed at peers.
 //
-// A [Biller] claims bills. A [Tracker] keeps what this node knows about the
-// journals of all nodes, and collects the bills of a removed node from the
-// others.
+// A [Biller] claims bills. A [Tracker] records which bills of all nodes' journals
+// are durable, and collects the bills of a removed node from the others.
 //
 // # Usage
 //
@@ -68,7 +67,7 @@
 	// Region returns the home region of a client account.
 	Region func(account string) string
 	// RecoveredBillTTL is how long replicas keep the claim of a bill that was
-	// settled in place of a removed node.
+	// settled on behalf of a removed node.
 	RecoveredBillTTL time.Duration
 }
 
@@ -80,7 +79,7 @@
 }
 
 // New returns a biller.
-func New(config Options) *Biller { return &Biller{Options: config} }
+func New(options Options) *Biller { return &Biller{Options: options} }
 
 // Wait blocks until no bill is being retried in the background.
 func (b *Biller) Wait() { b.retries.Wait() }
@@ -153,8 +152,8 @@
 // resolveConflict resolves a conflict between two claims of one bill when the
 // replicas cannot tell which has won. It looks up the rival's bill in its
 // journal: if the rival has lost, its claim is released; if it has won, e is.
-// If neither is decided, the claim with the smaller attempt token stays. It
-// reports whether e was released.
+// If neither is decided, e is released unless it has the smaller attempt token.
+// It reports whether e was released.
 func (b *Biller) resolveConflict(ctx context.Context, e, rival *claim.Entry) bool {
 	status, err := b.Statuses.BillStatus(ctx, *rival)
 	if err != nil {
@@ -173,7 +172,7 @@
 	}
 }
 
-// Settle settles the claim of a bill in place of a removed node, and reports
+// Settle settles the claim of a bill on behalf of a removed node, and reports
 // whether the claim is won.
 func (b *Biller) Settle(ctx context.Context, journal string, r ledger.ReplicatedBill) (bool, error) {
 	value, err := json.Marshal(r.Bill)
@@ -202,8 +201,8 @@
 }
 
 // logUnsettled logs why a sequence of a journal has no bill or is not decided
-// yet, and which claim holds the key. These lines and those about the closing of
-// journals are what a bill missing from the ledger can be traced with.
+// yet, and which claim holds the key. A bill missing from the ledger can be traced
+// by these lines and those about the closing of journals.
 func logUnsettled(e *claim.Entry, outcome claim.Outcome, err error) {
 	attributes := []any{"request_id", e.Key.ID, "account", e.Key.Account, "journal", e.Holder.ID, "sequence", e.Sequence, "attempt", e.Token}
 	if err != nil {
--- a/billing/tracker.go
+++ b/billing/tracker.go
@@ -58,13 +58,13 @@
 	BillHolders() map[string]bool
 }
 
-// Settler settles claims in place of removed nodes.
+// Settler settles claims on behalf of removed nodes.
 type Settler interface {
 	Settle(ctx context.Context, journal string, r ledger.ReplicatedBill) (won bool, err error)
 }
 
-// Tracker keeps what this node knows about the journals of all nodes: their
-// durable sequences and checkpoints. It is safe for concurrent use.
+// Tracker keeps the durable sequences and the checkpoints of all nodes' journals,
+// as far as they were reported to this node. It is safe for concurrent use.
 type Tracker struct {
 	self    view.Member
 	members Members
@@ -77,10 +77,10 @@
 	settler Settler
 
 	mu sync.Mutex
-	// durable holds each journal's durable sequence, lastHeard the time of the
+	// durable holds each journal's durable sequence, lastReport the time of the
 	// last message about it from its node.
 	durable     map[string]int64
-	lastHeard   map[string]time.Time
+	lastReport  map[string]time.Time
 	checkpoints map[string]ledger.Snapshot
 }
 
@@ -94,7 +94,7 @@
 		store:       store,
 		timers:      timers,
 		durable:     make(map[string]int64),
-		lastHeard:   make(map[string]time.Time),
+		lastReport:  make(map[string]time.Time),
 		checkpoints: make(map[string]ledger.Snapshot),
 	}
 }
@@ -110,7 +110,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.durable[journal] = max(t.durable[journal], durable)
-	t.lastHeard[journal] = t.timers.Now()
+	t.lastReport[journal] = t.timers.Now()
 }
 
 // silentJournalTTL is how long bills are kept whose journal is no longer
@@ -127,25 +127,25 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.timers.Now()
-	if _, known := t.lastHeard[journal]; !known {
-		t.lastHeard[journal] = now
+	if _, known := t.lastReport[journal]; !known {
+		t.lastReport[journal] = now
 	}
-	return sequence <= t.durable[journal] || now.Sub(t.lastHeard[journal]) > silentJournalTTL
+	return sequence <= t.durable[journal] || now.Sub(t.lastReport[journal]) > silentJournalTTL
 }
 
 // sweepInterval is how often silent journals are looked for.
 const sweepInterval = time.Hour
 
-// Run discards what is known about journals that have not been reported for
+// Run discards the data of journals that have not been reported for
 // twice silentJournalTTL. It returns when the context ends.
 func (t *Tracker) Run(ctx context.Context) {
 	t.timers.Every(ctx, sweepInterval, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		now := t.timers.Now()
-		for journal, at := range t.lastHeard {
+		for journal, at := range t.lastReport {
 			if now.Sub(at) > 2*silentJournalTTL {
-				delete(t.lastHeard, journal)
+				delete(t.lastReport, journal)
 				delete(t.durable, journal)
 				delete(t.checkpoints, journal)
 			}
@@ -185,7 +185,7 @@
 func (t *Tracker) StoreCheckpoint(a ledger.Snapshot) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.lastHeard[a.Journal] = t.timers.Now()
+	t.lastReport[a.Journal] = t.timers.Now()
 	if a.Sequence > t.checkpoints[a.Journal].Sequence {
 		t.checkpoints[a.Journal] = a
 	}
@@ -322,7 +322,7 @@
 	return checkpoint, bills
 }
 
-// Settle settles the claim of a bill in place of a removed node, and reports
+// Settle settles the claim of a bill on behalf of a removed node, and reports
 // whether the claim is won.
 func (t *Tracker) Settle(ctx context.Context, journal string, r ledger.ReplicatedBill) (bool, error) {
 	return t.settler.Settle(ctx, journal, r)
