--- a/ledger/closer.go
+++ b/ledger/closer.go
@@ -29,7 +29,7 @@
 	// Orphaned lists the journals known to this node whose owners are not in the
 	// view.
 	Orphaned() []string
-	// Settle settles the claim of a bill in place of a removed node and reports
+	// Settle settles the claim of a bill on behalf of a removed node and reports
 	// whether it is won. The result is the same for every node that settles the
 	// claim, and each time.
 	Settle(ctx context.Context, journal string, r ReplicatedBill) (won bool, err error)
@@ -121,8 +121,8 @@
 
 // Close adds the bills that the replicas hold for a removed node to its journal
 // and marks the journal closed. A bill counts if its claim is won or can still
-// be won in place of the node. A new claim by the closer would not do: the old
-// claim would block it, or it would count again a bill that the node has folded.
+// be won on its behalf. The closer makes no claims of its own: the node's claim
+// would block them, or they would count again a bill that the node has folded.
 func (c *Closer) Close(ctx context.Context, journal string) error {
 	checkpoint, bills, complete := c.replicas.CollectRecords(ctx, journal)
 	if !complete {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -199,10 +199,10 @@
 
 // New returns an empty journal. It calls interval before each fold, because the
 // interval grows with the number of nodes.
-func New(name string, store document.Store, checkpoints Checkpointer, timers *timer.Service, interval func() time.Duration) *Journal {
+func New(name string, store document.Store, checkpointer Checkpointer, timers *timer.Service, interval func() time.Duration) *Journal {
 	return &Journal{
 		store:        store,
-		checkpointer: checkpoints,
+		checkpointer: checkpointer,
 		timers:       timers,
 		interval:     interval,
 		name:         name,
