--- a/adapter/peer/client.go
+++ b/adapter/peer/client.go
@@ -357,11 +357,11 @@
 }
 
 // RequestLimitLease requests a share of an account's limit from a grantor.
-func (c *Client) RequestLimitLease(ctx context.Context, to view.Member, ask limit.LeaseRequest) (limit.Grant, error) {
+func (c *Client) RequestLimitLease(ctx context.Context, to view.Member, r limit.LeaseRequest) (limit.Grant, error) {
 	if to.ID == c.self {
-		return c.node.Grant(ask), nil
+		return c.node.Grant(r), nil
 	}
-	return invoke[limit.LeaseRequest, limit.Grant](ctx, c, to.Peer, callLimit, ask)
+	return invoke[limit.LeaseRequest, limit.Grant](ctx, c, to.Peer, callLimit, r)
 }
 
 // Counts fetches a node's name and its counts of good and bad responses.
@@ -379,16 +379,16 @@
 	if to.ID == c.self {
 		return c.node.JournalRecords(journal), nil
 	}
-	return invoke[recallRequest, billing.JournalRecords](ctx, c, to.Peer, callRecall, recallRequest{Journal: journal})
+	return invoke[journalRecordsRequest, billing.JournalRecords](ctx, c, to.Peer, callJournalRecords, journalRecordsRequest{Journal: journal})
 }
 
 // Checkpoint stores the sums of a journal at a node.
-func (c *Client) Checkpoint(ctx context.Context, to view.Member, a ledger.Snapshot) error {
+func (c *Client) Checkpoint(ctx context.Context, to view.Member, s ledger.Snapshot) error {
 	if to.ID == c.self {
-		c.node.StoreCheckpoint(a)
+		c.node.StoreCheckpoint(s)
 		return nil
 	}
-	_, err := invoke[ledger.Snapshot, empty](ctx, c, to.Peer, callCheckpoint, a)
+	_, err := invoke[ledger.Snapshot, empty](ctx, c, to.Peer, callCheckpoint, s)
 	return err
 }
 
--- a/adapter/peer/messages.go
+++ b/adapter/peer/messages.go
@@ -9,22 +9,22 @@
 
 // The RPC names of the calls between nodes.
 const (
-	callProbe      = "probe"
-	callProbeVia   = "probe_via"
-	callFetch      = "fetch"
-	callNotify     = "notify"
-	callClaim      = "claim"
-	callLookup     = "lookup"
-	callAdvance    = "advance"
-	callRelease    = "release"
-	callTransfer   = "transfer"
-	callLimit      = "limit"
-	callCounts     = "counts"
-	callRecall     = "recall"
-	callCheckpoint = "checkpoint"
-	callAttach     = "attach"
-	callCancel     = "cancel"
-	callExplain    = "explain"
+	callProbe          = "probe"
+	callProbeVia       = "probe_via"
+	callFetch          = "fetch"
+	callNotify         = "notify"
+	callClaim          = "claim"
+	callLookup         = "lookup"
+	callAdvance        = "advance"
+	callRelease        = "release"
+	callTransfer       = "transfer"
+	callLimit          = "limit"
+	callCounts         = "counts"
+	callJournalRecords = "recall"
+	callCheckpoint     = "checkpoint"
+	callAttach         = "attach"
+	callCancel         = "cancel"
+	callExplain        = "explain"
 )
 
 // empty is a request or reply without fields.
@@ -59,7 +59,7 @@
 	Counts rollout.Counts `cbor:"2,keyasint"`
 }
 
-type recallRequest struct {
+type journalRecordsRequest struct {
 	Journal string `cbor:"1,keyasint"`
 }
 
--- a/adapter/peer/server.go
+++ b/adapter/peer/server.go
@@ -33,10 +33,10 @@
 	Probe(h member.Heartbeat) member.Heartbeat
 	NewerDocuments(known map[string]int64) map[string]document.Item
 	RecordRevisions(address string, revisions map[string]int64)
-	Grant(ask limit.LeaseRequest) limit.Grant
+	Grant(r limit.LeaseRequest) limit.Grant
 	Counts() (node string, counts rollout.Counts)
 	JournalRecords(journal string) billing.JournalRecords
-	StoreCheckpoint(a ledger.Snapshot)
+	StoreCheckpoint(s ledger.Snapshot)
 	FindResponse(attempt string) (x *answer.Response, ran bool)
 	CancelAttempt(attempt string) bool
 	Explain(requestID string) (decision.Summary, bool)
@@ -77,13 +77,13 @@
 		callTransfer: unaryHandler(func(_ context.Context, r claim.TransferRequest) (claim.TransferReply, error) {
 			return replica.Transfer(r), nil
 		}),
-		callLimit:  unaryHandler(func(_ context.Context, a limit.LeaseRequest) (limit.Grant, error) { return node.Grant(a), nil }),
+		callLimit:  unaryHandler(func(_ context.Context, r limit.LeaseRequest) (limit.Grant, error) { return node.Grant(r), nil }),
 		callCounts: countsHandler(node.Counts),
-		callRecall: unaryHandler(func(_ context.Context, r recallRequest) (billing.JournalRecords, error) {
+		callJournalRecords: unaryHandler(func(_ context.Context, r journalRecordsRequest) (billing.JournalRecords, error) {
 			return node.JournalRecords(r.Journal), nil
 		}),
-		callCheckpoint: unaryHandler(func(_ context.Context, a ledger.Snapshot) (empty, error) {
-			node.StoreCheckpoint(a)
+		callCheckpoint: unaryHandler(func(_ context.Context, s ledger.Snapshot) (empty, error) {
+			node.StoreCheckpoint(s)
 			return empty{}, nil
 		}),
 		callCancel: unaryHandler(func(_ context.Context, r attemptRequest) (cancelReply, error) {
--- a/internal/standin/store.go
+++ b/internal/standin/store.go
@@ -236,8 +236,8 @@
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
 	for {
-		events, revision, changed, gone := s.changesSince(query.Get("path_prefix"), after)
-		if gone {
+		events, revision, changed, compacted := s.changesSince(query.Get("path_prefix"), after)
+		if compacted {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
@@ -258,7 +258,7 @@
 // changesSince returns the changes to keys with a prefix after a revision, the current
 // revision, a channel that is closed at the next change, and whether some of the
 // changes have been dropped by [Store.Compact].
-func (s *Store) changesSince(prefix string, after int64) (events []storeItem, revision int64, changed chan struct{}, gone bool) {
+func (s *Store) changesSince(prefix string, after int64) (events []storeItem, revision int64, changed chan struct{}, compacted bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	events = []storeItem{}
--- a/node/backends.go
+++ b/node/backends.go
@@ -132,27 +132,27 @@
 	}()
 }
 
-// holdingTimeout limits asking all servers of a pool for their loaded models.
-const holdingTimeout = time.Second
+// loadedModelsTimeout limits asking all servers of a pool for their loaded models.
+const loadedModelsTimeout = time.Second
 
 // LoadedModels asks the servers of a pool which models they have loaded. A server that
 // does not respond is returned without models.
 func (b *backends) LoadedModels(pool string) []placement.ServerModels {
-	ctx, cancel := context.WithTimeout(context.Background(), holdingTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), loadedModelsTimeout)
 	defer cancel()
 	servers := b.n.Config().Servers(pool)
-	holdings := make([]placement.ServerModels, len(servers))
+	loaded := make([]placement.ServerModels, len(servers))
 	var polls sync.WaitGroup
 	for i, server := range servers {
 		polls.Go(func() {
-			holdings[i].Server = server
+			loaded[i].Server = server
 			if report, err := b.engines.LoadReport(ctx, server); err == nil {
-				holdings[i].Models = report.Models
+				loaded[i].Models = report.Models
 			}
 		})
 	}
 	polls.Wait()
-	return holdings
+	return loaded
 }
 
 // Order sends an order to load or unload a model, with the lease's fencing token.
--- a/node/node.go
+++ b/node/node.go
@@ -81,7 +81,7 @@
 	claimer     *claim.Claimer
 	journal     *ledger.Journal
 	closer      *ledger.Closer
-	answers     *answer.Store
+	responses   *answer.Store
 	decisions   *decision.Log
 	limiter     *limit.Limiter
 	grantor     *limit.Grantor
@@ -182,7 +182,7 @@
 		RecoveredBillTTL: 2 * settings.Millis(s.Times.ResponseTTLMillis),
 	})
 	n.billTracker.Attach(n.journal, n.replica, n.biller)
-	n.answers = answer.NewStore(n.timers, settings.Millis(s.Times.ResponseTTLMillis), s.Bounds.ResponseMemoryBytes)
+	n.responses = answer.NewStore(n.timers, settings.Millis(s.Times.ResponseTTLMillis), s.Bounds.ResponseMemoryBytes)
 	n.client.SetLocal(n.self.ID, n.self.Peer, peerNode{n}, n.replica)
 	n.peers = peer.NewServer(peerNode{n}, n.replica, n.client)
 }
@@ -192,7 +192,7 @@
 func (n *Node) initRequestPath() {
 	s := n.settings
 	n.decisions = decision.New(n.self.ID)
-	n.limiter = limit.New(grantors{n}, n.timers)
+	n.limiter = limit.New(grantorClient{n}, n.timers)
 	n.grantor = limit.NewGrantor(n.accountLimit, n.timers)
 	n.viewManager.Subscribe(func(v *view.View) { n.grantor.SetEpoch(v.Epoch(), n.ownsAccountLimit) })
 	n.picker = rollout.NewPicker()
@@ -214,7 +214,7 @@
 		ReceivesUpdates: n.replicator.ReceivesUpdates,
 		Claims:          n.claimer,
 		Holders:         holders{n},
-		Responses:       n.answers,
+		Responses:       n.responses,
 		Pins:            session.New(n.claimer, n.holder, newID, n.timers),
 		Picker:          n.picker,
 		Planner:         cascade.New(),
@@ -269,7 +269,7 @@
 		{"violettally_bills_pending", "Bills that wait for their fold.", func() float64 { return float64(n.journal.Pending()) }},
 		{"violettally_admission_running", "Requests that this node has let in to pools.", func() float64 { running, _ := n.backends.load(); return float64(running) }},
 		{"violettally_admission_waiting", "Requests that wait for a pool.", func() float64 { _, waiting := n.backends.load(); return float64(waiting) }},
-		{"violettally_requests_running", "Requests under way.", func() float64 { return float64(n.answers.Running()) }},
+		{"violettally_requests_running", "Requests under way.", func() float64 { return float64(n.responses.Running()) }},
 	}
 	for _, g := range gauges {
 		if err := n.metrics.Gauge(g.name, g.help, g.read); err != nil {
@@ -374,7 +374,7 @@
 	var tasks sync.WaitGroup
 	for _, run := range []func(context.Context){
 		n.vms.Run, n.replicator.Run, n.prober.Run, n.viewManager.Run, n.replica.Run, n.journal.Run, n.closer.Run, n.billTracker.Run,
-		n.answers.Run, n.limiter.Run, n.leases.Run, n.driver.Run, n.placer.Run, n.backends.Run, n.takeOverOrphans,
+		n.responses.Run, n.limiter.Run, n.leases.Run, n.driver.Run, n.placer.Run, n.backends.Run, n.takeOverOrphans,
 		func(ctx context.Context) { stall.Watch(ctx, n.timers, stall.Log) },
 	} {
 		tasks.Go(func() { run(ctx) })
@@ -402,8 +402,8 @@
 	n.callers.DisableKeepAlives()
 	n.pause(drainNoticeTime + settings.Millis(n.settings.Times.AddressTTLMillis))
 	n.dispatch.Drain()
-	limit := settings.Millis(n.settings.Times.RequestTimeoutMillis)
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	timeout := settings.Millis(n.settings.Times.RequestTimeoutMillis)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	if err := n.callers.Shutdown(ctx); err != nil {
 		slog.Warn("requests still running at the drain timeout", "error", err)
--- a/node/peers.go
+++ b/node/peers.go
@@ -96,7 +96,7 @@
 	p.n.replicator.HandleRevisions(address, revisions)
 }
 
-func (p peerNode) Grant(ask limit.LeaseRequest) limit.Grant { return p.n.grantor.Grant(ask) }
+func (p peerNode) Grant(r limit.LeaseRequest) limit.Grant { return p.n.grantor.Grant(r) }
 
 func (p peerNode) Counts() (string, rollout.Counts) { return p.n.self.ID, p.n.picker.Counts() }
 
@@ -104,10 +104,10 @@
 	return p.n.billTracker.LocalRecords(journal)
 }
 
-func (p peerNode) StoreCheckpoint(a ledger.Snapshot) { p.n.billTracker.StoreCheckpoint(a) }
+func (p peerNode) StoreCheckpoint(s ledger.Snapshot) { p.n.billTracker.StoreCheckpoint(s) }
 
 func (p peerNode) FindResponse(attempt string) (*answer.Response, bool) {
-	return p.n.answers.Find(attempt)
+	return p.n.responses.Find(attempt)
 }
 
 func (p peerNode) CancelAttempt(attempt string) bool { return p.n.dispatch.CancelAttempt(attempt) }
@@ -132,19 +132,19 @@
 	return status == member.StatusFaulty
 }
 
-// grantors implements limit.GrantorClient.
-type grantors struct{ n *Node }
+// grantorClient implements limit.GrantorClient.
+type grantorClient struct{ n *Node }
 
-func (g grantors) Members() int { return len(g.n.viewManager.Current().Members()) }
+func (g grantorClient) Members() int { return len(g.n.viewManager.Current().Members()) }
 
-func (g grantors) RequestLease(ctx context.Context, ask limit.LeaseRequest) (limit.Grant, error) {
+func (g grantorClient) RequestLease(ctx context.Context, request limit.LeaseRequest) (limit.Grant, error) {
 	v := g.n.viewManager.Current()
-	owner, ok := g.n.accountLimitOwner(v, ask.Account)
+	owner, ok := g.n.accountLimitOwner(v, request.Account)
 	if !ok {
 		return limit.Grant{Refused: true}, nil
 	}
-	ask.Epoch, ask.Node = v.Epoch(), g.n.self.ID
-	return g.n.client.RequestLimitLease(ctx, owner, ask)
+	request.Epoch, request.Node = v.Epoch(), g.n.self.ID
+	return g.n.client.RequestLimitLease(ctx, owner, request)
 }
 
 func (n *Node) accountLimitOwner(v *view.View, account string) (view.Member, bool) {
