--- a/adapter/callers/callers_test.go
+++ b/adapter/callers/callers_test.go
@@ -17,7 +17,7 @@
 )
 
 // TestNoConfiguration sends requests to a node that has just started. It listens
-// about 70 ms before its configuration arrives, and knows no accounts until then.
+// about 70 ms before its configuration arrives, and has no accounts until then.
 // It must not reject a valid key with 401 and "not run": clients don't retry a
 // 401, and an asynchronous request may have run on another node.
 func TestNoConfiguration(t *testing.T) {
--- a/adapter/callers/response.go
+++ b/adapter/callers/response.go
@@ -79,9 +79,9 @@
 	_ = c.JSON(failure.Status, newErrorBody(failure, c.Response().Header().Get(requestIDHeader)))
 }
 
-// ranWithoutAccount returns whether a request ran that is refused before its
-// account is known. A request with an id of the client's choice may have run
-// before, which only the account's claims can tell.
+// ranWithoutAccount returns whether a request that is refused before its account
+// is determined may have run. One with an id chosen by the client may have run
+// before; only the account's claims record that.
 func ranWithoutAccount(r *http.Request) dispatch.Ran {
 	if r.Method == http.MethodPost && r.Header.Get(idempotencyHeader) == "" {
 		return dispatch.RanNo
--- a/adapter/engine/engine.go
+++ b/adapter/engine/engine.go
@@ -42,8 +42,7 @@
 	// sent on a connection that the server is closing.
 	idleTimeout         = 30 * time.Second
 	maxIdleConnsPerHost = 64
-	// notRunHeader marks a response by which a server tells that it did not run
-	// the request.
+	// notRunHeader is set in the response of a server that did not run the request.
 	notRunHeader = "X-Not-Run"
 	streamHeader = "X-Stream-Id"
 	// maxEventBytes is the largest size of a line of a server-sent event.
--- a/adapter/peer/client.go
+++ b/adapter/peer/client.go
@@ -309,7 +309,7 @@
 	return reply.Items, err
 }
 
-// Notify tells a peer the revisions of this node's documents.
+// Notify sends a peer the revisions of this node's documents.
 func (c *Client) Notify(ctx context.Context, address string, revisions map[string]int64) error {
 	_, err := invoke[notifyRequest, empty](ctx, c, address, callNotify, notifyRequest{From: c.address, Revisions: revisions})
 	return err
@@ -341,7 +341,7 @@
 	return err
 }
 
-// Release gives up a claim at a replica, if its state is at most upTo.
+// Release releases a claim at a replica, if its state is at most upTo.
 func (c *Client) Release(ctx context.Context, to view.Member, key claim.Key, token string, upTo claim.State) error {
 	if to.ID == c.self {
 		c.replica.Release(key, token, upTo)
@@ -414,7 +414,7 @@
 const attachTimeout = time.Second
 
 // Attach follows an attempt's response at its holder. Found is false if the holder
-// does not know the attempt; ran then tells whether it knows that the attempt ran.
+// has no such response; ran then reports whether it has a record that the attempt ran.
 func (c *Client) Attach(ctx context.Context, h claim.Holder, attempt string) (x *answer.Response, found, ran bool, err error) {
 	if h.ID == c.self {
 		x, ran := c.node.FindResponse(attempt)
--- a/adapter/peer/declaration_test.go
+++ b/adapter/peer/declaration_test.go
@@ -32,14 +32,14 @@
 )
 
 // TestLargeDeclaration checks that a declaration with 1,600 routes reaches all nodes
-// of a hall in time over the link of the one node that they follow.
+// of a data hall in time over the link of the one node that they follow.
 func TestLargeDeclaration(t *testing.T) { checkPropagation(t, 20, 1600) }
 
 // TestLargestDeclaration checks the same for a declaration that grows to the largest
 // value that the store takes (1 MB).
 //
 // Uncompressed, the reply for 2,800 routes has 525 kB. Sending it to 30 followers took
-// longer than a timeout of 0.8 s, so all of them gave up and asked again, the link
+// longer than a timeout of 0.8 s, so all of them cancelled and retried, the link
 // stayed full, and one node lacked the newest declaration 4.9 s after it was
 // acknowledged. Compressed, a reply takes a tenth of that, but still grows with the
 // whole value: for 6,200 routes and all followers it exceeds a timeout of 2.5 s, also
@@ -47,7 +47,7 @@
 func TestLargestDeclaration(t *testing.T) { checkPropagation(t, 4800, 6200) }
 
 // checkPropagation changes a declaration from before to after routes, and checks that
-// all nodes of a hall have the change within maxPropagation.
+// all nodes of a data hall have the change within maxPropagation.
 func checkPropagation(t *testing.T, before, after int) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -170,7 +170,7 @@
 
 var errStoreUnreachable = errors.New("store unreachable")
 
-// noPeers is the peers of a node that follows the store.
+// noPeers is the peer set of a node that follows the store.
 type noPeers struct{}
 
 func (noPeers) Addresses() []string { return nil }
@@ -179,7 +179,7 @@
 	return mirror.Batch{}, errors.New("no peer")
 }
 
-// singlePeer is the peers of a node that has only one to follow.
+// singlePeer is the peer set of a node that has only one peer to follow.
 type singlePeer struct{ client *peer.Client }
 
 const upstreamAddress = "upstream"
--- a/adapter/peer/encode.go
+++ b/adapter/peer/encode.go
@@ -135,7 +135,7 @@
 }
 
 // cached returns an item's encoding from cache, or calls encode and stores the
-// result. The lock is held meanwhile: the peers of a hall all ask for a new value at
+// result. The lock is held meanwhile: all peers of a data hall request a new value at
 // the same time, and all but the first wait for its encoding.
 func (e *batchEncoder) cached(cache map[string]encodedValue, item mirror.Item, base int64, encode func() ([]byte, error)) ([]byte, error) {
 	e.mu.Lock()
--- a/adapter/peer/gateway.go
+++ b/adapter/peer/gateway.go
@@ -13,22 +13,22 @@
 	"github.com/violettally/violettally/share"
 )
 
-// callExchange tells a peer what a node has sent to servers, and returns what the
-// peer has.
+// callExchange sends a peer records of the requests that were sent to servers, and
+// returns the peer's records (package share).
 const callExchange = "exchange"
 
-// callFollow fetches what a node's copy of the store has after a revision.
+// callFollow fetches the changes after a revision from a node's copy of the store.
 const callFollow = "follow"
 
 // followRequest asks for the changes after a revision, waiting for some up to Wait.
 type followRequest struct {
 	After int64         `cbor:"1,keyasint"`
 	Wait  time.Duration `cbor:"2,keyasint"`
-	// AcceptCompressed says that the caller decodes compressed values; earlier
-	// versions do not.
+	// AcceptCompressed means that the sender of the request decodes compressed
+	// values; earlier versions do not.
 	AcceptCompressed bool `cbor:"3,keyasint,omitempty"`
-	// AcceptDeltas says that the caller has the large values as of After, and
-	// decodes deltas of them.
+	// AcceptDeltas means that the sender of the request has the large values as of
+	// After, and decodes deltas of them.
 	AcceptDeltas bool `cbor:"4,keyasint,omitempty"`
 }
 
@@ -40,8 +40,8 @@
 	Exchange(m share.Message) share.Reply
 }
 
-// NewGatewayServer returns a server for the calls between gateways, without those
-// between the product's own nodes.
+// NewGatewayServer returns a server for the calls between gateways. It does not serve
+// the calls of [Node].
 func NewGatewayServer(g Gateway) *Server {
 	encoder := newBatchEncoder(g.Previous)
 	return &Server{handlers: map[string]func(drpc.Stream) error{
@@ -63,10 +63,10 @@
 	})
 }
 
-// Follow fetches what a gateway's copy of the store has after a revision, waiting
-// for changes up to wait. Large values that this node has arrive as deltas of them.
-// If this node's copy changed in the meantime, because another peer updated it, the
-// base of a delta may be missing; then Follow asks again for the whole values.
+// Follow fetches the changes after a revision from a gateway's copy of the store,
+// waiting for some up to wait. Large values that this node has arrive as deltas. If
+// this node's copy changed in the meantime, because another peer updated it, the base
+// of a delta may be missing; then Follow fetches the whole values.
 func (c *Client) Follow(ctx context.Context, address string, after int64, wait time.Duration) (mirror.Batch, error) {
 	request := followRequest{After: after, Wait: wait, AcceptCompressed: true, AcceptDeltas: c.knownValue != nil}
 	batch, err := c.follow(ctx, address, request)
@@ -86,8 +86,8 @@
 	return reply.decode(c.knownValue)
 }
 
-// Exchange tells a gateway what this node knows of requests sent to servers, and
-// returns what the gateway knows.
+// Exchange sends a gateway this node's records of requests sent to servers, and
+// returns the gateway's records.
 func (c *Client) Exchange(ctx context.Context, address string, m share.Message) (share.Reply, error) {
 	return invoke[share.Message, share.Reply](ctx, c, address, callExchange, m)
 }
--- a/adapter/peer/messages.go
+++ b/adapter/peer/messages.go
@@ -64,15 +64,15 @@
 }
 
 // attemptRequest identifies an attempt and the member that holds it. The holder is
-// checked because a later incarnation at the same address does not know the
+// checked because a later incarnation at the same address has no record of the
 // attempt, although it may have run.
 type attemptRequest struct {
 	Attempt string `cbor:"1,keyasint"`
 	Holder  string `cbor:"2,keyasint"`
 }
 
-// attachMessage is one message of the stream of a response to another node. The
-// first one tells whether the attempt is known.
+// attachMessage is one message of a stream that sends a response to another node.
+// In the first one, Found reports whether the node has the response.
 type attachMessage struct {
 	Found   bool            `cbor:"1,keyasint"`
 	Ran     bool            `cbor:"2,keyasint"`
