--- a/node/backends.go
+++ b/node/backends.go
@@ -132,11 +132,11 @@
 	}()
 }
 
-// loadedModelsTimeout limits asking all servers of a pool for their loaded models.
+// loadedModelsTimeout limits the requests for the loaded models of a pool's servers.
 const loadedModelsTimeout = time.Second
 
-// LoadedModels asks the servers of a pool which models they have loaded. A server that
-// does not respond is returned without models.
+// LoadedModels requests the loaded models of a pool's servers. A server that does not
+// respond is returned without models.
 func (b *backends) LoadedModels(pool string) []placement.ServerModels {
 	ctx, cancel := context.WithTimeout(context.Background(), loadedModelsTimeout)
 	defer cancel()
--- a/node/node.go
+++ b/node/node.go
@@ -279,8 +279,8 @@
 	return nil
 }
 
-// newID returns a time-ordered UUID (RFC 9562, version 7), so that an ID made
-// after a loss of claims is known to be new.
+// newID returns a time-ordered UUID (RFC 9562, version 7). The time in an ID
+// shows whether it was made after a loss of claims and is therefore new.
 func newID() string { return uuid.Must(uuid.NewV7()).String() }
 
 // Config returns the current configuration.
@@ -383,8 +383,8 @@
 }
 
 const (
-	// drainNoticeTime is how long it takes until all nodes know that one is
-	// shutting down.
+	// drainNoticeTime is how long it takes until a node's shutdown has reached all
+	// other nodes.
 	drainNoticeTime = time.Second
 	// finalCallsTimeout limits the last calls of a node that shuts down.
 	finalCallsTimeout = 5 * time.Second
@@ -395,7 +395,7 @@
 
 // drain removes the node from the addresses given to clients, serves until their
 // cached addresses have expired and the last request has its response, folds the
-// node's bills, and removes the node from the view.
+// node's bills (package ledger), and removes the node from the view.
 func (n *Node) drain() {
 	slog.Info("node draining")
 	n.prober.Leave()
--- a/node/peers.go
+++ b/node/peers.go
@@ -54,8 +54,9 @@
 }
 
 // isFirstInRegion reports whether this node is the first reachable node of its
-// region and its claim replica has settled. Two nodes may both take themselves
-// for the first, so the tasks of that node must be safe to run twice.
+// region and its claim replica is synced. Nodes may disagree about which of them are
+// reachable, so two may both be first, and the tasks of that node must be safe to run
+// twice.
 func (n *Node) isFirstInRegion() bool { return n.prober.RegionRank() == 0 && n.replica.Synced() }
 
 // driverCandidates is how many nodes of a region compete for the driver's lease.
@@ -242,9 +243,9 @@
 
 const orphanScanInterval = 2 * time.Second
 
-// takeOverOrphans takes over patient requests whose node has failed. The first
-// reachable replica of the request's claim does so; if two replicas both take
-// themselves for the first, the claim of the next attempt decides.
+// takeOverOrphans takes over async requests whose node has failed. The first reachable
+// replica of the request's claim does so. If replicas disagree about which one that is,
+// two may do so, and only the one whose attempt gets the claim runs the request.
 func (n *Node) takeOverOrphans(ctx context.Context) {
 	takenOver := make(map[string]time.Time)
 	n.timers.Every(ctx, orphanScanInterval, func() {
