--- a/settings/gateway.go
+++ b/settings/gateway.go
@@ -52,8 +52,8 @@
 type GatewayBounds struct {
 	// GraceSeconds is the time between SIGTERM and the forced end of the process.
 	GraceSeconds float64 `json:"grace_s"`
-	// DrainMillis is the time after which a server that is known to shut down
-	// must get no more requests.
+	// DrainMillis is the time from the announcement that a server is draining until
+	// it must get no more requests.
 	DrainMillis float64 `json:"drain_ms"`
 	// AddressTTLMaxSeconds is the longest time that clients cache addresses.
 	AddressTTLMaxSeconds float64 `json:"address_ttl_max_s"`
@@ -91,8 +91,8 @@
 	return time.Duration(g.Bounds.GraceSeconds * float64(time.Second))
 }
 
-// Drain returns the agreed time after which a server that shuts down must get no
-// more requests; zero if none is agreed.
+// Drain returns the time after which a draining server must get no more requests;
+// zero if none is set.
 func (g *Gateway) Drain() time.Duration {
 	return time.Duration(g.Bounds.DrainMillis * float64(time.Millisecond))
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -63,7 +63,7 @@
 }
 
 // Listener is an address that the process listens on. Advertise is the address
-// that clients and peers are told; Listen if empty.
+// that is published to clients and peers; Listen if empty.
 type Listener struct {
 	Listen    string `json:"listen" env:"LISTEN"`
 	Advertise string `json:"advertise" env:"ADVERTISE"`
