--- a/internal/errs/errs.go
+++ b/internal/errs/errs.go
@@ -6,10 +6,10 @@
 //
 //	var (
 //		namespace = errs.Namespace("lease")
-//		Lapsed    = namespace.NewType("lapsed")
+//		Expired   = namespace.NewType("expired")
 //	)
 //
-//	return errs.Wrap(Lapsed, "renew", err, "lease %s", name)
+//	return errs.Wrap(Expired, "renew", err, "lease %s", name)
 //
 // A caller tells kinds apart with errorx.IsOfType and reads the operation with
 // [Op].
--- a/internal/standin/plain.go
+++ b/internal/standin/plain.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Plain is a stand-in for a plain service, one that is not a model engine, such as
-// the dispatch desk's record of proofs of drop. GET /ran lists each run, so that a
-// test can detect a call that ran twice.
+// Plain is a stand-in for a plain service, one that is not a model engine, such as a
+// service that stores proofs of delivery. GET /ran lists each run, so that a test can
+// detect a call that ran twice.
 type Plain struct {
 	faultInjector
 	delay time.Duration
