--- a/e2e/harness_test.go
+++ b/e2e/harness_test.go
@@ -170,8 +170,8 @@
 }
 
 // maxLogBytes is how much of a process's log a failed test prints: about 20 s of
-// requests. A missing bill is found at the end of a run, and its request may be any
-// earlier one: the last 4 kB did not reach back to it.
+// requests. A missing bill is detected at the end of a run, and its request may have
+// been sent at any time before: the last 4 kB did not reach back to it.
 const maxLogBytes = 400_000
 
 func (p *process) printLog() {
@@ -386,7 +386,7 @@
 func (f *fleet) waitReady(nodes ...*node) {
 	f.t.Helper()
 	for _, n := range nodes {
-		f.waitFor("readiness of "+n.vm, func() bool { return strings.HasPrefix(string(f.get(n.operatorAddr, "/ready")), "ready") })
+		f.waitFor(n.vm+" to be ready", func() bool { return strings.HasPrefix(string(f.get(n.operatorAddr, "/ready")), "ready") })
 	}
 }
 
--- a/e2e/workload_test.go
+++ b/e2e/workload_test.go
@@ -51,7 +51,7 @@
 	body      string
 	// notRun is set if the last attempt was refused as not run and the client gave up.
 	notRun bool
-	// unknown is set if the client was told that the outcome is unknown.
+	// unknown is set if the last response says that the outcome is unknown.
 	unknown bool
 }
 
@@ -127,7 +127,7 @@
 	}
 }
 
-// addressCache holds the node addresses that a client knows.
+// addressCache holds the node addresses that a client has fetched.
 type addressCache struct {
 	f         *fleet
 	rng       *rand.Rand
