--- a/accuracy/sums.go
+++ b/accuracy/sums.go
@@ -90,8 +90,8 @@
 }
 
 // bandFor returns the band of a confidence.
-func (t *Table) bandFor(confidence float64, answered bool) *Band {
-	if !answered {
+func (t *Table) bandFor(confidence float64, hasResponse bool) *Band {
+	if !hasResponse {
 		confidence = math.Inf(1)
 	}
 	i := len(t.bands) - 1
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -89,23 +89,23 @@
 	store         *platform.Store
 	mirror        *mirror.Mirror
 	registry      *registry.Registry
-	runners       *platform.BackendClient
+	backends      *platform.BackendClient
 	balancer      *route.Balancer
 	picker        *rollout.Picker
-	services      *rollout.ServicePicker
+	servicePicker *rollout.ServicePicker
 	driver        *rollout.Driver
 	leaseHolder   *lease.Holder
-	client        *peer.Client
+	peerClient    *peer.Client
 	membership    *membership
 	exchange      *share.Exchange
 	detector      *suspect.Detector
 	verdictSyncer *suspect.Syncer
 
-	relay        *relay.Relay
-	decisions    *decision.Log
-	clientServer *platform.Frontend
-	catalog      atomic.Pointer[catalog.Catalog]
-	leaving      atomic.Bool
+	relay     *relay.Relay
+	decisions *decision.Log
+	frontend  *platform.Frontend
+	catalog   atomic.Pointer[catalog.Catalog]
+	leaving   atomic.Bool
 }
 
 // New returns a gateway that is not running yet.
@@ -128,14 +128,14 @@
 	}
 	g.catalog.Store(catalog.Empty())
 	g.store = platform.NewStore(s.Store.Address, instruments.PlatformCall)
-	g.client = peer.NewClient(nil, peer.WithCallCounter(instruments.PeerCall),
+	g.peerClient = peer.NewClient(nil, peer.WithCallCounter(instruments.PeerCall),
 		peer.WithKnownValues(func(key string) (mirror.Item, bool) { return g.mirror.Get(key) }))
 	g.registry = registry.New(g.timers)
-	g.runners = platform.NewBackendClient()
+	g.backends = platform.NewBackendClient()
 	g.balancer = route.NewBalancer(s.DataHall, instruments.BreakerOpened, route.WithAnnouncer(func(s share.Record, prefillMillis float64) { g.exchange.Publish(s, prefillMillis) }))
 	g.membership = newMembership(g)
 	g.detector = suspect.New(g.timers)
-	g.exchange = share.NewExchange(g.self, g, g.client, g.timers, g.handleRecord)
+	g.exchange = share.NewExchange(g.self, g, g.peerClient, g.timers, g.handleRecord)
 	g.mirror = mirror.New(g.store, mirrorPeers{g}, g.timers, mirror.WithEvents(instruments.MirrorEvent))
 	g.membership.synced = g.mirror.Synced()
 	g.verdictSyncer = suspect.NewSyncer(g.detector, g.store, g.mirror, g.membership.countAllPeers, g.timers)
@@ -164,9 +164,9 @@
 // active while this gateway holds the driver's lease.
 func (g *Gateway) initRollouts() {
 	g.picker = rollout.NewPicker()
-	g.services = rollout.NewServicePicker(g.picker, canarySafetyFactor*g.settings.Bounds.CanaryShare)
+	g.servicePicker = rollout.NewServicePicker(g.picker, canarySafetyFactor*g.settings.Bounds.CanaryShare)
 	g.leaseHolder = lease.New(driverLeaseName, g.self.ID, g.store, g.timers, driverLeaseTTL, lease.WithEligibility(g.mayDrive))
-	g.driver = rollout.NewDriver(stagesKey, stageUpdater{g}, countCollector{g}, g.leaseHolder, g.services.Models, g.timers)
+	g.driver = rollout.NewDriver(stagesKey, stageUpdater{g}, countCollector{g}, g.leaseHolder, g.servicePicker.Models, g.timers)
 }
 
 // initRelay creates the relay, which handles requests.
@@ -177,13 +177,13 @@
 		Catalog:   g.Catalog,
 		Servers:   g.registry,
 		StoreView: g.mirror,
-		Versions:  g.services,
+		Versions:  g.servicePicker,
 		Balancer:  g.balancer,
 		Cascade:   cascade.NewConfidencePolicy(),
 		Budgets:   g.newRetryBudgets(g.settings.Bounds.RetryRatio),
 		Reroutes:  g.newRetryBudgets(min(rerouteRatio, g.settings.Bounds.RetryRatio)),
 		Suspects:  relaySuspects{g},
-		Backends:  g.runners,
+		Backends:  g.backends,
 		Records:   g.decisions,
 		Counters:  g.metrics.Relay(),
 	})
@@ -272,7 +272,7 @@
 	end := signaled.Add(time.Duration(abortShare * float64(grace)))
 	closeAt := signaled.Add(min(maxDrainAccept, time.Duration(drainAcceptShare*float64(grace))))
 	g.relay.Drain(relay.NewShutdown(signaled, closeAt, end))
-	g.clientServer.StartDrain()
+	g.frontend.StartDrain()
 	// This comes last, so that once the gateway reports that it is not ready, every
 	// response closes its connection.
 	g.leaving.Store(true)
@@ -302,14 +302,14 @@
 func (g *Gateway) shutdown(end time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
-	if g.clientServer.Shutdown(ctx) == nil {
+	if g.frontend.Shutdown(ctx) == nil {
 		return
 	}
 	slog.Warn("aborting remaining requests", "count", len(g.decisions.Unfinished()))
 	g.relay.Close()
 	flushCtx, cancelFlush := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancelFlush()
-	if err := g.clientServer.Wait(flushCtx); err != nil {
+	if err := g.frontend.Wait(flushCtx); err != nil {
 		slog.Warn("final responses not all written", "error", err)
 	}
 }
--- a/gateway/listeners.go
+++ b/gateway/listeners.go
@@ -45,8 +45,8 @@
 	}
 	limits := func() catalog.Limits { return g.Catalog().Limits() }
 	refused := func(reason relay.Reason) { g.metrics.Relay().Refused(reason, "") }
-	g.clientServer = platform.NewFrontend(clients, g.relay, limits, refused)
-	endpoints := []endpoint{{clients, func(context.Context, net.Listener) error { return g.clientServer.Serve() }}}
+	g.frontend = platform.NewFrontend(clients, g.relay, limits, refused)
+	endpoints := []endpoint{{clients, func(context.Context, net.Listener) error { return g.frontend.Serve() }}}
 	for _, o := range others {
 		listener, err := listen(o.address)
 		if err != nil {
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -16,10 +16,10 @@
 const (
 	// gatewayPrefix is the prefix of the keys of gateway entries.
 	gatewayPrefix = "nodes/"
-	// lapseGracePeriod is how long entries that expired during an outage of the store
+	// expiryGracePeriod is how long entries that expired during an outage of the store
 	// are kept after its recovery: a gateway notices the recovery within a second or
 	// two, and then writes its entry again at once.
-	lapseGracePeriod = 3 * time.Second
+	expiryGracePeriod = 3 * time.Second
 	// minLocalAddresses is how many gateways of a client's data hall must be known for
 	// the client to be sent to these alone. The same holds for its region.
 	minLocalAddresses = 2
@@ -98,7 +98,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if c.Deleted {
-		keptFor := max(0, lapseGracePeriod-m.g.timers.Steady().Sub(m.recoveredAt))
+		keptFor := max(0, expiryGracePeriod-m.g.timers.Steady().Sub(m.recoveredAt))
 		m.removeEntry(c.Key, keptFor)
 		slog.Info("gateway entry deleted", "key", c.Key, "revision", c.Revision, "kept_ms", keptFor.Milliseconds())
 		return
@@ -153,7 +153,7 @@
 func (m *membership) countAllPeers() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expireLapsed()
+	m.removeExpired()
 	count := len(m.entries)
 	if _, own := m.entries[m.ownKey()]; own {
 		count--
@@ -165,7 +165,7 @@
 func (m *membership) filterPeers(match func(entry) bool) []view.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expireLapsed()
+	m.removeExpired()
 	var found []view.Member
 	for key, e := range m.entries {
 		if key != m.ownKey() && match(e) {
@@ -175,9 +175,9 @@
 	return found
 }
 
-// expireLapsed removes the entries that expired during an outage of the store and were
+// removeExpired removes the entries that expired during an outage of the store and were
 // not written again in time. The caller holds mu.
-func (m *membership) expireLapsed() {
+func (m *membership) removeExpired() {
 	now := m.g.timers.Steady()
 	for key, until := range m.keptUntil {
 		if now.After(until) {
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -77,5 +77,5 @@
 
 // Follow requests the changes after a revision from the copy of another gateway.
 func (p mirrorPeers) Follow(ctx context.Context, address string, after int64, wait time.Duration) (mirror.Batch, error) {
-	return p.g.client.Follow(ctx, address, after, wait)
+	return p.g.peerClient.Follow(ctx, address, after, wait)
 }
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -26,7 +26,7 @@
 func (g *Gateway) applyOrder(c mirror.Change) {
 	service := strings.TrimPrefix(c.Key, platform.OrderPrefix)
 	if c.Deleted {
-		g.services.RemoveOrder(service)
+		g.servicePicker.RemoveOrder(service)
 		return
 	}
 	order, err := platform.DecodeOrder(c.Value)
@@ -35,7 +35,7 @@
 		return
 	}
 	order.Service = service
-	g.services.SetOrder(order)
+	g.servicePicker.SetOrder(order)
 }
 
 // applyStages applies the stages that the driver has stored.
@@ -59,7 +59,7 @@
 
 // rolloutActive reports whether an ordered roll-out has not ended.
 func (g *Gateway) rolloutActive() bool {
-	for _, m := range g.services.Models() {
+	for _, m := range g.servicePicker.Models() {
 		p, known := g.picker.Progress(m.Name)
 		if !known || p.Version != m.Rollout.Version || p.Verdict == rollout.VerdictRunning {
 			return true
@@ -125,7 +125,7 @@
 	// old servers stopped while they still serve those streams.
 	for _, m := range c.g.membership.allPeers() {
 		calls.Go(func() {
-			id, counts, err := c.g.client.Counts(ctx, m)
+			id, counts, err := c.g.peerClient.Counts(ctx, m)
 			if err != nil {
 				slog.Debug("collecting counts of a gateway failed", "id", m.ID, "error", err)
 				return
--- a/gateway/subscribe.go
+++ b/gateway/subscribe.go
@@ -84,5 +84,5 @@
 // entry whether a response will still come.
 func (g *Gateway) resetServer(server registry.Server) {
 	g.balancer.Retain(g.registry.Incarnations())
-	g.runners.CloseIdle(server.Address)
+	g.backends.CloseIdle(server.Address)
 }
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -46,12 +46,12 @@
 	}
 	g.handleFinding(digest, finding, true)
 	g.recordWithdrawn(withdrawn)
-	g.recordAbandoned(server, ago)
+	g.recordAbandonedLosses(server, ago)
 }
 
-// recordAbandoned records as lost the requests that this gateway had abandoned at a server
+// recordAbandonedLosses records as lost the requests that this gateway had abandoned at a server
 // just before it ended, the given time ago.
-func (g *Gateway) recordAbandoned(server uint64, ago time.Duration) {
+func (g *Gateway) recordAbandonedLosses(server uint64, ago time.Duration) {
 	for _, digest := range g.detector.TakeAbandoned(server, ago) {
 		g.recordLoss(digest, server, ago)
 	}
@@ -86,27 +86,27 @@
 }
 
 // handleRecord handles a record that another gateway has published.
-func (g *Gateway) handleRecord(s share.Record) {
+func (g *Gateway) handleRecord(r share.Record) {
 	switch {
-	case s.LostDigest != 0:
-		g.handlePeerLoss(s)
-	case s.AnsweredDigest != 0:
-		g.detector.RecordAnswer(s.AnsweredDigest)
+	case r.LostDigest != 0:
+		g.handlePeerLoss(r)
+	case r.AnsweredDigest != 0:
+		g.detector.RecordAnswer(r.AnsweredDigest)
 	default:
-		g.balancer.ObserveSend(s)
+		g.balancer.ObserveSend(r)
 	}
 }
 
 // handlePeerLoss handles the loss of a request that another gateway has published.
-func (g *Gateway) handlePeerLoss(s share.Record) {
-	finding, withdrawn := g.detector.RecordLoss(s.LostDigest, s.Server, s.Age())
+func (g *Gateway) handlePeerLoss(r share.Record) {
+	finding, withdrawn := g.detector.RecordLoss(r.LostDigest, r.Server, r.Age())
 	if finding == suspect.FindingKnown {
 		return
 	}
 	g.metrics.SuspectEvent(suspect.EventReceived)
-	g.handleFinding(s.LostDigest, finding, false)
+	g.handleFinding(r.LostDigest, finding, false)
 	g.recordWithdrawn(withdrawn)
-	g.recordAbandoned(s.Server, s.Age())
+	g.recordAbandonedLosses(r.Server, r.Age())
 }
 
 // handleFinding acts on a new verdict: it cancels the copies of the request that are
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -51,7 +51,7 @@
 	eligible func() bool
 
 	mu         sync.Mutex
-	id         int64
+	leaseID    int64
 	token      int64
 	validUntil time.Time
 	acquiredAt time.Time
@@ -121,7 +121,7 @@
 
 func (h *Holder) step(ctx context.Context) {
 	h.mu.Lock()
-	id, token := h.id, h.token
+	id, token := h.leaseID, h.token
 	h.mu.Unlock()
 	switch {
 	case token != 0:
@@ -143,9 +143,9 @@
 		h.validUntil = start.Add(h.ttl)
 	case err == nil:
 		slog.Warn("lease expired", "lease", h.name)
-		h.token, h.id = 0, 0
+		h.token, h.leaseID = 0, 0
 	case h.timers.Steady().After(h.validUntil):
-		h.token, h.id = 0, 0
+		h.token, h.leaseID = 0, 0
 	}
 }
 
@@ -168,14 +168,14 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.id, h.token, h.validUntil, h.acquiredAt = id, token, start.Add(h.ttl), h.timers.Steady()
+	h.leaseID, h.token, h.validUntil, h.acquiredAt = id, token, start.Add(h.ttl), h.timers.Steady()
 	slog.Info("lease acquired", "lease", h.name, "token", token)
 }
 
 func (h *Holder) release() {
 	h.mu.Lock()
-	id := h.id
-	h.id, h.token = 0, 0
+	id := h.leaseID
+	h.leaseID, h.token = 0, 0
 	h.mu.Unlock()
 	if id != 0 {
 		h.revoke(id)
--- a/logs/logs_test.go
+++ b/logs/logs_test.go
@@ -20,12 +20,12 @@
 	bytes.Buffer
 }
 
-func (s *blockedWriter) Write(p []byte) (int, error) {
-	s.once.Do(func() {
-		close(s.blocked)
-		<-s.unblock
+func (w *blockedWriter) Write(p []byte) (int, error) {
+	w.once.Do(func() {
+		close(w.blocked)
+		<-w.unblock
 	})
-	return s.Buffer.Write(p)
+	return w.Buffer.Write(p)
 }
 
 // TestWriteNeverBlocks checks that while the output is blocked, lines beyond the queue's
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -166,9 +166,9 @@
 	for i := range halls * perHall {
 		timers := timer.New()
 		t.Cleanup(timers.Close)
-		s := spread.New(f.platform, fleetPeers{f, i}, timers)
-		s.SetMembers(fleetPeers{f, i})
-		f.nodes = append(f.nodes, s)
+		r := spread.New(f.platform, fleetPeers{f, i}, timers)
+		r.SetMembers(fleetPeers{f, i})
+		f.nodes = append(f.nodes, r)
 	}
 	return f
 }
@@ -204,8 +204,8 @@
 // configuration or a newer one.
 func (f *fleet) countWithRevision(revision int64) int {
 	n := 0
-	for _, s := range f.nodes {
-		if s.Revisions()[spread.Config] >= revision {
+	for _, r := range f.nodes {
+		if r.Revisions()[spread.Config] >= revision {
 			n++
 		}
 	}
--- a/timer/timer.go
+++ b/timer/timer.go
@@ -47,9 +47,9 @@
 	// suspended returns for how long the machine has been suspended since it booted,
 	// and initialSuspended is its value when New was called. suspendedSince is the
 	// time suspended since then, in nanoseconds, as Steady counts it.
-	suspended        func() time.Duration
-	initialSuspended time.Duration
-	suspendedSince   atomic.Int64
+	suspended         func() time.Duration
+	initialSuspended  time.Duration
+	countedSuspension atomic.Int64
 }
 
 // Option configures a Service in New.
@@ -81,11 +81,11 @@
 func (s *Service) Steady() time.Time {
 	current := s.suspended() - s.initialSuspended
 	for {
-		known := s.suspendedSince.Load()
+		known := s.countedSuspension.Load()
 		if current < time.Duration(known)+minSuspension {
 			return time.Now().Add(time.Duration(known))
 		}
-		if s.suspendedSince.CompareAndSwap(known, int64(current)) {
+		if s.countedSuspension.CompareAndSwap(known, int64(current)) {
 			return time.Now().Add(current)
 		}
 	}
