--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -4,9 +4,9 @@
 //
 // Package node does the same for the product's own API. A gateway keeps no state
 // that outlives its process. On the request path it calls neither other gateways nor
-// the store, unless a refused request is due for a test (package suspect). In the
-// background, gateways tell each other which requests they have sent to backend
-// servers (package share).
+// the store, unless a refused request is due for a probe (package suspect). In the
+// background, gateways exchange records of the requests that they have sent to
+// backend servers (package share).
 //
 // # Usage
 //
@@ -57,7 +57,7 @@
 )
 
 const (
-	// driverLeaseName is the lease held by the gateway that drives roll-outs.
+	// driverLeaseName is the name of the lease of the gateway that drives rollouts.
 	driverLeaseName = "driver"
 	// driverLeaseTTL leaves enough time to replace a failed driver within the 5 s
 	// in which a bad version must be stopped. A shorter TTL costs more renewals.
@@ -74,7 +74,7 @@
 	// servers that respond late. In the deployments' scenarios fewer servers than
 	// that are slow or unresponsive at once; if more are late, the cause is load.
 	rerouteRatio = 0.15
-	// canarySafetyFactor keeps the first stage of a roll-out below the agreed share,
+	// canarySafetyFactor keeps the first stage of a rollout below the agreed share,
 	// since the actual share of requests varies randomly.
 	canarySafetyFactor = 0.7
 )
@@ -160,7 +160,7 @@
 	)
 }
 
-// initRollouts creates the version pickers, and the driver of roll-outs, which is
+// initRollouts creates the version pickers, and the driver of rollouts, which is
 // active while this gateway holds the driver's lease.
 func (g *Gateway) initRollouts() {
 	g.picker = rollout.NewPicker()
@@ -190,7 +190,7 @@
 }
 
 // newRetryBudgets returns this gateway's part of a retry budget that all gateways
-// share. Ratio is the share of the requests that may be sent again.
+// share. Ratio is the share of the requests that may be retried.
 func (g *Gateway) newRetryBudgets(ratio float64) *retry.WindowBudgets {
 	bounds := g.settings.Bounds
 	slack := func() float64 { return retrySafetyFactor * bounds.RetrySlack / float64(g.membership.countAllPeers()+1) }
@@ -219,7 +219,7 @@
 		go run(workCtx)
 	}
 	// The driver's lease is released at the stop signal and not after the drain, so
-	// that another gateway can drive roll-outs meanwhile. The drain doesn't wait for
+	// that another gateway can drive rollouts meanwhile. The drain doesn't wait for
 	// it: a lease that can't be released expires.
 	leaseCtx, releaseLease := context.WithCancel(ctx)
 	defer releaseLease()
@@ -314,15 +314,16 @@
 	}
 }
 
-// Await returns the changes after a revision in this gateway's copy of the store.
-// It waits for some for at most the given time. Peers that follow the copy call it.
+// Await returns the changes after a revision in this gateway's copy of the store. If
+// there are none, it waits for at most the given time. It serves the peers that follow
+// this copy.
 func (g *Gateway) Await(ctx context.Context, revision int64, wait time.Duration) mirror.Batch {
 	return g.mirror.Await(ctx, revision, wait)
 }
 
-// Previous returns the value of a key before its last change, if it was large; the
-// peer server sends large values as differences from it.
+// Previous returns the item that a key had before its last change, if its value was
+// large; the peer server sends large values as deltas from it.
 func (g *Gateway) Previous(key string) (mirror.Item, bool) { return g.mirror.Previous(key) }
 
-// Counts returns this gateway's ID and its counts for the driver of roll-outs.
+// Counts returns this gateway's ID and its counts for the driver of rollouts.
 func (g *Gateway) Counts() (string, rollout.Counts) { return g.self.ID, g.picker.Counts() }
--- a/gateway/listeners.go
+++ b/gateway/listeners.go
@@ -13,7 +13,7 @@
 	"github.com/violettally/violettally/relay"
 )
 
-// readHeaderTimeout applies to the HTTP listeners other than the clients'.
+// readHeaderTimeout applies to the HTTP listeners other than that of the clients.
 const readHeaderTimeout = 5 * time.Second
 
 // endpoint is a listener and the function that serves it.
@@ -25,8 +25,8 @@
 // serveFunc serves a listener until it is closed.
 type serveFunc func(context.Context, net.Listener) error
 
-// openEndpoints opens all listeners: the clients', which is drained at shutdown, and
-// the others.
+// openEndpoints opens all listeners: that of the clients, which is drained at shutdown,
+// and the others.
 func (g *Gateway) openEndpoints() ([]endpoint, error) {
 	s := g.settings
 	peers := peer.NewGatewayServer(g)
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -28,8 +28,8 @@
 // entry is a gateway's entry in the store. Its fields are exported for the codec.
 type entry struct {
 	view.Member
-	// Leaving reports whether the gateway is draining: it gets no new clients, but has
-	// requests under way and reports its counts until its entry is deleted.
+	// Leaving reports whether the gateway is draining: it gets no new clients, but still
+	// serves requests and reports its counts until its entry is deleted.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
@@ -56,9 +56,9 @@
 	mu sync.Mutex
 	// entries holds the known entries by key, this gateway's own included.
 	entries map[string]entry
-	// keptUntil holds, by key, how long entries that are deleted from the store are
-	// still used: those that expired during an outage are written again if their
-	// gateways are running.
+	// keptUntil holds, by key, until when an entry that was deleted from the store is
+	// still used: an entry that expired during an outage is written again if its gateway
+	// is running.
 	keptUntil map[string]time.Time
 	// recoveredAt is when the store last recovered from an outage.
 	recoveredAt time.Time
@@ -77,7 +77,7 @@
 	return &membership{g: g, store: g.store, entries: make(map[string]entry), keptUntil: make(map[string]time.Time), renewRequests: make(chan struct{}, 1)}
 }
 
-// storeRecovered notes that an outage of the store is over, and requests a renewal.
+// storeRecovered records that an outage of the store is over, and requests a renewal.
 func (m *membership) storeRecovered() {
 	m.mu.Lock()
 	m.recoveredAt = m.g.timers.Steady()
@@ -144,7 +144,7 @@
 }
 
 // allPeers returns the other gateways, including those that are leaving, which may
-// still have requests under way.
+// still be serving requests.
 func (m *membership) allPeers() []view.Member {
 	return m.filterPeers(func(entry) bool { return true })
 }
--- a/gateway/own_entry.go
+++ b/gateway/own_entry.go
@@ -14,13 +14,13 @@
 	// entryTTL is the TTL of the lease of a gateway's entry. Renewals are billed, and
 	// clients skip an address that does not respond, so it need not be shorter.
 	entryTTL = 5 * time.Second
-	// renewalRetryDelay is the delay after a first failed renewal. A renewal without
-	// a response has taken a second already, and often only its connection is dead
-	// while a new one works. With half of the usual delay, the entry has more than a
-	// second left when the retry starts.
+	// renewalRetryDelay is the delay after a first failed renewal: half of the usual
+	// one, so that the entry has more than a second left when the retry starts. A
+	// renewal that times out has taken a second already, and often only its connection
+	// is dead while a new one works.
 	renewalRetryDelay = entryTTL / renewalsPerTTL / 2
 	// maxSkippedRenewals limits how many renewals are skipped after consecutive
-	// failures. The store's recovery ends the pause.
+	// failures. When the store recovers, the entry is renewed at once.
 	maxSkippedRenewals = 4
 	// syncTimeout is how long a starting gateway waits to learn which entry a previous
 	// process of its VM has left in the store. The store responds in 4 ms, and within
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -15,8 +15,8 @@
 // Others returns the other gateways that are not leaving.
 func (g *Gateway) Others() []view.Member { return g.membership.peers() }
 
-// Exchange handles a peer's message with the requests that it has sent to servers, and
-// returns what the peer does not know.
+// Exchange handles a peer's message with its records of the requests sent to servers, and
+// returns the records that the peer has not received.
 func (g *Gateway) Exchange(m share.Message) share.Reply { return g.exchange.Handle(m) }
 
 // mirrorPeers gives the mirror access to the other gateways' copies of the store.
@@ -47,7 +47,7 @@
 	return addresses
 }
 
-// distance returns the sort order of a gateway by location: zero in the own data hall.
+// distance returns 0 for a gateway of the own data hall and 1 for any other.
 func (p mirrorPeers) distance(m view.Member) int {
 	if m.DataHall == p.g.self.DataHall {
 		return 0
--- a/gateway/rollouts.go
+++ b/gateway/rollouts.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// stagesKey holds the stages of all roll-outs, so that the next driver can
+	// stagesKey holds the stages of all rollouts, so that the next driver can
 	// continue them.
 	stagesKey = "rollouts"
 	// collectTimeout limits the collection of the peers' counts.
 	collectTimeout = 400 * time.Millisecond
 )
 
-// applyOrder applies a change of an operator's roll-out order.
+// applyOrder applies a change of an operator's rollout order.
 func (g *Gateway) applyOrder(c mirror.Change) {
 	service := strings.TrimPrefix(c.Key, platform.OrderPrefix)
 	if c.Deleted {
@@ -31,7 +31,7 @@
 	}
 	order, err := platform.DecodeOrder(c.Value)
 	if err != nil {
-		slog.Error("invalid roll-out order", "service", service, "error", err)
+		slog.Error("invalid rollout order", "service", service, "error", err)
 		return
 	}
 	order.Service = service
@@ -44,20 +44,20 @@
 		return
 	}
 	if err := g.picker.Apply(document.Item{Data: c.Value, Revision: c.Revision}); err != nil {
-		slog.Error("invalid roll-out stages", "revision", c.Revision, "error", err)
+		slog.Error("invalid rollout stages", "revision", c.Revision, "error", err)
 		return
 	}
-	slog.Info("roll-out stages updated", "stages", string(c.Value), "revision", c.Revision)
+	slog.Info("rollout stages updated", "stages", string(c.Value), "revision", c.Revision)
 }
 
-// mayDrive reports whether this gateway competes for the driver's lease: a roll-out is
+// mayDrive reports whether this gateway competes for the driver's lease: a rollout is
 // active and no gateway is known to hold the lease.
 func (g *Gateway) mayDrive() bool {
 	_, held := g.mirror.Get(lease.Prefix + driverLeaseName)
 	return !held && !g.leaving.Load() && g.rolloutActive()
 }
 
-// rolloutActive reports whether an ordered roll-out has not ended.
+// rolloutActive reports whether any ordered rollout has not ended yet.
 func (g *Gateway) rolloutActive() bool {
 	for _, m := range g.servicePicker.Models() {
 		p, known := g.picker.Progress(m.Name)
@@ -68,7 +68,7 @@
 	return false
 }
 
-// stageUpdater updates the driver's document, which holds the stages of all roll-outs.
+// stageUpdater updates the driver's document, which holds the stages of all rollouts.
 type stageUpdater struct{ g *Gateway }
 
 // Update changes the stages in the store, together with the status for operators.
@@ -90,7 +90,7 @@
 	return item.Value, item.Revision, nil
 }
 
-// Swap writes the stages and the status of each roll-out in one transaction, if the
+// Swap writes the stages and the status of each rollout in one transaction, if the
 // stages are still at the expected revision.
 func (s stageStore) Swap(ctx context.Context, key string, data []byte, expected int64) (int64, bool, error) {
 	decoded, err := rollout.DecodeStages(data)
@@ -120,9 +120,9 @@
 	all := map[string]rollout.Counts{ownID: ownCounts}
 	var mu sync.Mutex
 	var calls sync.WaitGroup
-	// Gateways that are leaving are included, since they have streams under way for
-	// seconds. Without their counts, a roll-out could be considered complete and the
-	// old servers stopped while they still serve those streams.
+	// Gateways that are leaving are included, since their streams run on for seconds.
+	// Without their counts, a rollout could be considered complete and the old servers
+	// stopped while they still serve those streams.
 	for _, m := range c.g.membership.allPeers() {
 		calls.Go(func() {
 			id, counts, err := c.g.peerClient.Counts(ctx, m)
--- a/gateway/subscribe.go
+++ b/gateway/subscribe.go
@@ -80,8 +80,8 @@
 
 // resetServer discards the state of a restarted server's previous incarnation: its
 // caches, queue and health belong to that incarnation, and idle connections to it are
-// dead. Requests under way are not aborted: their connections show better than the
-// entry whether a response will still come.
+// dead. Running requests are not aborted: their connections show better than the entry
+// whether a response will still come.
 func (g *Gateway) resetServer(server registry.Server) {
 	g.balancer.Retain(g.registry.Incarnations())
 	g.backends.CloseIdle(server.Address)
--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -20,8 +20,8 @@
 // Refuses reports whether a request is refused.
 func (s relaySuspects) Refuses(digest uint64) bool { return s.g.detector.Refuses(digest) }
 
-// AllowProbe reports whether this gateway is to send a refused request to a server now, to
-// test whether it still crashes servers.
+// AllowProbe reports whether this gateway is to probe a refused request now: to send it to a
+// server once more, to see whether it still crashes servers.
 func (s relaySuspects) AllowProbe(ctx context.Context, digest uint64) bool {
 	return s.g.verdictSyncer.Probe(ctx, digest)
 }
@@ -30,11 +30,12 @@
 // to be still running.
 func (s relaySuspects) Ends(digest uint64) int { return s.g.detector.Ends(digest) }
 
-// ReportLost records that a server did not respond to a request, and tells the other gateways,
-// since the client may send its retry to one of them.
+// ReportLost records that a server ended without responding to a request, and publishes the
+// loss to the other gateways, since the client may send its retry to one of them.
 func (s relaySuspects) ReportLost(digest, server uint64) { s.g.recordLoss(digest, server, 0) }
 
-// recordLoss records a request that this gateway lost at a server, the given time ago.
+// recordLoss records that a request of this gateway was lost at a server, the given time
+// ago.
 func (g *Gateway) recordLoss(digest, server uint64, ago time.Duration) {
 	finding, withdrawn := g.detector.RecordLoss(digest, server, ago)
 	if finding == suspect.FindingKnown {
@@ -49,8 +50,8 @@
 	g.recordAbandonedLosses(server, ago)
 }
 
-// recordAbandonedLosses records as lost the requests that this gateway had abandoned at a server
-// just before it ended, the given time ago.
+// recordAbandonedLosses records as lost the requests whose attempts at a server this gateway
+// had abandoned just before the server crashed, the given time ago.
 func (g *Gateway) recordAbandonedLosses(server uint64, ago time.Duration) {
 	for _, digest := range g.detector.TakeAbandoned(server, ago) {
 		g.recordLoss(digest, server, ago)
@@ -64,8 +65,8 @@
 	}
 }
 
-// ReportAnswered clears a request that a server has responded to, and tells the other gateways
-// if there was evidence against it.
+// ReportAnswered clears a request that a server has responded to, and publishes that to the
+// other gateways if there was evidence against the request.
 func (s relaySuspects) ReportAnswered(digest uint64) {
 	ends := s.g.detector.Ends(digest)
 	cleared := s.g.detector.RecordAnswer(digest)
@@ -78,9 +79,9 @@
 	}
 }
 
-// ReportProgress records that a server has just sent data in response to a request that was sent
-// at one time on a connection that was opened at another. Losses at that server may then
-// not count.
+// ReportProgress records that a server has just sent data in response to a request sent at the
+// given time, on a connection opened at the given time. Earlier losses at that server are
+// dropped if this shows that it kept running.
 func (s relaySuspects) ReportProgress(server uint64, sent, opened time.Time) {
 	s.g.recordWithdrawn(s.g.detector.ServerResponded(server, time.Since(sent), time.Since(opened)))
 }
@@ -109,9 +110,9 @@
 	g.recordAbandonedLosses(r.Server, r.Age())
 }
 
-// handleFinding acts on a new verdict: it cancels the copies of the request that are
-// still waiting, and has the verdict written to the store. Own reports whether the loss
-// was this gateway's.
+// handleFinding acts on a new verdict: it cancels the attempts with that content that have
+// no response yet, and schedules the write of the verdict to the store. Own reports whether
+// the loss was this gateway's.
 func (g *Gateway) handleFinding(digest uint64, finding suspect.Finding, own bool) {
 	if finding != suspect.FindingVerdict {
 		return
@@ -136,7 +137,7 @@
 const reviewInterval = 500 * time.Millisecond
 
 // maxReviewStaleness is the maximum age of the server entries for such a check: during an
-// outage of the store, the entries of servers that have ended remain.
+// outage of the store, the entries of crashed servers remain.
 const maxReviewStaleness = 2 * time.Second
 
 // reviewSuspects periodically drops the losses at servers that are still running, until
