--- a/spread/spread.go
+++ b/spread/spread.go
@@ -1,5 +1,5 @@
 // Package spread distributes the shared documents (configuration, view,
-// roll-out stages) from the platform's key-value service to all nodes.
+// rollout stages) from the platform's key-value service to all nodes.
 //
 // Each open watch costs the platform a call, so only watchersPerHall nodes in
 // each data hall hold one. A node that receives a newer document notifies a few
@@ -154,8 +154,8 @@
 	return newer
 }
 
-// Apply takes a document as stored if it is newer than the known one, passes it
-// to the subscribers and notifies a few peers.
+// Apply takes a document, compressed as stored, if it is newer than the known
+// one, passes it to the subscribers and notifies a few peers.
 func (r *Replicator) Apply(name string, item document.Item) {
 	if r.deliver(name, item) {
 		go r.notifyPeers()
@@ -268,7 +268,8 @@
 
 // ReceivesUpdates reports whether this node can still learn of changes: it has
 // recently reached the platform, or more than half of the view responds.
-// Otherwise it could miss a withdrawal, so it must start no new work.
+// Otherwise it could miss the withdrawal of a version, so it must start no new
+// work.
 func (r *Replicator) ReceivesUpdates() bool {
 	r.mu.Lock()
 	inContact := r.timers.Now().Sub(r.lastContact) < platformContactTTL
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -180,8 +180,8 @@
 	}
 }
 
-// exchangeHeartbeats stands in for the heartbeats: twice a second it gives the
-// node the revisions of a random peer.
+// exchangeHeartbeats simulates heartbeats: twice a second it passes the
+// revisions of a random peer to the node.
 func (f *fleet) exchangeHeartbeats(ctx context.Context, index int) {
 	for {
 		select {
