--- a/drain/drain.go
+++ b/drain/drain.go
@@ -159,7 +159,7 @@
 	return n, err
 }
 
-// Write records that the server has answered what was read before.
+// Write records that the server has begun to respond to what was read before.
 func (c *conn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	c.readAfterWrite = false
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -71,7 +71,8 @@
 }
 
 // TestRequestDuringCloseIdle checks that a request whose bytes have been read
-// when the idle connections are closed is answered in full or never handled.
+// when the idle connections are closed gets its whole response or never reaches
+// the handler.
 // The shutdown of net/http's server lets it reach the handler and closes its
 // connection.
 func TestRequestDuringCloseIdle(t *testing.T) {
