--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,7 +1,7 @@
 // Package placement decides which backend servers hold which model versions,
 // and sends the engines orders to load and unload them.
 //
-// The number of copies of a version follows from its state and its roll-out
+// The number of copies of a version follows from its state and its rollout
 // share. Loads are ordered one at a time, since the weight store is
 // rate-limited. The last copy of a version that is in use is never unloaded.
 //
