--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -43,8 +43,8 @@
 	KindOnce Kind = iota
 	// KindRepeatable may run more than once.
 	KindRepeatable
-	// KindStream is answered with a stream of events. It may run more than once
-	// only if the route is resumable.
+	// KindStream gets a stream of events as its response. It may run more than
+	// once only if the route is resumable.
 	KindStream
 )
 
@@ -67,9 +67,9 @@
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a request may be held.
+	// Timeout is the longest that a request may take, counted from its arrival.
 	Timeout time.Duration
-	// Objective is the time within which an answer, or the first event of a
+	// Objective is the time within which a response, or the first event of a
 	// stream, counts as in time.
 	Objective time.Duration
 	// MaxPause is the longest pause between two events of a stream that counts
