--- a/lease/lease.go
+++ b/lease/lease.go
@@ -29,7 +29,7 @@
 // Prefix is the key prefix of all leases in the platform's store.
 const Prefix = "lease/"
 
-// Store is the part of the key-value service that the package uses.
+// Store is the part of the platform's store that the package uses.
 type Store interface {
 	Get(ctx context.Context, key string) (data []byte, revision int64, err error)
 	SwapLeased(ctx context.Context, key string, data []byte, expected, lease int64) (revision int64, won bool, err error)
@@ -131,7 +131,7 @@
 	}
 }
 
-// renew counts the TTL from before the call, since the service may have renewed
+// renew counts the TTL from before the call, since the store may have renewed
 // the lease at any moment during the call.
 func (h *Holder) renew(ctx context.Context, id int64) {
 	start := h.timers.Steady()
--- a/lease/lease_test.go
+++ b/lease/lease_test.go
@@ -139,7 +139,7 @@
 const ttl = 3 * time.Second
 
 // TestNeverTwoHolders checks that two nodes never both hold the lease with the
-// same or a decreasing token: when the service is down for a renewal, and when the
+// same or a decreasing token: when the store is down for a renewal, and when the
 // lease expires while its holder is paused and does not notice.
 func TestNeverTwoHolders(t *testing.T) {
 	tests := []struct {
@@ -149,7 +149,7 @@
 		wantB bool
 	}{
 		{"no fault", func(*memoryStore) {}, false},
-		{"service down over one renewal", func(s *memoryStore) {
+		{"store down during one renewal", func(s *memoryStore) {
 			// One of the three renewals per TTL may fail. Ticks are early or
 			// late by up to a tenth of the interval.
 			s.update(func() { s.down = true })
@@ -213,7 +213,7 @@
 }
 
 // TestUnreachableService checks that a holder that cannot renew stops relying on
-// its lease before the service lets it expire.
+// its lease before the lease expires in the store.
 func TestUnreachableService(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		timers := timer.New()
