--- a/lag/lag.go
+++ b/lag/lag.go
@@ -61,7 +61,7 @@
 	revision int64
 }
 
-// Table is when each node received which change.
+// Table holds when each node logged each change.
 type Table struct {
 	// firstSeen holds by change and node when the node first logged it.
 	firstSeen map[change]map[string]time.Time
@@ -149,10 +149,13 @@
 	lag  time.Duration
 }
 
-// Kind is the kind of the change, Node the node's name, Lag the time since the first
-// node logged the change.
-func (s Sample) Kind() Kind         { return s.kind }
-func (s Sample) Node() string       { return s.node }
+// Kind returns the kind of the change.
+func (s Sample) Kind() Kind { return s.kind }
+
+// Node returns the node's name.
+func (s Sample) Node() string { return s.node }
+
+// Lag returns the time from the first node's log line of the change to this node's.
 func (s Sample) Lag() time.Duration { return s.lag }
 
 // Samples returns the lags of all nodes that were running, in ascending order.
