--- a/timer/timer.go
+++ b/timer/timer.go
@@ -45,8 +45,8 @@
 	closed        bool
 
 	// suspended returns for how long the machine has been suspended since it booted,
-	// and initialSuspended is its value when New was called. suspendedSince is the
-	// time suspended since then, in nanoseconds, as Steady counts it.
+	// and initialSuspended is its value when New was called. countedSuspension is the
+	// time suspended since then, in nanoseconds, that Steady has counted.
 	suspended         func() time.Duration
 	initialSuspended  time.Duration
 	countedSuspension atomic.Int64
