--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -5,7 +5,7 @@
 //
 //	m, err := metrics.New()
 //	mux.Handle("/metrics", m.Handler())
-//	m.Refused(dispatch.ReasonRateLimited, "dispatch")
+//	m.Refused(dispatch.ReasonRateLimited, account)
 package metrics
 
 import (
