--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -4,9 +4,9 @@
 //
 // Package node does the same for the product's own API. A gateway keeps no state
 // that outlives its process. On the request path it calls neither other gateways nor
-// the store, unless a refused request is due for a test (package suspect). In the
-// background, gateways tell each other which requests they have sent to backend
-// servers (package share).
+// the store, unless a refused request is due for a probe (package suspect). In the
+// background, gateways exchange records of the requests that they have sent to
+// backend servers (package share).
 //
 // # Usage
 //
@@ -57,7 +57,7 @@
 )
 
 const (
-	// driverLeaseName is the lease held by the gateway that drives roll-outs.
+	// driverLeaseName is the name of the lease of the gateway that drives rollouts.
 	driverLeaseName = "driver"
 	// driverLeaseTTL leaves enough time to replace a failed driver within the 5 s
 	// in which a bad version must be stopped. A shorter TTL costs more renewals.
@@ -74,7 +74,7 @@
 	// servers that respond late. In the deployments' scenarios fewer servers than
 	// that are slow or unresponsive at once; if more are late, the cause is load.
 	rerouteRatio = 0.15
-	// canarySafetyFactor keeps the first stage of a roll-out below the agreed share,
+	// canarySafetyFactor keeps the first stage of a rollout below the agreed share,
 	// since the actual share of requests varies randomly.
 	canarySafetyFactor = 0.7
 )
@@ -89,23 +89,23 @@
 	store         *platform.Store
 	mirror        *mirror.Mirror
 	registry      *registry.Registry
-	runners       *platform.BackendClient
+	backends      *platform.BackendClient
 	balancer      *route.Balancer
 	picker        *rollout.Picker
-	services      *rollout.ServicePicker
+	servicePicker *rollout.ServicePicker
 	driver        *rollout.Driver
 	leaseHolder   *lease.Holder
-	client        *peer.Client
+	peerClient    *peer.Client
 	membership    *membership
 	exchange      *share.Exchange
 	detector      *suspect.Detector
 	verdictSyncer *suspect.Syncer
 
-	relay        *relay.Relay
-	decisions    *decision.Log
-	clientServer *platform.Frontend
-	catalog      atomic.Pointer[catalog.Catalog]
-	leaving      atomic.Bool
+	relay     *relay.Relay
+	decisions *decision.Log
+	frontend  *platform.Frontend
+	catalog   atomic.Pointer[catalog.Catalog]
+	leaving   atomic.Bool
 }
 
 // New returns a gateway that is not running yet.
@@ -128,14 +128,14 @@
 	}
 	g.catalog.Store(catalog.Empty())
 	g.store = platform.NewStore(s.Store.Address, instruments.PlatformCall)
-	g.client = peer.NewClient(nil, peer.WithCallCounter(instruments.PeerCall),
+	g.peerClient = peer.NewClient(nil, peer.WithCallCounter(instruments.PeerCall),
 		peer.WithKnownValues(func(key string) (mirror.Item, bool) { return g.mirror.Get(key) }))
 	g.registry = registry.New(g.timers)
-	g.runners = platform.NewBackendClient()
+	g.backends = platform.NewBackendClient()
 	g.balancer = route.NewBalancer(s.DataHall, instruments.BreakerOpened, route.WithPublisher(func(s share.Record, prefillMillis float64) { g.exchange.Publish(s, prefillMillis) }))
 	g.membership = newMembership(g)
 	g.detector = suspect.New(g.timers)
-	g.exchange = share.NewExchange(g.self, g, g.client, g.timers, g.handleRecord)
+	g.exchange = share.NewExchange(g.self, g, g.peerClient, g.timers, g.handleRecord)
 	g.mirror = mirror.New(g.store, mirrorPeers{g}, g.timers, mirror.WithEvents(instruments.MirrorEvent))
 	g.membership.synced = g.mirror.Synced()
 	g.verdictSyncer = suspect.NewSyncer(g.detector, g.store, g.mirror, g.membership.countAllPeers, g.timers)
@@ -160,13 +160,13 @@
 	)
 }
 
-// initRollouts creates the version pickers, and the driver of roll-outs, which is
+// initRollouts creates the version pickers, and the driver of rollouts, which is
 // active while this gateway holds the driver's lease.
 func (g *Gateway) initRollouts() {
 	g.picker = rollout.NewPicker()
-	g.services = rollout.NewServicePicker(g.picker, canarySafetyFactor*g.settings.Bounds.CanaryShare)
+	g.servicePicker = rollout.NewServicePicker(g.picker, canarySafetyFactor*g.settings.Bounds.CanaryShare)
 	g.leaseHolder = lease.New(driverLeaseName, g.self.ID, g.store, g.timers, driverLeaseTTL, lease.WithEligibility(g.mayDrive))
-	g.driver = rollout.NewDriver(stagesKey, stageUpdater{g}, countCollector{g}, g.leaseHolder, g.services.Models, g.timers)
+	g.driver = rollout.NewDriver(stagesKey, stageUpdater{g}, countCollector{g}, g.leaseHolder, g.servicePicker.Models, g.timers)
 }
 
 // initRelay creates the relay, which handles requests.
@@ -177,20 +177,20 @@
 		Catalog:   g.Catalog,
 		Servers:   g.registry,
 		StoreView: g.mirror,
-		Versions:  g.services,
+		Versions:  g.servicePicker,
 		Balancer:  g.balancer,
 		Cascade:   cascade.NewConfidencePolicy(),
 		Budgets:   g.newRetryBudgets(g.settings.Bounds.RetryRatio),
 		Reroutes:  g.newRetryBudgets(min(rerouteRatio, g.settings.Bounds.RetryRatio)),
 		Suspects:  relaySuspects{g},
-		Backends:  g.runners,
+		Backends:  g.backends,
 		Records:   g.decisions,
 		Counters:  g.metrics.Relay(),
 	})
 }
 
 // newRetryBudgets returns this gateway's part of a retry budget that all gateways
-// share. Ratio is the share of the requests that may be sent again.
+// share. Ratio is the share of the requests that may be retried.
 func (g *Gateway) newRetryBudgets(ratio float64) *retry.WindowBudgets {
 	bounds := g.settings.Bounds
 	slack := func() float64 { return retrySafetyFactor * bounds.RetrySlack / float64(g.membership.countAllPeers()+1) }
@@ -219,7 +219,7 @@
 		go run(workCtx)
 	}
 	// The driver's lease is released at the stop signal and not after the drain, so
-	// that another gateway can drive roll-outs meanwhile. The drain doesn't wait for
+	// that another gateway can drive rollouts meanwhile. The drain doesn't wait for
 	// it: a lease that can't be released expires.
 	leaseCtx, releaseLease := context.WithCancel(ctx)
 	defer releaseLease()
@@ -272,7 +272,7 @@
 	end := signaled.Add(time.Duration(abortShare * float64(grace)))
 	closeAt := signaled.Add(min(maxDrainAccept, time.Duration(drainAcceptShare*float64(grace))))
 	g.relay.Drain(relay.NewShutdown(signaled, closeAt, end))
-	g.clientServer.StartDrain()
+	g.frontend.StartDrain()
 	// This comes last, so that once the gateway reports that it is not ready, every
 	// response closes its connection.
 	g.leaving.Store(true)
@@ -302,27 +302,28 @@
 func (g *Gateway) shutdown(end time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), end)
 	defer cancel()
-	if g.clientServer.Shutdown(ctx) == nil {
+	if g.frontend.Shutdown(ctx) == nil {
 		return
 	}
 	slog.Warn("aborting remaining requests", "count", len(g.decisions.Unfinished()))
 	g.relay.Close()
 	flushCtx, cancelFlush := context.WithTimeout(context.Background(), flushTimeout)
 	defer cancelFlush()
-	if err := g.clientServer.Wait(flushCtx); err != nil {
+	if err := g.frontend.Wait(flushCtx); err != nil {
 		slog.Warn("final responses not all written", "error", err)
 	}
 }
 
-// Await returns the changes after a revision in this gateway's copy of the store.
-// It waits for some for at most the given time. Peers that follow the copy call it.
+// Await returns the changes after a revision in this gateway's copy of the store. If
+// there are none, it waits for at most the given time. It serves the peers that follow
+// this copy.
 func (g *Gateway) Await(ctx context.Context, revision int64, wait time.Duration) mirror.Batch {
 	return g.mirror.Await(ctx, revision, wait)
 }
 
-// Previous returns the value of a key before its last change, if it was large; the
-// peer server sends large values as differences from it.
+// Previous returns the item that a key had before its last change, if its value was
+// large; the peer server sends large values as deltas from it.
 func (g *Gateway) Previous(key string) (mirror.Item, bool) { return g.mirror.Previous(key) }
 
-// Counts returns this gateway's ID and its counts for the driver of roll-outs.
+// Counts returns this gateway's ID and its counts for the driver of rollouts.
 func (g *Gateway) Counts() (string, rollout.Counts) { return g.self.ID, g.picker.Counts() }
--- a/gateway/membership.go
+++ b/gateway/membership.go
@@ -16,10 +16,10 @@
 const (
 	// gatewayPrefix is the prefix of the keys of gateway entries.
 	gatewayPrefix = "nodes/"
-	// lapseGracePeriod is how long entries that expired during an outage of the store
+	// expiryGracePeriod is how long entries that expired during an outage of the store
 	// are kept after its recovery: a gateway notices the recovery within a second or
 	// two, and then writes its entry again at once.
-	lapseGracePeriod = 3 * time.Second
+	expiryGracePeriod = 3 * time.Second
 	// minLocalAddresses is how many gateways of a client's data hall must be known for
 	// the client to be sent to these alone. The same holds for its region.
 	minLocalAddresses = 2
@@ -28,8 +28,8 @@
 // entry is a gateway's entry in the store. Its fields are exported for the codec.
 type entry struct {
 	view.Member
-	// Leaving reports whether the gateway is draining: it gets no new clients, but has
-	// requests under way and reports its counts until its entry is deleted.
+	// Leaving reports whether the gateway is draining: it gets no new clients, but still
+	// serves requests and reports its counts until its entry is deleted.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
@@ -56,9 +56,9 @@
 	mu sync.Mutex
 	// entries holds the known entries by key, this gateway's own included.
 	entries map[string]entry
-	// keptUntil holds, by key, how long entries that are deleted from the store are
-	// still used: those that expired during an outage are written again if their
-	// gateways are running.
+	// keptUntil holds, by key, until when an entry that was deleted from the store is
+	// still used: an entry that expired during an outage is written again if its gateway
+	// is running.
 	keptUntil map[string]time.Time
 	// recoveredAt is when the store last recovered from an outage.
 	recoveredAt time.Time
@@ -77,7 +77,7 @@
 	return &membership{g: g, store: g.store, entries: make(map[string]entry), keptUntil: make(map[string]time.Time), renewRequests: make(chan struct{}, 1)}
 }
 
-// storeRecovered notes that an outage of the store is over, and requests a renewal.
+// storeRecovered records that an outage of the store is over, and requests a renewal.
 func (m *membership) storeRecovered() {
 	m.mu.Lock()
 	m.recoveredAt = m.g.timers.Steady()
@@ -98,7 +98,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if c.Deleted {
-		keptFor := max(0, lapseGracePeriod-m.g.timers.Steady().Sub(m.recoveredAt))
+		keptFor := max(0, expiryGracePeriod-m.g.timers.Steady().Sub(m.recoveredAt))
 		m.removeEntry(c.Key, keptFor)
 		slog.Info("gateway entry deleted", "key", c.Key, "revision", c.Revision, "kept_ms", keptFor.Milliseconds())
 		return
@@ -144,7 +144,7 @@
 }
 
 // allPeers returns the other gateways, including those that are leaving, which may
-// still have requests under way.
+// still be serving requests.
 func (m *membership) allPeers() []view.Member {
 	return m.filterPeers(func(entry) bool { return true })
 }
@@ -153,7 +153,7 @@
 func (m *membership) countAllPeers() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expireLapsed()
+	m.removeExpired()
 	count := len(m.entries)
 	if _, own := m.entries[m.ownKey()]; own {
 		count--
@@ -165,7 +165,7 @@
 func (m *membership) filterPeers(match func(entry) bool) []view.Member {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.expireLapsed()
+	m.removeExpired()
 	var found []view.Member
 	for key, e := range m.entries {
 		if key != m.ownKey() && match(e) {
@@ -175,9 +175,9 @@
 	return found
 }
 
-// expireLapsed removes the entries that expired during an outage of the store and were
+// removeExpired removes the entries that expired during an outage of the store and were
 // not written again in time. The caller holds mu.
-func (m *membership) expireLapsed() {
+func (m *membership) removeExpired() {
 	now := m.g.timers.Steady()
 	for key, until := range m.keptUntil {
 		if now.After(until) {
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -15,8 +15,8 @@
 // Others returns the other gateways that are not leaving.
 func (g *Gateway) Others() []view.Member { return g.membership.peers() }
 
-// Exchange handles a peer's message with the requests that it has sent to servers, and
-// returns what the peer does not know.
+// Exchange handles a peer's message with its records of the requests sent to servers, and
+// returns the records that the peer has not received.
 func (g *Gateway) Exchange(m share.Message) share.Reply { return g.exchange.Handle(m) }
 
 // mirrorPeers gives the mirror access to the other gateways' copies of the store.
@@ -47,7 +47,7 @@
 	return addresses
 }
 
-// distance returns the sort order of a gateway by location: zero in the own data hall.
+// distance returns 0 for a gateway of the own data hall and 1 for any other.
 func (p mirrorPeers) distance(m view.Member) int {
 	if m.DataHall == p.g.self.DataHall {
 		return 0
@@ -77,5 +77,5 @@
 
 // Follow requests the changes after a revision from the copy of another gateway.
 func (p mirrorPeers) Follow(ctx context.Context, address string, after int64, wait time.Duration) (mirror.Batch, error) {
-	return p.g.client.Follow(ctx, address, after, wait)
+	return p.g.peerClient.Follow(ctx, address, after, wait)
 }
