--- a/spread/compress.go
+++ b/docsync/compress.go
@@ -1,4 +1,4 @@
-package spread
+package docsync
 
 import (
 	"bytes"
--- a/spread/spread.go
+++ b/docsync/docsync.go
@@ -1,4 +1,4 @@
-// Package spread distributes the shared documents (configuration, view,
+// Package docsync distributes the shared documents (configuration, view,
 // rollout stages) from the platform's key-value service to all nodes.
 //
 // Each open watch costs the platform a call, so only watchersPerHall nodes in
@@ -12,12 +12,12 @@
 //
 // # Usage
 //
-//	r := spread.New(store, peers, timers)
+//	r := docsync.New(store, peers, timers)
 //	r.SetMembers(members)
-//	r.Subscribe(spread.Config, func(item document.Item) { … })
+//	r.Subscribe(docsync.Config, func(item document.Item) { … })
 //	go r.Run(ctx)
-//	item, err := r.Update(ctx, spread.Config, change)
-package spread
+//	item, err := r.Update(ctx, docsync.Config, change)
+package docsync
 
 import (
 	"context"
--- a/spread/spread_test.go
+++ b/docsync/docsync_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package docsync_test
 
 import (
 	"bytes"
@@ -13,8 +13,8 @@
 
 	"github.com/shoenig/test/must"
 
+	"github.com/violettally/violettally/docsync"
 	"github.com/violettally/violettally/document"
-	"github.com/violettally/violettally/spread"
 	"github.com/violettally/violettally/timer"
 	"github.com/violettally/violettally/view"
 )
@@ -66,7 +66,7 @@
 	}
 	items := make(map[string]document.Item)
 	for key, item := range p.items {
-		items[key[len(spread.KeyPrefix):]] = item
+		items[key[len(docsync.KeyPrefix):]] = item
 	}
 	return items, nil
 }
@@ -97,7 +97,7 @@
 // its index.
 type fleet struct {
 	platform *fakePlatform
-	nodes    []*spread.Replicator
+	nodes    []*docsync.Replicator
 	perHall  int
 	isolated sync.Map
 	fetches  int
@@ -109,14 +109,14 @@
 	return isolated
 }
 
-// fleetPeers implements spread.Peers and spread.Members for one node of a
+// fleetPeers implements docsync.Peers and docsync.Members for one node of a
 // fleet.
 type fleetPeers struct {
 	f     *fleet
 	index int
 }
 
-func (p fleetPeers) node(address string) (*spread.Replicator, error) {
+func (p fleetPeers) node(address string) (*docsync.Replicator, error) {
 	var index int
 	_, _ = fmt.Sscan(address, &index)
 	if p.f.isIsolated(index) || p.f.isIsolated(p.index) {
@@ -166,7 +166,7 @@
 	for i := range halls * perHall {
 		timers := timer.New()
 		t.Cleanup(timers.Close)
-		r := spread.New(f.platform, fleetPeers{f, i}, timers)
+		r := docsync.New(f.platform, fleetPeers{f, i}, timers)
 		r.SetMembers(fleetPeers{f, i})
 		f.nodes = append(f.nodes, r)
 	}
@@ -196,7 +196,7 @@
 }
 
 func (f *fleet) update(index int, text string) error {
-	_, err := f.nodes[index].Update(context.Background(), spread.Config, func([]byte) ([]byte, error) { return []byte(text), nil })
+	_, err := f.nodes[index].Update(context.Background(), docsync.Config, func([]byte) ([]byte, error) { return []byte(text), nil })
 	return err
 }
 
@@ -205,7 +205,7 @@
 func (f *fleet) countWithRevision(revision int64) int {
 	n := 0
 	for _, r := range f.nodes {
-		if r.Revisions()[spread.Config] >= revision {
+		if r.Revisions()[docsync.Config] >= revision {
 			n++
 		}
 	}
@@ -278,9 +278,9 @@
 func TestIgnoresOlderRevisions(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	var seen []int64
-	f.nodes[0].Subscribe(spread.Config, func(item document.Item) { seen = append(seen, item.Revision) })
+	f.nodes[0].Subscribe(docsync.Config, func(item document.Item) { seen = append(seen, item.Revision) })
 	for _, revision := range []int64{3, 1, 3, 2, 7, 6} {
-		f.nodes[0].Apply(spread.Config, document.Item{Data: []byte("x"), Revision: revision})
+		f.nodes[0].Apply(docsync.Config, document.Item{Data: []byte("x"), Revision: revision})
 	}
 	must.Eq(t, []int64{3, 7}, seen)
 }
@@ -290,9 +290,9 @@
 func TestStoresCompressed(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	var got []byte
-	f.nodes[0].Subscribe(spread.Config, func(item document.Item) { got = item.Data })
+	f.nodes[0].Subscribe(docsync.Config, func(item document.Item) { got = item.Data })
 	text := bytes.Repeat([]byte("a line of a declaration\n"), 1000)
 	must.NoError(t, f.update(0, string(text)))
 	must.Eq(t, string(text), string(got))
-	must.Less(t, len(text)/20, len(f.platform.items[spread.KeyPrefix+spread.Config].Data))
+	must.Less(t, len(text)/20, len(f.platform.items[docsync.KeyPrefix+docsync.Config].Data))
 }
--- a/spread/size_test.go
+++ b/docsync/size_test.go
@@ -1,4 +1,4 @@
-package spread_test
+package docsync_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/violettally/violettally/config"
 	"github.com/violettally/violettally/control"
-	"github.com/violettally/violettally/spread"
+	"github.com/violettally/violettally/docsync"
 	"github.com/violettally/violettally/view"
 )
 
@@ -23,10 +23,10 @@
 	storedSize := func(name string, plain []byte) int {
 		_, err := f.nodes[0].Update(context.Background(), name, func([]byte) ([]byte, error) { return plain, nil })
 		must.NoError(t, err)
-		return len(f.platform.items[spread.KeyPrefix+name].Data)
+		return len(f.platform.items[docsync.KeyPrefix+name].Data)
 	}
-	t.Logf("view: %d bytes, stored %d; configuration: %d bytes, stored %d", len(plainView), storedSize(spread.View, plainView), len(plainConfig), storedSize(spread.Config, plainConfig))
-	must.Less(t, 1<<20, storedSize(spread.Config, plainConfig))
+	t.Logf("view: %d bytes, stored %d; configuration: %d bytes, stored %d", len(plainView), storedSize(docsync.View, plainView), len(plainConfig), storedSize(docsync.Config, plainConfig))
+	must.Less(t, 1<<20, storedSize(docsync.Config, plainConfig))
 }
 
 func largeView(t testing.TB) []byte {
--- a/node/node.go
+++ b/node/node.go
@@ -33,6 +33,7 @@
 	"github.com/violettally/violettally/config"
 	"github.com/violettally/violettally/decision"
 	"github.com/violettally/violettally/dispatch"
+	"github.com/violettally/violettally/docsync"
 	"github.com/violettally/violettally/document"
 	"github.com/violettally/violettally/internal/errs"
 	"github.com/violettally/violettally/internal/stall"
@@ -47,7 +48,6 @@
 	"github.com/violettally/violettally/route"
 	"github.com/violettally/violettally/session"
 	"github.com/violettally/violettally/settings"
-	"github.com/violettally/violettally/spread"
 	"github.com/violettally/violettally/timer"
 	"github.com/violettally/violettally/view"
 )
@@ -74,7 +74,7 @@
 	store       *etcd.Client
 	vms         *vmlist.List
 	client      *peer.Client
-	replicator  *spread.Replicator
+	replicator  *docsync.Replicator
 	prober      *member.Prober
 	viewManager *view.Manager
 	replica     *claim.Replica
@@ -146,7 +146,7 @@
 	n.client = client
 	n.store = etcd.New(s.Platform.KeyValue, s.Platform.Prefix, etcd.WithCallCounter(n.metrics.PlatformCall))
 	n.vms = vmlist.New(s.Platform.VMList, n.timers, settings.Millis(s.Times.VMListIntervalMillis))
-	n.replicator = spread.New(n.store, client, n.timers)
+	n.replicator = docsync.New(n.store, client, n.timers)
 	n.prober = member.New(n.self, client, n.timers,
 		member.WithInterval(settings.Millis(s.Times.ProbeIntervalMillis)),
 		member.WithPayload(n.fillHeartbeat),
@@ -154,9 +154,9 @@
 		member.WithCounter(n.metrics.MemberStatus),
 	)
 	n.replicator.SetMembers(seededMembers{n.prober, n.vms})
-	n.viewManager = view.NewManager(spread.View, n.self, n.replicator, n.prober, n.vms, n.timers)
-	n.replicator.Subscribe(spread.View, n.viewManager.Apply)
-	n.replicator.Subscribe(spread.Config, n.applyConfig)
+	n.viewManager = view.NewManager(docsync.View, n.self, n.replicator, n.prober, n.vms, n.timers)
+	n.replicator.Subscribe(docsync.View, n.viewManager.Apply)
+	n.replicator.Subscribe(docsync.Config, n.applyConfig)
 	n.viewManager.Subscribe(n.prober.SetView)
 }
 
@@ -196,10 +196,10 @@
 	n.grantor = limit.NewGrantor(n.accountLimit, n.timers)
 	n.viewManager.Subscribe(func(v *view.View) { n.grantor.SetEpoch(v.Epoch(), n.ownsAccountLimit) })
 	n.picker = rollout.NewPicker()
-	n.replicator.Subscribe(spread.Rollouts, n.applyRollouts)
+	n.replicator.Subscribe(docsync.Rollouts, n.applyRollouts)
 	n.leases = lease.New(driverLeaseName, n.self.ID, n.store, n.timers, settings.Millis(s.Times.LeaseTTLMillis),
 		lease.WithEligibility(n.isDriverCandidate))
-	n.driver = rollout.NewDriver(spread.Rollouts, n.replicator, collector{n}, n.leases, func() []config.Model { return n.Config().Models() }, n.timers)
+	n.driver = rollout.NewDriver(docsync.Rollouts, n.replicator, collector{n}, n.leases, func() []config.Model { return n.Config().Models() }, n.timers)
 	engines := engine.New(engine.WithMaxResponseBytes(s.Bounds.ResponseBytes))
 	chooser := route.New(n.self.ID,
 		route.WithLeaving(n.vms.Leaving),
--- a/node/operators.go
+++ b/node/operators.go
@@ -8,9 +8,9 @@
 	"github.com/violettally/violettally/config"
 	"github.com/violettally/violettally/control"
 	"github.com/violettally/violettally/decision"
+	"github.com/violettally/violettally/docsync"
 	"github.com/violettally/violettally/ledger"
 	"github.com/violettally/violettally/rollout"
-	"github.com/violettally/violettally/spread"
 	"github.com/violettally/violettally/view"
 )
 
@@ -37,7 +37,7 @@
 func (o operatorNode) Config() *config.Snapshot { return o.n.Config() }
 
 func (o operatorNode) Apply(ctx context.Context, c control.Change) (control.Result, error) {
-	return control.Apply(ctx, o.n.replicator, spread.Config, c, o.n.timers.Now())
+	return control.Apply(ctx, o.n.replicator, docsync.Config, c, o.n.timers.Now())
 }
 
 // Explain looks up a decision record on this node, then on the request's holder if
