--- a/relay/relay.go
+++ b/relay/relay.go
@@ -197,10 +197,11 @@
 // Budgets limit the retries per service.
 type Budgets interface {
 	RecordRequest(service string)
-	// Take takes one retry out of the budget if at least the share spare of the budget remains.
-	Take(service string, spare float64) bool
+	// Take takes one retry out of the budget if at least the share reserve of the budget remains
+	// afterwards.
+	Take(service string, reserve float64) bool
 	// Allows reports whether Take would succeed now.
-	Allows(service string, spare float64) bool
+	Allows(service string, reserve float64) bool
 }
 
 // Counters records metrics.
--- a/relay/suspect_test.go
+++ b/relay/suspect_test.go
@@ -129,9 +129,9 @@
 	return o.probes >= 0
 }
 
-// TestSuspectRequestTested checks that a refused request can be probed at one server, whatever
+// TestSuspectRequestProbed checks that a refused request can be probed at one server, whatever
 // the route's attempts, and is served if that server responds.
-func TestSuspectRequestTested(t *testing.T) {
+func TestSuspectRequestProbed(t *testing.T) {
 	for _, tt := range []struct {
 		name string
 		text string
--- a/relay/watchdog.go
+++ b/relay/watchdog.go
@@ -16,7 +16,7 @@
 	// the route's objective; only responses that are expected to take longer may exceed them. A
 	// rerouted request is processed again elsewhere and delays all others: at half of the
 	// objective, one request in ten was rerouted, from servers that were only busy, and the
-	// worth of the responses fell from 0.67 to 0.64.
+	// value of the responses fell from 0.67 to 0.64.
 	minFirstByteShare = 0.8
 	maxFirstByteShare = 0.9
 	// maxExpectedFactor is the multiple of the expected time within which a response must
