--- a/route/balancer_test.go
+++ b/route/balancer_test.go
@@ -153,9 +153,9 @@
 	})
 }
 
-// TestBalancerAnnounces checks that each prompt sent to a server is published to
+// TestBalancerPublishes checks that each prompt sent to a server is published to
 // the other nodes, with its shared parts only.
-func TestBalancerAnnounces(t *testing.T) {
+func TestBalancerPublishes(t *testing.T) {
 	var published []share.Record
 	b := route.NewBalancer("near", func(string) {}, route.WithPublisher(func(s share.Record, _ float64) { published = append(published, s) }))
 	prompt := prefix.NewChain("m", []prefix.Part{{ID: "shared", Tokens: 500}, {ID: "own", Tokens: 100}})
