--- a/mirror/hall_test.go
+++ b/mirror/hall_test.go
@@ -101,12 +101,12 @@
 	})
 }
 
-// TestDelayedAnswer: a response stays unread in the socket of a process that does not run
+// TestDelayedResponse: a response stays unread in the socket of a process that does not run
 // for 3 s. If its age counted from the moment of reading, the node would believe its data
 // to be 3 s younger than it is. The age must be one that can be proved: the response was
 // made no earlier than the start of the call, plus the time for which its sender says
 // that it held the call.
-func TestDelayedAnswer(t *testing.T) {
+func TestDelayedResponse(t *testing.T) {
 	const late = 3 * time.Second
 	for _, name := range []string{"from the store", "from an upstream"} {
 		t.Run(name, func(t *testing.T) {
