--- a/gateway/suspects.go
+++ b/gateway/suspects.go
@@ -68,12 +68,12 @@
 // ReportAnswered clears a request that a server has responded to, and publishes that to the
 // other gateways if there was evidence against the request.
 func (s relaySuspects) ReportAnswered(digest uint64) {
-	ends := s.g.detector.LossCount(digest)
+	lossCount := s.g.detector.LossCount(digest)
 	cleared := s.g.detector.RecordAnswer(digest)
 	if cleared == suspect.ClearedNothing {
 		return
 	}
-	s.g.exchange.PublishAnswer(digest, ends > 1 || cleared == suspect.ClearedVerdict)
+	s.g.exchange.PublishAnswer(digest, lossCount > 1 || cleared == suspect.ClearedVerdict)
 	if cleared == suspect.ClearedVerdict {
 		s.g.recordWithdrawn([]uint64{digest})
 	}
