--- a/node/peers.go
+++ b/node/peers.go
@@ -243,9 +243,9 @@
 
 const orphanScanInterval = 2 * time.Second
 
-// takeOverOrphans takes over async requests whose node has failed. The first reachable
-// replica of the request's claim does so. If replicas disagree about which one that is,
-// two may do so, and only the one whose attempt gets the claim runs the request.
+// takeOverOrphans takes over asynchronous requests whose node has failed. The first
+// reachable replica of the request's claim does so. If replicas disagree about which one
+// that is, two may do so, and only the one whose attempt gets the claim runs the request.
 func (n *Node) takeOverOrphans(ctx context.Context) {
 	takenOver := make(map[string]time.Time)
 	n.timers.Every(ctx, orphanScanInterval, func() {
